--- a/src/core/dispatch/advice.ts
+++ b/src/core/dispatch/advice.ts
@@ -9,7 +9,7 @@
 import type * as jobs from '../jobs/index.js';
 
 /** Most workers named in one question: each costs the adviser time, and a few good ones are enough. */
-const mostNamed = 30;
+const maxWorkersPerRequest = 30;
 
 /** A ticket is not used in its last part, in milliseconds: a start has to arrive with it. */
 const ticketMarginMs = 150;
@@ -22,27 +22,27 @@
 }
 
 /** Settings of an advisory. */
-export interface AdvisoryOptions {
+export interface AdviserTicketsOptions {
 	clock: clocks.Clock;
 	events: events.EventLog;
 	/** Asks the adviser; undefined: there is none. */
 	ask: fleet.AskAdviser | undefined;
 	/** Called when an answer may let a step start. */
-	onNews: () => void;
+	onAdvice: () => void;
 }
 
 /** What the adviser said, and the question under way. */
-export class Advisory {
+export class AdviserTickets {
 	private readonly steps = new WeakMap<jobs.StepRun, StepAdvice>();
 	/** A question is under way. */
-	private asking = false;
+	private isAsking = false;
 	/** Nothing is asked before this clock time. */
 	private retryAt = -Infinity;
 
-	private constructor(private readonly opts: AdvisoryOptions) {}
+	private constructor(private readonly opts: AdviserTicketsOptions) {}
 
-	static create(opts: AdvisoryOptions): Advisory {
-		return new Advisory(opts);
+	static create(opts: AdviserTicketsOptions): AdviserTickets {
+		return new AdviserTickets(opts);
 	}
 
 	/** The ticket of a step at a worker, if there is one that still holds. */
@@ -53,38 +53,40 @@
 	}
 
 	/** Asks about workers that the adviser has not judged for this step, unless a question is under way. */
-	want(step: jobs.StepRun, workers: string[]): void {
-		if (this.opts.ask === undefined || this.asking || this.opts.clock.now() < this.retryAt) return;
+	requestTickets(step: jobs.StepRun, workers: string[]): void {
+		if (this.opts.ask === undefined || this.isAsking || this.opts.clock.now() < this.retryAt) return;
 		const advice = this.adviceOf(step);
-		const open = workers.filter((id) => !advice.refused.has(id) && this.ticket(step, id) === undefined);
-		if (open.length === 0) return;
-		this.asking = true;
-		void this.ask(this.opts.ask, step, open.slice(0, mostNamed), advice);
+		const withoutAnswer = workers.filter(
+			(id) => !advice.refused.has(id) && this.ticket(step, id) === undefined,
+		);
+		if (withoutAnswer.length === 0) return;
+		this.isAsking = true;
+		void this.ask(this.opts.ask, step, withoutAnswer.slice(0, maxWorkersPerRequest), advice);
 	}
 
 	private async ask(
 		ask: fleet.AskAdviser,
 		step: jobs.StepRun,
-		named: string[],
+		requestedWorkers: string[],
 		advice: StepAdvice,
 	): Promise<void> {
 		const name = `${step.job.id}.${step.time}.${step.number}`;
 		const askedAt = this.opts.clock.now();
-		const res = await ask(name, named);
-		this.asking = false;
+		const res = await ask(name, requestedWorkers);
+		this.isAsking = false;
 		if (!res.ok) {
 			this.retryAt = this.opts.clock.now() + settings.commandRetryMs;
 			this.opts.events.emit('advice.missed', { task: name, reason: res.err });
 			return;
 		}
-		take(advice, named, res.value, askedAt);
+		storeAnswer(advice, requestedWorkers, res.value, askedAt);
 		this.opts.events.emit('advice.given', {
 			task: name,
-			asked: named.length,
+			asked: requestedWorkers.length,
 			good: res.value.good.length,
 			validMs: res.value.validMs,
 		});
-		this.opts.onNews();
+		this.opts.onAdvice();
 	}
 
 	private adviceOf(step: jobs.StepRun): StepAdvice {
@@ -97,11 +99,16 @@
 }
 
 /** Keeps an answer: the tickets of the good workers; the others that were named are not good. */
-function take(advice: StepAdvice, named: string[], answer: fleet.Advice, askedAt: number): void {
-	const until = askedAt + answer.validMs;
-	for (const id of named) advice.refused.add(id);
+function storeAnswer(
+	advice: StepAdvice,
+	requestedWorkers: string[],
+	answer: fleet.Advice,
+	askedAt: number,
+): void {
+	const expiresAt = askedAt + answer.validMs;
+	for (const id of requestedWorkers) advice.refused.add(id);
 	for (const { worker, ticket } of answer.good) {
 		advice.refused.delete(worker);
-		advice.tickets.set(worker, { ticket, until });
+		advice.tickets.set(worker, { ticket, until: expiresAt });
 	}
 }
--- a/src/core/dispatch/choices.ts
+++ b/src/core/dispatch/choices.ts
@@ -1,6 +1,6 @@
 /** Which workers a step may go to, by its queue's pool and the adviser, and whom the adviser is asked about. */
 import * as advice from './advice.js';
-import * as room from './room.js';
+import * as freeCapacity from './room.js';
 import type * as interference from './interference.js';
 import type * as jobs from '../jobs/index.js';
 import type * as placement from './placement.js';
@@ -8,65 +8,65 @@
 import type * as sessions from './worker-session.js';
 
 /** What choices are made of. */
-export interface ChoicesOptions extends advice.AdvisoryOptions {
+export interface EligibleWorkersOptions extends advice.AdviserTicketsOptions {
 	policyOf: (job: jobs.ActiveJob) => jobs.QueuePolicy;
 	estimates: interference.Interference;
 }
 
 /** The choices of one owner. */
-export class Choices {
-	private readonly advisory: advice.Advisory;
+export class EligibleWorkers {
+	private readonly tickets: advice.AdviserTickets;
 
-	private constructor(private readonly opts: ChoicesOptions) {
-		this.advisory = advice.Advisory.create(opts);
+	private constructor(private readonly opts: EligibleWorkersOptions) {
+		this.tickets = advice.AdviserTickets.create(opts);
 	}
 
-	static create(opts: ChoicesOptions): Choices {
-		return new Choices(opts);
+	static create(opts: EligibleWorkersOptions): EligibleWorkers {
+		return new EligibleWorkers(opts);
 	}
 
 	/** What a start of a step on a worker has to show; empty: nothing. */
 	ticketFor(step: jobs.StepRun, worker: string): string {
 		const { advised } = this.opts.policyOf(step.job);
-		return advised ? (this.advisory.ticket(step, worker) ?? '') : '';
+		return advised ? (this.tickets.ticket(step, worker) ?? '') : '';
 	}
 
 	/** Workers that may run a step, and how to rate them. */
-	among(step: jobs.StepRun, round: rounds.PlacingRound): placement.Choice {
+	contextFor(step: jobs.StepRun, round: rounds.PlacingRound): placement.PlacementContext {
 		const { pool, advised } = this.opts.policyOf(step.job);
-		const inPool = round.openFor(step, pool);
+		const inPool = round.openWorkersFor(step, pool);
 		const hasTicket = (one: sessions.WorkerSession): boolean =>
-			this.advisory.ticket(step, one.id) !== undefined;
+			this.tickets.ticket(step, one.id) !== undefined;
 		const workers = advised ? inPool.filter(hasTicket) : inPool;
 		return { workers, estimates: this.opts.estimates, now: round.now };
 	}
 
 	/** The same to place by: if no worker that the adviser has allowed has room, it is asked about others. */
-	toPlace(step: jobs.StepRun, round: rounds.PlacingRound): placement.Choice {
-		const choice = this.among(step, round);
+	contextRequestingAdvice(step: jobs.StepRun, round: rounds.PlacingRound): placement.PlacementContext {
+		const ctx = this.contextFor(step, round);
 		const { advised } = this.opts.policyOf(step.job);
-		const lacksRoom = advised && !choice.workers.some((one) => room.hasPlace(step, one));
-		if (lacksRoom) this.askFurther(step, round);
-		return choice;
+		const lacksCapacity = advised && !ctx.workers.some((one) => freeCapacity.fitsWithoutReserve(step, one));
+		if (lacksCapacity) this.requestAdvice(step, round);
+		return ctx;
 	}
 
 	/** Asks the adviser, if the step's policy wants advice, about workers with room that it has not judged. */
-	askFurther(step: jobs.StepRun, round: rounds.PlacingRound): void {
+	requestAdvice(step: jobs.StepRun, round: rounds.PlacingRound): void {
 		const { pool, advised } = this.opts.policyOf(step.job);
-		if (advised) this.advisory.want(step, likely(step, round.openFor(step, pool)));
+		if (advised) this.tickets.requestTickets(step, emptiestFirst(step, round.openWorkersFor(step, pool)));
 	}
 
 	/** Whether workers are open to a step and the adviser has allowed none of them. */
 	lacksTicket(step: jobs.StepRun, round: rounds.PlacingRound): boolean {
 		const { pool, advised } = this.opts.policyOf(step.job);
-		const isOpen = round.openFor(step, pool).length > 0;
-		return advised && isOpen && this.among(step, round).workers.length === 0;
+		const hasOpenWorker = round.openWorkersFor(step, pool).length > 0;
+		return advised && hasOpenWorker && this.contextFor(step, round).workers.length === 0;
 	}
 }
 
 /** Workers with room for a step, the emptiest first. */
-function likely(step: jobs.StepRun, workers: sessions.WorkerSession[]): string[] {
-	const fitting = workers.filter((one) => room.hasPlace(step, one));
-	fitting.sort((a, b) => a.used.milliCores - b.used.milliCores);
-	return fitting.map((one) => one.id);
+function emptiestFirst(step: jobs.StepRun, workers: sessions.WorkerSession[]): string[] {
+	const withCapacity = workers.filter((one) => freeCapacity.fitsWithoutReserve(step, one));
+	withCapacity.sort((a, b) => a.used.milliCores - b.used.milliCores);
+	return withCapacity.map((one) => one.id);
 }
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -42,7 +42,7 @@
 	private readonly progress: saver.ProgressSaver;
 	private readonly starter: starter.Starter;
 	private readonly estimates: interference.Interference;
-	private readonly pressure: pressure.PressureControl;
+	private readonly pressure: pressure.InterferenceControl;
 	private readonly outcomes: outcomes.Outcomes;
 	private readonly blame: blame.CrashBlame;
 	private readonly probations: probation.Probations;
@@ -60,7 +60,7 @@
 		const { clock } = opts;
 		this.reportLog = reportLog.ReportLog.create(opts.events, opts.epoch);
 		this.estimates = interference.Interference.create(clock);
-		this.pressure = pressure.PressureControl.create(opts, this.estimates, opts.maxSloViolationMs);
+		this.pressure = pressure.InterferenceControl.create(opts, this.estimates, opts.maxSloViolationMs);
 		this.progress = this.createSaver();
 		this.list = freshness.ListFreshness.create(clock, opts.readList);
 		this.evacuations = evacuations.ZoneEvacuations.create(clock, opts.maxEvacuationAgeMs);
@@ -106,7 +106,7 @@
 		if (this.book.get(record.id) !== undefined) return;
 		// An owner that a box told of the job may have started it, unless that owner is this one.
 		const inherited = record.acceptedUnder !== this.opts.epoch;
-		const workersStored = this.locations.areStored(record);
+		const workersStored = this.locations.areWorkersStored(record);
 		this.book.add(record, undefined, { cancelled: false, inherited, workersStored });
 	}
 
@@ -142,7 +142,7 @@
 	/** The platform's list of workers, in part or whole. */
 	setWorkers(entries: Iterable<fleet.WorkerEntry>, removed: Iterable<string>, whole: boolean): void {
 		this.workers.setWorkers(entries, removed, whole);
-		this.placer.wake();
+		this.placer.requestRound();
 	}
 
 	/** The platform's list of workers is as was told, as of that clock time. */
@@ -156,7 +156,7 @@
 		for (const zone of added) this.opts.events.emit('zone.evacuated', { zone, ...this.workers.inZone(zone) });
 		for (const zone of removed)
 			this.opts.events.emit('zone.reopened', { zone, ...this.workers.inZone(zone) });
-		this.placer.wake();
+		this.placer.requestRound();
 	}
 
 	/** Closes a worker of that name to new work and moves what runs there; an unknown worker is empty. */
@@ -181,8 +181,8 @@
 
 	/** What was done since this was last asked, and what waits now. */
 	load(): options.DispatchLoad {
-		const { limit, count } = this.starter.onTheirWay;
-		const { waiting, waitingShort } = this.placer;
+		const { limit, count } = this.starter.startsInFlight;
+		const { waiting, waitingShortTasks: waitingShort } = this.placer;
 		const ends = this.workers.exitLoad();
 		return { ...this.meter.read(), ...ends, waiting, waitingShort, onTheirWay: count, startLimit: limit };
 	}
@@ -223,9 +223,9 @@
 	private createStarter(): starter.Starter {
 		return starter.Starter.create(this.opts, this.meter, {
 			beforeStart: (session, place) => this.beforeStart(session, place),
-			unread: () => this.unread,
-			onRoom: () => {
-				this.placer.wake();
+			unreadList: () => this.unread,
+			onStartSlotFree: () => {
+				this.placer.requestRound();
 			},
 			onWithdrawn: (session, place, reason) => {
 				this.outcomes.withdrawn(session, place, reason);
@@ -245,14 +245,14 @@
 			askAdviser: this.opts.askAdviser,
 			restoreMs: this.opts.restoreMs ?? 0,
 			workers: () => this.workers.all(),
-			mayBeHidden: (task) => this.locations.mayBeHidden(task),
+			mayHaveUnreportedRun: (task) => this.locations.mayHaveUnreportedRun(task),
 			policyOf: (job) => this.policyOf(job),
 			estimates: this.estimates,
 			probations: this.probations,
 			mayAct: () => this.opts.mayAct() && this.unread === undefined,
 			mayStartAgain: (task) => this.outcomes.mayStartAgain(task),
 			meter: this.meter,
-			startRoom: () => this.starter.room,
+			freeStartSlots: () => this.starter.room,
 			start: (session, place, ticket) => void this.starter.start(session, place, ticket),
 			stopFor: (reason, session, place) => {
 				this.starter.stopFor(reason, session, place);
@@ -285,7 +285,7 @@
 			policyOf: (job) => this.policyOf(job),
 			estimates: this.estimates,
 			mayHaveCrashed: (task) => this.locations.mayHaveCrashed(task),
-			fateOn: (worker) => this.locations.fateOn(worker),
+			fateOn: (worker) => this.locations.outcomeOn(worker),
 		});
 	}
 
@@ -301,7 +301,7 @@
 
 	/** What a start waits for: what has to be stored, and quiet where it is to be on probation. */
 	private beforeStart(session: sessions.WorkerSession, place: types.Placement): Promise<void> | undefined {
-		const stored = this.locations.store(place);
+		const stored = this.locations.storeBeforeStart(place);
 		if (session.runOnProbation !== place) return stored;
 		return Promise.all([stored, this.probations.quietAt(session)]).then(() => undefined);
 	}
@@ -346,7 +346,7 @@
 			},
 		};
 		const onOpened = (): void => {
-			this.placer.wake();
+			this.placer.requestRound();
 		};
 		const { epoch, onFenced } = this.opts;
 		const tokens = fencing.FencingTokens.create(epoch, onFenced);
@@ -393,7 +393,7 @@
 
 	private addStored(stored: ledger.StoredJob): void {
 		const { record, progress, cancelled } = stored;
-		const workersStored = this.locations.areStored(record);
+		const workersStored = this.locations.areWorkersStored(record);
 		const job = this.book.add(record, progress, { cancelled, inherited: true, workersStored });
 		if (cancelled && !job.ended) this.outcomes.endJob(job, 'cancelled');
 	}
@@ -409,7 +409,7 @@
 		const { report, sentAt, others } = asked;
 		if (!this.strangers.checkJobsKnown(report)) {
 			ends.takeKnownRuns(this.reportContext, session, report);
-			this.pressure.look(session);
+			this.pressure.controlWorker(session);
 			return { type: 'put-off' };
 		}
 		for (const other of others) other.endForLaterIncarnation(report);
@@ -417,11 +417,11 @@
 		const { changed, unstored } = ends.takeReport(this.reportContext, session, report, sentAt);
 		if (!session.isReconciled) this.reportLog.firstReport(session, report);
 		for (const job of changed) this.progress.mark(job);
-		this.pressure.look(session);
+		this.pressure.controlWorker(session);
 		this.probations.look(session);
 		// Until the last of its ends is listed, what ran there may have ended unheard.
 		if (!report.hasMoreEnds) this.workers.noteReconciled(session);
-		this.placer.wake();
+		this.placer.requestRound();
 		return { type: 'taken', stored: this.noteStored(session, unstored, upTo) };
 	}
 
@@ -449,7 +449,7 @@
 		void this.progress.stored(changed).then(() => {
 			this.workers.forget(session);
 		});
-		this.placer.wake();
+		this.placer.requestRound();
 	}
 
 	private adopt(session: sessions.WorkerSession, task: jobs.Task, run: number): types.Placement {
@@ -466,12 +466,12 @@
 		this.workers.tick();
 		for (const session of this.workers.all()) {
 			watch.watchRuns(session, this.starter, this.opts.clock.now());
-			this.placer.moveSlowed(session);
+			this.placer.migrateThrottled(session);
 		}
 		for (const zone of this.evacuations.takeEmptied((one) => this.workers.isEmpty(one)))
 			this.opts.events.emit('zone.emptied', { zone });
 		this.book.tick();
 		this.placer.logStalled();
-		this.placer.wake();
+		this.placer.requestRound();
 	}
 }
--- a/src/core/dispatch/gangs.ts
+++ b/src/core/dispatch/gangs.ts
@@ -1,39 +1,39 @@
 /** Places the tasks of a gang: all of them at once, or none. */
 import * as placement from './placement.js';
 import type * as jobs from '../jobs/index.js';
-import type * as placing from './placement.js';
+import type * as placementTypes from './placement.js';
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
 /** A gang that is slow over several racks waits so long for one with room, in milliseconds. */
-const rackPatienceMs = 1_500;
+const singleRackTimeoutMs = 1_500;
 
 /** A place for one member. */
-export interface MemberPlace {
+export interface MemberPlacement {
 	session: sessions.WorkerSession;
 	place: types.Placement;
 }
 
 /** Whether every task of a gang waits to be started. */
-export function isWhole(step: jobs.StepRun): boolean {
+export function areAllReady(step: jobs.StepRun): boolean {
 	return step.tasks.every((task) => task.state === 'ready');
 }
 
 /** Takes places for all members under one run number; undefined: there is not room for all. */
-export function placeAll(
+export function reserveAll(
 	step: jobs.StepRun,
 	run: number,
 	workers: sessions.WorkerSession[],
-	choice: Omit<placing.Choice, 'workers'>,
-): MemberPlace[] | undefined {
-	if (!step.spec.sameRack) return tryPlaces(step, run, { ...choice, workers });
+	ctx: Omit<placementTypes.PlacementContext, 'workers'>,
+): MemberPlacement[] | undefined {
+	if (!step.spec.sameRack) return tryReserve(step, run, { ...ctx, workers });
 	for (const rack of racksOf(workers)) {
 		const onRack = workers.filter((one) => rackOf(one) === rack);
-		const places = tryPlaces(step, run, { ...choice, workers: onRack });
+		const places = tryReserve(step, run, { ...ctx, workers: onRack });
 		if (places !== undefined) return places;
 	}
-	const waited = choice.now - (step.tasks[0]?.readyAt ?? choice.now);
-	return waited < rackPatienceMs ? undefined : tryPlaces(step, run, { ...choice, workers });
+	const waitedMs = ctx.now - (step.tasks[0]?.readyAt ?? ctx.now);
+	return waitedMs < singleRackTimeoutMs ? undefined : tryReserve(step, run, { ...ctx, workers });
 }
 
 /** All members go on from the same checkpoint; any member's will do. */
@@ -43,10 +43,14 @@
 }
 
 /** A place for every member among these workers; if one finds none, those taken are given back. */
-function tryPlaces(step: jobs.StepRun, run: number, choice: placing.Choice): MemberPlace[] | undefined {
-	const places: MemberPlace[] = [];
+function tryReserve(
+	step: jobs.StepRun,
+	run: number,
+	ctx: placementTypes.PlacementContext,
+): MemberPlacement[] | undefined {
+	const places: MemberPlacement[] = [];
 	for (const task of step.tasks) {
-		const session = placement.choose(task, choice);
+		const session = placement.choose(task, ctx);
 		if (typeof session === 'string') {
 			for (const one of places) one.session.free(one.place);
 			return undefined;
--- a/src/core/dispatch/interference.ts
+++ b/src/core/dispatch/interference.ts
@@ -414,5 +414,5 @@
 
 /** Clock time before which a run cannot have been over its target. */
 function knownSince(place: types.Placement): number {
-	return placements.isFound(place) ? -Infinity : place.confirmedAt;
+	return placements.isAdopted(place) ? -Infinity : place.confirmedAt;
 }
--- a/src/core/dispatch/outcomes.ts
+++ b/src/core/dispatch/outcomes.ts
@@ -63,7 +63,7 @@
 		});
 		task.crashes?.noteNotStarted(run);
 		if (err.kind !== 'stale-run') session.health.backOff(settings.refusalBackoffMs);
-		this.opts.placer.addAgain(task);
+		this.opts.placer.requeue(task);
 		this.breakGang(task);
 	}
 
@@ -72,7 +72,7 @@
 		const { task, run } = place;
 		this.opts.events.emit('start.withdrawn', { task: task.name, run, worker: session.id, reason });
 		task.crashes?.noteNotStarted(run);
-		this.opts.placer.addAgain(task);
+		this.opts.placer.requeue(task);
 		this.breakGang(task);
 	}
 
--- a/src/core/dispatch/pace-orders.ts
+++ b/src/core/dispatch/pace-orders.ts
@@ -5,28 +5,28 @@
 import type * as types from './types.js';
 
 /** The pace of a run that has to stand still, and of one that need not, in per cent. */
-export const still = 0;
-export const full = 100;
+export const pausedPace = 0;
+export const fullPace = 100;
 
 /** After an order a run's reading tells of the pace before for so long, in milliseconds. */
-const settlesAfterMs = 800;
+const readingDelayMs = 800;
 
 /** Gives the orders of one owner. */
-export class PaceOrders {
+export class PaceCommands {
 	private constructor(
 		private readonly deps: types.DispatchDeps,
 		private readonly log: reliefLog.ReliefLog,
 	) {}
 
-	static create(deps: types.DispatchDeps, log: reliefLog.ReliefLog): PaceOrders {
-		return new PaceOrders(deps, log);
+	static create(deps: types.DispatchDeps, log: reliefLog.ReliefLog): PaceCommands {
+		return new PaceCommands(deps, log);
 	}
 
 	/** Lets a run work at a pace, unless it is known to do so. One that is being stopped is only slowed. */
 	set(session: sessions.WorkerSession, place: types.Placement, percent: number): void {
 		if (place.pace === percent && place.isPaceConfirmed) return;
 		const before = place.pace;
-		if (place.phase === 'stopping' && percent !== still) return;
+		if (place.phase === 'stopping' && percent !== pausedPace) return;
 		place.pace = percent;
 		place.isPaceConfirmed = true;
 		place.paceChangedAt = this.deps.clock.now();
@@ -41,13 +41,13 @@
 	 * Repeats the newest order on a run's pace if its reading says otherwise: an order without an answer may be carried out
 	 * after newer ones, and undo them.
 	 */
-	enforce(session: sessions.WorkerSession, place: types.Placement): void {
+	reassertPace(session: sessions.WorkerSession, place: types.Placement): void {
 		const { pace, paceCommandSentAt: paceOrderedAt, isPaceConfirmed: isPaceKnown } = place;
-		const isKept = neighbours.isAtWork(place) === pace > still;
-		if (isKept || !isPaceKnown || paceOrderedAt === 0) return;
-		const orderedMs = this.deps.clock.now() - session.reportDelayMs - paceOrderedAt;
-		if (orderedMs <= settlesAfterMs) return;
-		this.log.contradicted(session, place, orderedMs);
+		const isInEffect = neighbours.isAtWork(place) === pace > pausedPace;
+		if (isInEffect || !isPaceKnown || paceOrderedAt === 0) return;
+		const sinceCommandMs = this.deps.clock.now() - session.reportDelayMs - paceOrderedAt;
+		if (sinceCommandMs <= readingDelayMs) return;
+		this.log.contradicted(session, place, sinceCommandMs);
 		void this.send(session, place, pace, pace);
 	}
 
@@ -59,14 +59,14 @@
 	): Promise<void> {
 		const { target } = session;
 		const stamp = session.stamp();
-		const orderedAt = this.deps.clock.now();
-		place.paceCommandSentAt = orderedAt;
+		const commandedAt = this.deps.clock.now();
+		place.paceCommandSentAt = commandedAt;
 		const res = await this.deps.calls.pace(target, place.task.name, place.run, percent, stamp.token);
 		if (res.ok) return;
 		this.log.unanswered(session, place, percent, res.err.kind);
 		session.ended(res.err, target, stamp);
 		// A newer order has an answer of its own.
-		if (place.paceCommandSentAt !== orderedAt) return;
+		if (place.paceCommandSentAt !== commandedAt) return;
 		// The worker may be at either pace: the next report decides again.
 		place.isPaceConfirmed = false;
 		if (place.pace === percent) place.pace = before;
--- a/src/core/dispatch/placements.ts
+++ b/src/core/dispatch/placements.ts
@@ -9,20 +9,20 @@
 	phase: types.Placement['phase'],
 	now: number,
 ): types.Placement {
-	const wasThere = phase === 'running';
+	const wasRunning = phase === 'running';
 	return {
 		task,
 		run,
 		phase,
 		placedAt: now,
-		startSentAt: wasThere ? -Infinity : undefined,
-		confirmedAt: wasThere ? now : 0,
+		startSentAt: wasRunning ? -Infinity : undefined,
+		confirmedAt: wasRunning ? now : 0,
 		stopConfirmedAt: 0,
 		percent: 0,
 		progressChangedAt: now,
 		reading: 0,
 		pace: 100,
-		isPaceConfirmed: !wasThere,
+		isPaceConfirmed: !wasRunning,
 		paceChangedAt: 0,
 		paceCommandSentAt: 0,
 		exempt: false,
@@ -34,6 +34,6 @@
 }
 
 /** Whether a run was found at its worker, started by an earlier owner: nothing is known of it before that. */
-export function isFound({ startSentAt: sentAt }: types.Placement): boolean {
+export function isAdopted({ startSentAt: sentAt }: types.Placement): boolean {
 	return sentAt === -Infinity;
 }
--- a/src/core/dispatch/placer.ts
+++ b/src/core/dispatch/placer.ts
@@ -1,9 +1,9 @@
 /** Places tasks that may start: which comes first, where it goes, and who makes room for it. */
 import * as backlogs from './fill-backlog.js';
-import * as choices from './choices.js';
+import * as eligible from './choices.js';
 import * as exemptions from './harm-exemptions.js';
 import * as gangs from './gangs.js';
-import * as order from './waiting-order.js';
+import * as waitingOrder from './waiting-order.js';
 import * as placement from './placement.js';
 import * as preemption from './preemption.js';
 import * as probation from './probation.js';
@@ -11,7 +11,7 @@
 import * as timers from './round-timer.js';
 import * as settings from './settings.js';
 import * as reasons from './waiting-reason.js';
-import * as slowed from './slowed.js';
+import * as migration from './slowed.js';
 import * as stalled from './stalled-log.js';
 import * as waiting from './waiting-log.js';
 import * as waitingSteps from './waiting-steps.js';
@@ -23,13 +23,13 @@
 import type * as types from './types.js';
 
 /** Run numbers that one owner may use for a task; the next owner's begin above. */
-const runsPerEpoch = 100_000;
+const runNumbersPerEpoch = 100_000;
 
 /** What a placer uses. */
 export interface PlacerOptions extends types.DispatchDeps {
 	workers: () => sessions.WorkerSession[];
 	/** Whether a run of an inherited task, unknown to this owner, may be on a worker that has not answered it yet. */
-	mayBeHidden: (task: jobs.Task) => boolean;
+	mayHaveUnreportedRun: (task: jobs.Task) => boolean;
 	policyOf: (job: jobs.ActiveJob) => jobs.QueuePolicy;
 	estimates: interference.Interference;
 	probations: probation.Probations;
@@ -40,7 +40,7 @@
 	restoreMs: number;
 	askAdviser: fleet.AskAdviser | undefined;
 	/** How many more starts may be on their way now. */
-	startRoom: () => number;
+	freeStartSlots: () => number;
 	start: (session: sessions.WorkerSession, place: types.Placement, ticket: string) => void;
 	/** Stops a run, and logs why. */
 	stopFor: (reason: string, session: sessions.WorkerSession, place: types.Placement) => void;
@@ -49,27 +49,27 @@
 /** Tasks that wait, and where the others are. */
 export class Placer {
 	private readonly ready = waitingSteps.WaitingSteps.create();
-	private readonly places = new Map<jobs.Task, sessions.WorkerSession>();
-	private readonly choices: choices.Choices;
+	private readonly sessionByTask = new Map<jobs.Task, sessions.WorkerSession>();
+	private readonly eligibleWorkers: eligible.EligibleWorkers;
 	private readonly waitingLog: waiting.WaitingLog;
 	private readonly stalledLog: stalled.StalledLog;
 	private readonly exemptions = exemptions.HarmExemptions.create();
 	/** Clock time from which a step that found no place is looked at again. */
 	private readonly retryAt = new WeakMap<jobs.StepRun, number>();
 	private readonly rounds: timers.RoundTimer;
-	private readonly backlog: backlogs.FillBacklog;
+	private readonly backlog: backlogs.PreemptibleBacklog;
 
 	private constructor(private readonly opts: PlacerOptions) {
 		this.rounds = timers.RoundTimer.create({
 			...opts,
-			playAll: () => {
+			runFullRound: () => {
 				this.placeReady(() => true);
 			},
-			playQuick: () => {
+			runQuickRound: () => {
 				this.placeReady((step) => !step.spec.fills);
 			},
 		});
-		this.backlog = backlogs.FillBacklog.create({
+		this.backlog = backlogs.PreemptibleBacklog.create({
 			now: () => opts.clock.now(),
 			waiting: () => this.ready.steps().flatMap((step) => this.ready.tasksOf(step)),
 			workers: opts.workers,
@@ -77,15 +77,15 @@
 		this.waitingLog = waiting.WaitingLog.create(opts.clock, opts.events);
 		this.stalledLog = stalled.StalledLog.create({
 			...opts,
-			waiting: () => this.ready.longest(),
+			waiting: () => this.ready.longestWaiting(),
 			workersFor: (step) => this.workersOf(opts.policyOf(step.job).pool),
 			explain: (task) => this.explain(task),
 		});
-		this.choices = choices.Choices.create({
+		this.eligibleWorkers = eligible.EligibleWorkers.create({
 			...opts,
 			ask: opts.askAdviser,
-			onNews: () => {
-				this.wake();
+			onAdvice: () => {
+				this.requestRound();
 			},
 		});
 	}
@@ -100,19 +100,19 @@
 		const now = this.opts.clock.now();
 		task.readyAt = now;
 		task.waitingSince = now - task.waitedMs;
-		this.await(task);
+		this.enqueue(task);
 	}
 
 	/** A task was placed and not started: it goes on waiting, and what it may claim grows with that. */
-	addAgain(task: jobs.Task): void {
-		if (task.state !== 'finished' && !task.step.job.ended) this.await(task);
+	requeue(task: jobs.Task): void {
+		if (task.state !== 'finished' && !task.step.job.ended) this.enqueue(task);
 	}
 
 	/** A task is not to be started any more. */
 	drop(task: jobs.Task): void {
 		this.ready.delete(task);
 		const session = this.sessionOf(task);
-		if (session === undefined) this.places.delete(task);
+		if (session === undefined) this.sessionByTask.delete(task);
 	}
 
 	/** How many tasks wait. */
@@ -121,13 +121,13 @@
 	}
 
 	/** How many of them do not last. */
-	get waitingShort(): number {
+	get waitingShortTasks(): number {
 		return this.ready.count((step) => !step.spec.lasting);
 	}
 
 	/** Where a task is placed. */
 	sessionOf(task: jobs.Task): sessions.WorkerSession | undefined {
-		const session = this.places.get(task);
+		const session = this.sessionByTask.get(task);
 		return session?.placements.has(task.name) === true ? session : undefined;
 	}
 
@@ -137,30 +137,30 @@
 		task.state = 'placed';
 		task.run = run;
 		task.worker = session.id;
-		this.places.set(task, session);
+		this.sessionByTask.set(task, session);
 		return session.place(task, run, 'running');
 	}
 
-	private await(task: jobs.Task): void {
+	private enqueue(task: jobs.Task): void {
 		task.state = 'ready';
 		this.ready.add(task);
-		this.wake();
+		this.requestRound();
 	}
 
 	/** Asks for a round of placing; many asks come to one round. */
-	wake(): void {
-		if (this.ready.size > 0) this.rounds.wake();
+	requestRound(): void {
+		if (this.ready.size > 0) this.rounds.scheduleRound();
 	}
 
 	/** Moves tasks that were slowed to almost nothing to workers where they would disturb nobody. */
-	moveSlowed(session: sessions.WorkerSession): void {
+	migrateThrottled(session: sessions.WorkerSession): void {
 		const now = this.opts.clock.now();
-		const terms = { now, isBacklogged: () => this.backlog.exists, restoreMs: this.opts.restoreMs };
+		const conditions = { now, isBacklogged: () => this.backlog.exists, restoreMs: this.opts.restoreMs };
 		let round: rounds.PlacingRound | undefined;
 		for (const place of session.placements.values()) {
-			if (!slowed.isMovable(place, terms)) continue;
+			if (!migration.shouldMigrate(place, conditions)) continue;
 			round ??= rounds.PlacingRound.create(this.opts.workers(), now);
-			if (!this.hasPlaceElsewhere(place.task, session, round)) continue;
+			if (!this.fitsElsewhere(place.task, session, round)) continue;
 			this.opts.stopFor('slowed', session, place);
 			// One at a time: its place elsewhere has to be seen by the next choice.
 			return;
@@ -169,7 +169,7 @@
 
 	/** To be called now and then: tells what waits for long, and why. */
 	logStalled(): void {
-		this.stalledLog.look();
+		this.stalledLog.logIfDue();
 	}
 
 	close(): void {
@@ -185,59 +185,62 @@
 		const now = this.opts.clock.now();
 		const { step } = task;
 		if (!this.opts.mayAct()) return { reason: 'may-not-act' };
-		if (this.opts.startRoom() === 0) return { reason: 'starts-under-way' };
+		if (this.opts.freeStartSlots() === 0) return { reason: 'starts-under-way' };
 		if (now < task.pausedUntil) return { reason: 'paused-after-crash' };
-		const withheld = this.withheldBecause(task);
-		if (withheld !== undefined) return { reason: withheld };
+		const blockedReason = this.startBlockedReason(task);
+		if (blockedReason !== undefined) return { reason: blockedReason };
 		const round = rounds.PlacingRound.create(this.opts.workers(), now);
-		const choice = this.choices.among(step, round);
-		const isTried = this.opts.probations.isSuspect(task);
-		if (isTried && !this.opts.probations.isFree(step, choice.workers.length))
+		const ctx = this.eligibleWorkers.contextFor(step, round);
+		const isSuspectTask = this.opts.probations.isSuspect(task);
+		if (isSuspectTask && !this.opts.probations.isFree(step, ctx.workers.length))
 			return { reason: 'other-suspects' };
-		if (this.choices.lacksTicket(step, round)) return { reason: 'no-ticket' };
-		return reasons.whyNoPlace(task, choice);
+		if (this.eligibleWorkers.lacksTicket(step, round)) return { reason: 'no-ticket' };
+		return reasons.unplacedReason(task, ctx);
 	}
 
 	/** Whether a worker other than `from` takes a task now. */
-	private hasPlaceElsewhere(
-		task: jobs.Task,
-		from: sessions.WorkerSession,
-		round: rounds.PlacingRound,
-	): boolean {
-		const choice = this.choices.toPlace(task.step, round);
-		const elsewhere = { ...choice, workers: choice.workers.filter((one) => one !== from) };
+	private fitsElsewhere(task: jobs.Task, from: sessions.WorkerSession, round: rounds.PlacingRound): boolean {
+		const ctx = this.eligibleWorkers.contextRequestingAdvice(task.step, round);
+		const elsewhere = { ...ctx, workers: ctx.workers.filter((one) => one !== from) };
 		return typeof placement.choose(task, elsewhere) !== 'string';
 	}
 
 	/** Places what is ready and `included`, in the order of `waiting-order.ts`; makes room for what finds none. */
-	private placeReady(included: (step: jobs.StepRun) => boolean): void {
-		if (!this.opts.mayAct() || this.opts.startRoom() === 0) return;
+	private placeReady(isIncluded: (step: jobs.StepRun) => boolean): void {
+		if (!this.opts.mayAct() || this.opts.freeStartSlots() === 0) return;
 		const now = this.opts.clock.now();
-		const steps = this.startable(included, now);
+		const steps = this.startableSteps(isIncluded, now);
 		if (steps.length === 0) return;
 		const round = rounds.PlacingRound.create(this.opts.workers(), now);
-		for (const { step, tasks } of order.sort(steps, (job) => this.opts.policyOf(job).priority, now)) {
+		for (const { step, tasks } of waitingOrder.sortByUrgency(
+			steps,
+			(job) => this.opts.policyOf(job).priority,
+			now,
+		)) {
 			// What comes next has to be chosen when it can be sent.
-			if (this.opts.startRoom() === 0) return;
+			if (this.opts.freeStartSlots() === 0) return;
 			// A task of it was given up when it was looked at.
 			if (step.job.ended) continue;
-			const failed = this.placeStep(step, tasks, round);
-			if (failed !== undefined) this.noteNoPlace(failed, round);
+			const firstUnplaced = this.placeStep(step, tasks, round);
+			if (firstUnplaced !== undefined) this.noteUnplaced(firstUnplaced, round);
 		}
-		const unplaced = steps.flatMap(({ tasks }) => tasks.filter((task) => this.mayDisplace(task)));
+		const unplaced = steps.flatMap(({ tasks }) => tasks.filter((task) => this.mayPreemptFor(task)));
 		this.placeStarved(unplaced, round);
 		this.preempt(unplaced);
 	}
 
 	/** Whether others may be stopped or harmed for a waiting task: not for one that may bring its worker down. */
-	private mayDisplace(task: jobs.Task): boolean {
+	private mayPreemptFor(task: jobs.Task): boolean {
 		const isWaiting = task.state === 'ready' && !task.step.job.ended;
 		return isWaiting && !this.opts.probations.isSuspect(task);
 	}
 
 	/** The steps whose turn it is, with those of their tasks that may be started. */
-	private startable(included: (step: jobs.StepRun) => boolean, now: number): order.WaitingStep[] {
-		const due = this.ready.steps().filter((step) => included(step) && this.isDue(step, now));
+	private startableSteps(
+		isIncluded: (step: jobs.StepRun) => boolean,
+		now: number,
+	): waitingOrder.WaitingStep[] {
+		const due = this.ready.steps().filter((step) => isIncluded(step) && this.isDue(step, now));
 		const all = due.map((step) => {
 			const tasks = this.ready.tasksOf(step).filter((task) => this.mayStart(task, now));
 			return { step, tasks };
@@ -252,45 +255,49 @@
 		round: rounds.PlacingRound,
 	): jobs.Task | undefined {
 		if (step.spec.gang) return this.placeGang(step, round) ? undefined : tasks[0];
-		const choice = this.choices.toPlace(step, round);
+		const ctx = this.eligibleWorkers.contextRequestingAdvice(step, round);
 		// Suspects wait for each other, and the rest of the step does not.
-		let mayTryOut = true;
+		let mayPlaceSuspects = true;
 		for (const task of probation.inTurn(tasks)) {
-			if (this.opts.startRoom() === 0) return undefined;
-			if (this.opts.probations.isSuspect(task)) mayTryOut = mayTryOut && this.tryOut(task, choice);
-			else if (!this.placeBest(task, choice, round)) return task;
+			if (this.opts.freeStartSlots() === 0) return undefined;
+			if (this.opts.probations.isSuspect(task))
+				mayPlaceSuspects = mayPlaceSuspects && this.placeOnProbation(task, ctx);
+			else if (!this.placeBest(task, ctx, round)) return task;
 		}
 		return undefined;
 	}
 
-	private placeBest(task: jobs.Task, choice: placement.Choice, round: rounds.PlacingRound): boolean {
-		return this.beginAll(this.placeAt(task, round.choose(task, choice)));
+	private placeBest(task: jobs.Task, ctx: placement.PlacementContext, round: rounds.PlacingRound): boolean {
+		return this.startAllPlaced(this.reservePlacement(task, round.choose(task, ctx)));
 	}
 
 	/** Places a suspect on probation, if its turn has come and a worker takes it. */
-	private tryOut(task: jobs.Task, choice: placement.Choice): boolean {
+	private placeOnProbation(task: jobs.Task, ctx: placement.PlacementContext): boolean {
 		const { probations } = this.opts;
-		if (!probations.isFree(task.step, choice.workers.length)) {
+		if (!probations.isFree(task.step, ctx.workers.length)) {
 			this.waitingLog.note(task, () => ({ reason: 'other-suspects' }));
 			return false;
 		}
-		const places = this.placeAt(task, probations.choose(task, choice));
-		if (places.length === 0) this.waitingLog.note(task, () => reasons.whyNoPlace(task, choice));
+		const places = this.reservePlacement(task, probations.choose(task, ctx));
+		if (places.length === 0) this.waitingLog.note(task, () => reasons.unplacedReason(task, ctx));
 		for (const { session, place } of places) {
 			session.runOnProbation = place;
 			place.onProbation = true;
 		}
-		return this.beginAll(places);
+		return this.startAllPlaced(places);
 	}
 
-	private noteNoPlace(task: jobs.Task, round: rounds.PlacingRound): void {
+	private noteUnplaced(task: jobs.Task, round: rounds.PlacingRound): void {
 		const { now } = round;
 		// Room for one task on a good worker may be too little, or ruled out: a gang needs places for all its members.
-		this.choices.askFurther(task.step, round);
-		this.waitingLog.note(task, () => reasons.whyNoPlace(task, this.choices.toPlace(task.step, round)));
+		this.eligibleWorkers.requestAdvice(task.step, round);
+		this.waitingLog.note(task, () =>
+			reasons.unplacedReason(task, this.eligibleWorkers.contextRequestingAdvice(task.step, round)),
+		);
 		// Workers are kept free in every round, or short tasks would take them in between.
-		if (order.isOverdue(task, now)) round.keepFor(task.step, this.opts.policyOf(task.step.job).pool);
-		else this.retryAt.set(task.step, now + retryMs(task.step));
+		if (waitingOrder.isOverdue(task, now))
+			round.keepFreeFor(task.step, this.opts.policyOf(task.step.job).pool);
+		else this.retryAt.set(task.step, now + retryDelayMs(task.step));
 	}
 
 	private isDue(step: jobs.StepRun, now: number): boolean {
@@ -300,64 +307,69 @@
 	/** What an earlier owner may have started waits for the workers where it may be. */
 	private mayStart(task: jobs.Task, now: number): boolean {
 		if (now < task.pausedUntil) return false;
-		const withheld = this.withheldBecause(task);
-		if (withheld === undefined) return this.opts.mayStartAgain(task);
-		this.waitingLog.note(task, () => ({ reason: withheld }));
+		const blockedReason = this.startBlockedReason(task);
+		if (blockedReason === undefined) return this.opts.mayStartAgain(task);
+		this.waitingLog.note(task, () => ({ reason: blockedReason }));
 		return false;
 	}
 
 	/** Why this owner may not start a task that a worker may take; undefined: it may. */
-	private withheldBecause(task: jobs.Task): string | undefined {
+	private startBlockedReason(task: jobs.Task): string | undefined {
 		const { job } = task.step;
 		// Told to a later owner: that one starts it.
 		if (job.record.acceptedUnder > this.opts.epoch) return 'later-owner';
-		return job.inherited && this.opts.mayBeHidden(task) ? 'workers-unheard' : undefined;
+		return job.inherited && this.opts.mayHaveUnreportedRun(task) ? 'workers-unheard' : undefined;
 	}
 
 	/** A place for a task where it was chosen to go; none: no worker takes it. */
-	private placeAt(task: jobs.Task, chosen: sessions.WorkerSession | placement.NoPlace): gangs.MemberPlace[] {
+	private reservePlacement(
+		task: jobs.Task,
+		chosen: sessions.WorkerSession | placement.PlacementFailure,
+	): gangs.MemberPlacement[] {
 		if (typeof chosen === 'string') return [];
-		return [{ session: chosen, place: chosen.place(task, this.nextRun(task), 'starting') }];
+		return [{ session: chosen, place: chosen.place(task, this.nextRunNumber(task), 'starting') }];
 	}
 
 	/** Filling tasks that have waited too long, the longest first, go where they do least harm, whatever that is. */
 	private placeStarved(waiting: jobs.Task[], round: rounds.PlacingRound): void {
-		for (const task of order.starved(waiting, round.now)) {
-			const choice = this.choices.toPlace(task.step, round);
-			const waitedMs = order.waitedMs(task, round.now);
-			if (!this.exemptions.isFree(task.step, waitedMs, choice.workers.length)) continue;
-			const workers = choice.workers.filter((one) => !this.exemptions.isOn(one));
-			const exempt = { ...choice, workers, anyHarm: true };
+		for (const task of waitingOrder.starvedTasks(waiting, round.now)) {
+			const ctx = this.eligibleWorkers.contextRequestingAdvice(task.step, round);
+			const waitedMs = waitingOrder.waitedMs(task, round.now);
+			if (!this.exemptions.isFree(task.step, waitedMs, ctx.workers.length)) continue;
+			const workers = ctx.workers.filter((one) => !this.exemptions.isOn(one));
+			const exemptContext = { ...ctx, workers, ignoreInterference: true };
 			const places = task.step.spec.gang
-				? this.gangPlaces(task.step, exempt)
-				: this.placeAt(task, placement.choose(task, exempt));
+				? this.reserveGang(task.step, exemptContext)
+				: this.reservePlacement(task, placement.choose(task, exemptContext));
 			for (const { session, place } of places) this.exemptions.grant(session, place);
-			this.beginAll(places);
+			this.startAllPlaced(places);
 		}
 	}
 
 	private placeGang(step: jobs.StepRun, round: rounds.PlacingRound): boolean {
-		return this.beginAll(this.gangPlaces(step, this.choices.toPlace(step, round)));
+		return this.startAllPlaced(
+			this.reserveGang(step, this.eligibleWorkers.contextRequestingAdvice(step, round)),
+		);
 	}
 
 	/** Places for all members of a gang; none: it has to wait. */
-	private gangPlaces(step: jobs.StepRun, choice: placement.Choice): gangs.MemberPlace[] {
+	private reserveGang(step: jobs.StepRun, ctx: placement.PlacementContext): gangs.MemberPlacement[] {
 		// Each member may be somewhere else, unknown to this owner.
-		if (!gangs.isWhole(step) || !step.tasks.every((task) => this.mayStart(task, choice.now))) return [];
-		const run = Math.max(...step.tasks.map((task) => this.nextRun(task)));
-		const places = gangs.placeAll(step, run, choice.workers, choice);
+		if (!gangs.areAllReady(step) || !step.tasks.every((task) => this.mayStart(task, ctx.now))) return [];
+		const run = Math.max(...step.tasks.map((task) => this.nextRunNumber(task)));
+		const places = gangs.reserveAll(step, run, ctx.workers, ctx);
 		if (places === undefined) return [];
 		gangs.shareCheckpoint(step);
 		return places;
 	}
 
 	/** Starts what was given places; false: nothing was. */
-	private beginAll(places: gangs.MemberPlace[]): boolean {
-		for (const { session, place } of places) this.begin(place.task, session, place);
+	private startAllPlaced(places: gangs.MemberPlacement[]): boolean {
+		for (const { session, place } of places) this.startPlaced(place.task, session, place);
 		return places.length > 0;
 	}
 
-	private begin(task: jobs.Task, session: sessions.WorkerSession, place: types.Placement): void {
+	private startPlaced(task: jobs.Task, session: sessions.WorkerSession, place: types.Placement): void {
 		const { clock, events } = this.opts;
 		this.ready.delete(task);
 		task.state = 'placed';
@@ -365,7 +377,7 @@
 		task.run = place.run;
 		task.worker = session.id;
 		task.crashes?.noteTry(place.run, session.id);
-		this.places.set(task, session);
+		this.sessionByTask.set(task, session);
 		events.emit('task.placed', {
 			task: task.name,
 			run: place.run,
@@ -373,11 +385,11 @@
 			epoch: this.opts.epoch,
 			waitedMs: Math.round(clock.now() - task.readyAt),
 		});
-		this.opts.start(session, place, this.choices.ticketFor(task.step, session.id));
+		this.opts.start(session, place, this.eligibleWorkers.ticketFor(task.step, session.id));
 	}
 
-	private nextRun(task: jobs.Task): number {
-		return Math.max(task.run, (this.opts.epoch - 1) * runsPerEpoch) + 1;
+	private nextRunNumber(task: jobs.Task): number {
+		return Math.max(task.run, (this.opts.epoch - 1) * runNumbersPerEpoch) + 1;
 	}
 
 	/** Stops others for short tasks that found no room. */
@@ -394,6 +406,6 @@
 }
 
 /** How long a step that found no place waits at least until it is looked at again, in milliseconds. */
-function retryMs(step: jobs.StepRun): number {
+function retryDelayMs(step: jobs.StepRun): number {
 	return step.spec.lasting || step.spec.fills ? settings.lowUrgencyRetryMs : 0;
 }
--- a/src/core/dispatch/placing-round.ts
+++ b/src/core/dispatch/placing-round.ts
@@ -1,7 +1,7 @@
 /** One round of placing: the open workers as they were at its beginning, without those kept for overdue tasks. */
 import * as candidates from './step-candidates.js';
-import * as order from './waiting-order.js';
-import * as room from './room.js';
+import * as waitingOrder from './waiting-order.js';
+import * as freeCapacity from './room.js';
 import * as settings from './settings.js';
 import type * as placement from './placement.js';
 import type * as jobs from '../jobs/index.js';
@@ -9,9 +9,9 @@
 
 /** What one round looks at. */
 export class PlacingRound {
-	private readonly kept = new Set<sessions.WorkerSession>();
+	private readonly keptFree = new Set<sessions.WorkerSession>();
 	/** Open workers, by pool, without those that are kept. */
-	private readonly unkept: Map<string, sessions.WorkerSession[]>;
+	private readonly available: Map<string, sessions.WorkerSession[]>;
 
 	/** Of the step that was placed last: a round takes the tasks of a step one after the other. */
 	private newest: candidates.StepCandidates | undefined;
@@ -21,7 +21,7 @@
 		readonly now: number,
 		private readonly open: Map<string, sessions.WorkerSession[]>,
 	) {
-		this.unkept = new Map(open);
+		this.available = new Map(open);
 	}
 
 	/** Begins a round: looks at every worker once. */
@@ -30,9 +30,9 @@
 		for (const worker of workers) {
 			if (!worker.open || worker.entry === undefined) continue;
 			const { pool } = worker.entry;
-			const known = open.get(pool);
-			if (known === undefined) open.set(pool, [worker]);
-			else known.push(worker);
+			const samePool = open.get(pool);
+			if (samePool === undefined) open.set(pool, [worker]);
+			else samePool.push(worker);
 		}
 		return new PlacingRound(now, open);
 	}
@@ -41,27 +41,33 @@
 	 * Open workers of a pool that may take a step. Workers are kept from short tasks only: tasks that fill need no cores,
 	 * and a lasting task that fits is not to wait for one that is larger.
 	 */
-	openFor(step: jobs.StepRun, pool: string): sessions.WorkerSession[] {
+	openWorkersFor(step: jobs.StepRun, pool: string): sessions.WorkerSession[] {
 		const { fills, lasting } = step.spec;
-		return (fills || lasting ? this.open : this.unkept).get(pool) ?? [];
+		return (fills || lasting ? this.open : this.available).get(pool) ?? [];
 	}
 
 	/** The best worker for a task. */
-	choose(task: jobs.Task, choice: placement.Choice): sessions.WorkerSession | placement.NoPlace {
-		if (this.newest?.serve(task) !== true) this.newest = candidates.StepCandidates.create(task, choice);
+	choose(
+		task: jobs.Task,
+		ctx: placement.PlacementContext,
+	): sessions.WorkerSession | placement.PlacementFailure {
+		if (this.newest?.appliesTo(task) !== true) this.newest = candidates.StepCandidates.create(task, ctx);
 		return this.newest.best();
 	}
 
 	/** Keeps the emptiest workers that may hold a step free for its overdue tasks, for the rest of the round. */
-	keepFor(step: jobs.StepRun, pool: string): void {
-		const unkept = this.unkept.get(pool) ?? [];
-		const overdue = step.tasks.filter((task) => task.state === 'ready' && order.isOverdue(task, this.now));
-		const all = this.open.get(pool)?.length ?? 0;
-		const left = Math.max(0, Math.ceil(all * settings.keptFreeFraction) - this.kept.size);
-		for (const one of room.emptiest(step, unkept, Math.min(overdue.length, left))) this.kept.add(one);
-		this.unkept.set(
+	keepFreeFor(step: jobs.StepRun, pool: string): void {
+		const inPool = this.available.get(pool) ?? [];
+		const overdue = step.tasks.filter(
+			(task) => task.state === 'ready' && waitingOrder.isOverdue(task, this.now),
+		);
+		const openCount = this.open.get(pool)?.length ?? 0;
+		const remaining = Math.max(0, Math.ceil(openCount * settings.keptFreeFraction) - this.keptFree.size);
+		for (const one of freeCapacity.emptiestWorkers(step, inPool, Math.min(overdue.length, remaining)))
+			this.keptFree.add(one);
+		this.available.set(
 			pool,
-			(this.open.get(pool) ?? []).filter((one) => !this.kept.has(one)),
+			(this.open.get(pool) ?? []).filter((one) => !this.keptFree.has(one)),
 		);
 	}
 }
--- a/src/core/dispatch/preemption.ts
+++ b/src/core/dispatch/preemption.ts
@@ -8,16 +8,16 @@
 import type * as types from './types.js';
 
 /** A short task waits so long for room before others are stopped for it, in milliseconds. */
-const patienceMs = 120;
+const preemptAfterMs = 120;
 
 /** Stops in one round, at most: room that is coming free already is counted before more is made. */
-const mostVictims = 4;
+const maxVictimsPerRound = 4;
 
 /** A task that was started so lately is not stopped again for others, in milliseconds. */
-const leastStayMs = 2_000;
+const minRunBeforePreemptionMs = 2_000;
 
 /** How much cheaper a task is to stop where it stands wholly among unlike ones. */
-const unlikeDiscount = 0.8;
+const dissimilarDiscount = 0.8;
 
 /** A task to stop. */
 export interface Victim {
@@ -51,27 +51,28 @@
 	// One pool a round; the others' turn comes when this one's tasks have found room.
 	const pool = ctx.poolOf(first.step.job);
 	const open = [...workers].filter((one) => one.open && one.entry?.pool === pool);
-	let missing = -comingFree(open);
-	for (const task of urgent) if (ctx.poolOf(task.step.job) === pool) missing += task.step.spec.milliCores;
+	let missingMilliCores = -stoppingMilliCores(open);
+	for (const task of urgent)
+		if (ctx.poolOf(task.step.job) === pool) missingMilliCores += task.step.spec.milliCores;
 	// Looking at all that runs is dear, so it is done only while room is missing.
-	return missing > 0 ? takeCheapest(open, missing, priority, ctx) : [];
+	return missingMilliCores > 0 ? selectCheapest(open, missingMilliCores, priority, ctx) : [];
 }
 
 /** The cheapest that free `missing` thousandths of a core, one a worker at most. */
-function takeCheapest(
+function selectCheapest(
 	open: sessions.WorkerSession[],
-	missing: number,
+	missingMilliCores: number,
 	priority: number,
 	ctx: PreemptionContext,
 ): Victim[] {
 	const candidates = open.flatMap((session) => cheapestOn(session, priority, ctx) ?? []);
 	candidates.sort((a, b) => a.cost - b.cost);
 	const victims: Victim[] = [];
-	let left = missing;
+	let remaining = missingMilliCores;
 	for (const { session, place } of candidates) {
-		if (left <= 0 || victims.length >= mostVictims) break;
+		if (remaining <= 0 || victims.length >= maxVictimsPerRound) break;
 		victims.push({ session, place });
-		left -= place.task.step.spec.milliCores;
+		remaining -= place.task.step.spec.milliCores;
 	}
 	return victims;
 }
@@ -80,11 +81,11 @@
 function isUrgent(task: jobs.Task, ctx: PreemptionContext): boolean {
 	const { spec } = task.step;
 	if (spec.lasting || spec.fills || spec.gang) return false;
-	return ctx.priorityOf(task.step.job) === 0 && ctx.now - task.readyAt >= patienceMs;
+	return ctx.priorityOf(task.step.job) === 0 && ctx.now - task.readyAt >= preemptAfterMs;
 }
 
 /** Thousandths of a core that stopping tasks are about to free. */
-function comingFree(workers: sessions.WorkerSession[]): number {
+function stoppingMilliCores(workers: sessions.WorkerSession[]): number {
 	let total = 0;
 	for (const { placements } of workers)
 		for (const { phase, task } of placements.values())
@@ -100,10 +101,10 @@
 ): Candidate | undefined {
 	let cheapest: Candidate | undefined;
 	for (const place of session.placements.values()) {
-		const least = cheapest?.cost ?? Infinity;
-		if (leastCost(place) >= least || !mayStop(place, priority, ctx)) continue;
-		const found = cost({ session, place }, ctx);
-		if (found < least) cheapest = { session, place, cost: found };
+		const lowestCost = cheapest?.cost ?? Infinity;
+		if (costLowerBound(place) >= lowestCost || !mayStop(place, priority, ctx)) continue;
+		const victimCost = cost({ session, place }, ctx);
+		if (victimCost < lowestCost) cheapest = { session, place, cost: victimCost };
 	}
 	return cheapest;
 }
@@ -112,16 +113,16 @@
 function mayStop(place: types.Placement, priority: number, ctx: PreemptionContext): boolean {
 	const { spec, job } = place.task.step;
 	if (place.phase !== 'running' || spec.fills || spec.gang) return false;
-	if (ctx.now - place.placedAt < leastStayMs) return false;
+	if (ctx.now - place.placedAt < minRunBeforePreemptionMs) return false;
 	// A step that may miss few of its tasks keeps them all.
 	if (spec.mayMiss !== undefined) return false;
 	return spec.lasting ? ctx.priorityOf(job) >= priority : ctx.priorityOf(job) > priority;
 }
 
 /** What stopping a task costs at least, whatever stands beside it. */
-function leastCost(place: types.Placement): number {
+function costLowerBound(place: types.Placement): number {
 	const { milliCores } = place.task.step.spec;
-	return (milliCores * (1 - unlikeDiscount)) / (place.overTargetSince === undefined ? 1 : 2);
+	return (milliCores * (1 - dissimilarDiscount)) / (place.overTargetSince === undefined ? 1 : 2);
 }
 
 /**
@@ -131,7 +132,7 @@
 function cost(victim: Victim, ctx: PreemptionContext): number {
 	const { place, session } = victim;
 	const { spec } = place.task.step;
-	const isOver = place.overTargetSince !== undefined;
-	const unlike = ctx.estimates.unlikeShare(spec.image, session) ?? 0;
-	return (spec.milliCores * (1 - unlikeDiscount * unlike)) / (isOver ? 2 : 1);
+	const isOverTarget = place.overTargetSince !== undefined;
+	const dissimilarShare = ctx.estimates.unlikeShare(spec.image, session) ?? 0;
+	return (spec.milliCores * (1 - dissimilarDiscount * dissimilarShare)) / (isOverTarget ? 2 : 1);
 }
--- a/src/core/dispatch/pressure.ts
+++ b/src/core/dispatch/pressure.ts
@@ -4,7 +4,7 @@
  * the ones expected to disturb it, in the end all.
  */
 import * as neighbours from './neighbours.js';
-import * as paceOrders from './pace-orders.js';
+import * as commands from './pace-orders.js';
 import * as placements from './placements.js';
 import * as reliefLog from './relief-log.js';
 import type * as interference from './interference.js';
@@ -12,53 +12,53 @@
 import type * as types from './types.js';
 
 /** A task over its target for so long is relieved of its disturbing neighbours; in parts of the time until harm. */
-const relievePart = 0.15;
+const throttleCausesFraction = 0.15;
 
 /** For so long, of all that fill beside it. */
-const certainPart = 0.5;
+const throttleAllFraction = 0.5;
 
 /** A neighbour with this slope or a steeper one is taken for the cause of an overload, and has to stand still. */
-const causingSlope = 0.5;
+const minCauseSlope = 0.5;
 
 /** A slowed task goes on at full speed once nothing beside it has been over its target for so long, in milliseconds. */
-const calmMs = 700;
+const recoveryMs = 700;
 
 /** Paces what fills, one worker at a time. */
-export class PressureControl {
+export class InterferenceControl {
 	private readonly log: reliefLog.ReliefLog;
-	private readonly orders: paceOrders.PaceOrders;
+	private readonly paceCommands: commands.PaceCommands;
 
 	private constructor(
 		private readonly deps: types.DispatchDeps,
 		private readonly estimates: interference.Interference,
-		private readonly harmMs: number,
+		private readonly maxSloViolationMs: number,
 	) {
 		this.log = reliefLog.ReliefLog.create(deps.events, deps.epoch);
-		this.orders = paceOrders.PaceOrders.create(deps, this.log);
+		this.paceCommands = commands.PaceCommands.create(deps, this.log);
 	}
 
 	/** `harmMs`: so long over its target, a task counts as harmed. */
 	static create(
 		deps: types.DispatchDeps,
 		estimates: interference.Interference,
-		harmMs: number,
-	): PressureControl {
-		return new PressureControl(deps, estimates, harmMs);
+		maxSloViolationMs: number,
+	): InterferenceControl {
+		return new InterferenceControl(deps, estimates, maxSloViolationMs);
 	}
 
 	/** Looks at a worker after its report. */
-	look(session: sessions.WorkerSession): void {
+	controlWorker(session: sessions.WorkerSession): void {
 		this.estimates.observe(session);
 		const delayMs = session.reportDelayMs;
 		const overloads = neighbours.servingOf(session).map((served) => this.overloadOf(served, delayMs));
-		const filling = neighbours.fillingOf(session);
+		const preemptible = neighbours.fillingOf(session);
 		session.mustPausePreemptible = overloads.some(({ isNearHarm }) => isNearHarm);
-		for (const place of filling) {
-			const percent = session.mustPausePreemptible ? paceOrders.still : this.wantedPace(place, overloads);
-			if (percent !== undefined) this.orders.set(session, place, percent);
-			this.orders.enforce(session, place);
+		for (const place of preemptible) {
+			const percent = session.mustPausePreemptible ? commands.pausedPace : this.desiredPace(place, overloads);
+			if (percent !== undefined) this.paceCommands.set(session, place, percent);
+			this.paceCommands.reassertPace(session, place);
 		}
-		for (const overload of overloads) this.log.note(session, overload, filling);
+		for (const overload of overloads) this.log.note(session, overload, preemptible);
 	}
 
 	/**
@@ -68,32 +68,32 @@
 	private overloadOf(served: types.Placement, delayMs: number): reliefLog.Overload {
 		const { overTargetSince: overSince } = served;
 		const overMs = overSince === undefined ? 0 : this.deps.clock.now() - overSince + 2 * delayMs;
-		return { served, overMs, isNearHarm: overMs >= this.harmMs * certainPart };
+		return { served, overMs, isNearHarm: overMs >= this.maxSloViolationMs * throttleAllFraction };
 	}
 
 	/** The pace that a task should have beside these; undefined: as it is. */
-	private wantedPace(place: types.Placement, overloads: readonly reliefLog.Overload[]): number | undefined {
+	private desiredPace(place: types.Placement, overloads: readonly reliefLog.Overload[]): number | undefined {
 		const now = this.deps.clock.now();
-		let calm = true;
+		let isRecovered = true;
 		for (const { served, overMs } of overloads) {
-			if (now - lastOver(served) < calmMs) calm = false;
-			const isRelieved = overMs >= this.harmMs * relievePart;
-			if (isRelieved && this.isCause(place, served)) return paceOrders.still;
+			if (now - lastOverTargetAt(served) < recoveryMs) isRecovered = false;
+			const mayThrottleCauses = overMs >= this.maxSloViolationMs * throttleCausesFraction;
+			if (mayThrottleCauses && this.isCause(place, served)) return commands.pausedPace;
 		}
-		return calm ? paceOrders.full : undefined;
+		return isRecovered ? commands.fullPace : undefined;
 	}
 
 	/** Whether a filling task is taken for the cause of a serving one's overload. */
 	private isCause(place: types.Placement, served: types.Placement): boolean {
 		if (place.exempt) return true;
 		const { image } = served.task.step.spec;
-		return this.estimates.slope(image, place.task.step.spec.image) >= causingSlope;
+		return this.estimates.slope(image, place.task.step.spec.image) >= minCauseSlope;
 	}
 }
 
 /** Clock time at which a task was over its target, or may have been, for the last time. */
-function lastOver(served: types.Placement): number {
-	return placements.isFound(served)
+function lastOverTargetAt(served: types.Placement): number {
+	return placements.isAdopted(served)
 		? Math.max(served.lastOverTargetAt, served.confirmedAt)
 		: served.lastOverTargetAt;
 }
--- a/src/core/dispatch/probation.ts
+++ b/src/core/dispatch/probation.ts
@@ -97,8 +97,11 @@
 	}
 
 	/** The worker that takes a suspect at the least loss to others. */
-	choose(task: jobs.Task, choice: placement.Choice): sessions.WorkerSession | placement.NoPlace {
-		const terms = placement.termsOf(task, choice.now);
+	choose(
+		task: jobs.Task,
+		choice: placement.PlacementContext,
+	): sessions.WorkerSession | placement.PlacementFailure {
+		const terms = placement.limitsOf(task, choice.now);
 		const able = choice.workers.filter(
 			(one) => one.open && placement.score(task, one, choice, terms) < Infinity,
 		);
--- a/src/core/dispatch/room.ts
+++ b/src/core/dispatch/room.ts
@@ -4,67 +4,74 @@
 import type * as sessions from './worker-session.js';
 
 /** Whether a worker has room for one more task of a step. */
-export function hasPlace(step: jobs.StepRun, worker: sessions.WorkerSession): boolean {
+export function fitsWithoutReserve(step: jobs.StepRun, worker: sessions.WorkerSession): boolean {
 	return fits(step, worker, 0);
 }
 
 /** The `count` workers with most cores free among those that hold one more task of a step once their short ones end. */
-export function emptiest(
+export function emptiestWorkers(
 	step: jobs.StepRun,
 	workers: sessions.WorkerSession[],
 	count: number,
 ): sessions.WorkerSession[] {
-	const free = (worker: sessions.WorkerSession): number =>
+	const freeMilliCores = (worker: sessions.WorkerSession): number =>
 		(worker.entry?.capacity.milliCores ?? 0) - worker.used.milliCores;
-	const allowed = workers.filter((one) => allows(step, one) && holdsBesideLasting(step.spec, one));
-	return allowed.sort((a, b) => free(b) - free(a)).slice(0, count);
+	const allowed = workers.filter(
+		(one) => meetsConstraints(step, one) && fitsBesideLongRunning(step.spec, one),
+	);
+	return allowed.sort((a, b) => freeMilliCores(b) - freeMilliCores(a)).slice(0, count);
 }
 
 /** Whether a worker holds a task beside its lasting ones, which stay; all else there ends sooner or later. */
-function holdsBesideLasting(spec: jobs.StepSpec, worker: sessions.WorkerSession): boolean {
+function fitsBesideLongRunning(spec: jobs.StepSpec, worker: sessions.WorkerSession): boolean {
 	const capacity = worker.entry?.capacity;
-	const lasting: fleet.Capacity = { milliCores: worker.longRunningMilliCores, memoryMb: 0, accelerators: 0 };
-	return capacity !== undefined && hasRoom(spec, lasting, capacity, 0);
+	const longRunning: fleet.Capacity = {
+		milliCores: worker.longRunningMilliCores,
+		memoryMb: 0,
+		accelerators: 0,
+	};
+	return capacity !== undefined && fitsCapacity(spec, longRunning, capacity, 0);
 }
 
 /** Whether a worker can hold one more task of the step now, and keep `reserve` thousandths of a core free. */
-export function fits(step: jobs.StepRun, worker: sessions.WorkerSession, reserve: number): boolean {
+export function fits(step: jobs.StepRun, worker: sessions.WorkerSession, reserveMilliCores: number): boolean {
 	const capacity = worker.entry?.capacity;
-	if (capacity === undefined || worker.runOnProbation !== undefined || !allows(step, worker)) return false;
-	return hasRoom(step.spec, worker.used, capacity, reserve);
+	if (capacity === undefined || worker.runOnProbation !== undefined || !meetsConstraints(step, worker))
+		return false;
+	return fitsCapacity(step.spec, worker.used, capacity, reserveMilliCores);
 }
 
 /** Whether a worker holds more than it can, as its room has shrunk since. */
-export function isOverfull({ used, entry }: sessions.WorkerSession): boolean {
+export function isOverCapacity({ used, entry }: sessions.WorkerSession): boolean {
 	if (entry === undefined) return false;
 	const { milliCores, memoryMb, accelerators } = entry.capacity;
 	return used.milliCores > milliCores || used.memoryMb > memoryMb || used.accelerators > accelerators;
 }
 
 /** Whether a step's label and its limit per worker allow one more task there. */
-function allows(step: jobs.StepRun, worker: sessions.WorkerSession): boolean {
+function meetsConstraints(step: jobs.StepRun, worker: sessions.WorkerSession): boolean {
 	const { spec } = step;
 	if (spec.requiredLabel !== '' && worker.entry?.labels.includes(spec.requiredLabel) !== true) return false;
-	return spec.maxPerWorker === 0 || countOf(step, worker) < spec.maxPerWorker;
+	return spec.maxPerWorker === 0 || placedCount(step, worker) < spec.maxPerWorker;
 }
 
 /** Whether a task fits beside what is used, with `reserve` thousandths of a core left; one that fills takes no cores. */
-function hasRoom(
+function fitsCapacity(
 	spec: jobs.StepSpec,
 	used: fleet.Capacity,
 	capacity: fleet.Capacity,
-	reserve: number,
+	reserveMilliCores: number,
 ): boolean {
 	const milliCores = spec.fills ? 0 : spec.milliCores;
 	return (
-		used.milliCores + milliCores + reserve <= capacity.milliCores &&
+		used.milliCores + milliCores + reserveMilliCores <= capacity.milliCores &&
 		used.memoryMb + spec.memoryMb <= capacity.memoryMb &&
 		used.accelerators + spec.accelerators <= capacity.accelerators
 	);
 }
 
 /** Tasks of a step that are placed on a worker. */
-function countOf(step: jobs.StepRun, worker: sessions.WorkerSession): number {
+function placedCount(step: jobs.StepRun, worker: sessions.WorkerSession): number {
 	let count = 0;
 	for (const place of worker.placements.values()) if (place.task.step === step) count += 1;
 	return count;
--- a/src/core/dispatch/round-timer.ts
+++ b/src/core/dispatch/round-timer.ts
@@ -8,19 +8,19 @@
 	clock: clocks.Clock;
 	meter: meters.LoadMeter;
 	/** Plays a round of everything. */
-	playAll: () => void;
+	runFullRound: () => void;
 	/** Plays one without filling tasks: there may be hundreds of those, and short tasks have no time to wait for them. */
-	playQuick: () => void;
+	runQuickRound: () => void;
 }
 
 /** Asks for rounds; many asks come to one. */
 export class RoundTimer {
-	private roundDue = false;
-	private quickRoundDue = false;
+	private isFullRoundScheduled = false;
+	private isQuickRoundScheduled = false;
 	/** How long after a wake a quick round is played, in milliseconds. */
-	private quickGapMs: number = settings.roundIntervalMs;
+	private quickRoundDelayMs: number = settings.roundIntervalMs;
 	/** Clock time before which no round of everything begins. */
-	private nextRoundAt = -Infinity;
+	private nextFullRoundAt = -Infinity;
 	private closed = false;
 
 	private constructor(private readonly opts: RoundTimerOptions) {}
@@ -30,19 +30,19 @@
 	}
 
 	/** Something changed. */
-	wake(): void {
+	scheduleRound(): void {
 		if (this.closed) return;
-		this.wakeQuick();
-		if (this.roundDue) return;
-		this.roundDue = true;
+		this.scheduleQuickRound();
+		if (this.isFullRoundScheduled) return;
+		this.isFullRoundScheduled = true;
 		const { clock } = this.opts;
-		const run = (): void => {
-			this.roundDue = false;
-			if (!this.closed) this.nextRoundAt = this.playTimed(this.opts.playAll) + clock.now();
+		const runScheduled = (): void => {
+			this.isFullRoundScheduled = false;
+			if (!this.closed) this.nextFullRoundAt = this.runTimed(this.opts.runFullRound) + clock.now();
 		};
-		const wait = this.nextRoundAt - clock.now();
-		if (wait > 0) clock.after(wait, run);
-		else setImmediate(run);
+		const wait = this.nextFullRoundAt - clock.now();
+		if (wait > 0) clock.after(wait, runScheduled);
+		else setImmediate(runScheduled);
 	}
 
 	/** Plays no more rounds. */
@@ -50,20 +50,20 @@
 		this.closed = true;
 	}
 
-	private wakeQuick(): void {
-		if (this.quickRoundDue) return;
-		this.quickRoundDue = true;
-		this.opts.clock.after(this.quickGapMs, () => {
-			this.quickRoundDue = false;
-			if (!this.closed) this.quickGapMs = this.playTimed(this.opts.playQuick);
+	private scheduleQuickRound(): void {
+		if (this.isQuickRoundScheduled) return;
+		this.isQuickRoundScheduled = true;
+		this.opts.clock.after(this.quickRoundDelayMs, () => {
+			this.isQuickRoundScheduled = false;
+			if (!this.closed) this.quickRoundDelayMs = this.runTimed(this.opts.runQuickRound);
 		});
 	}
 
 	/** Plays a round; returns how long to wait until the next of its kind: each looks at all that waits again. */
-	private playTimed(play: () => void): number {
+	private runTimed(runRound: () => void): number {
 		const { clock, meter } = this.opts;
 		const startedAt = clock.now();
-		play();
+		runRound();
 		const tookMs = clock.now() - startedAt;
 		meter.round(tookMs);
 		return Math.max(settings.roundIntervalMs, tookMs * settings.roundIntervalFactor);
--- a/src/core/dispatch/slowed.ts
+++ b/src/core/dispatch/slowed.ts
@@ -3,7 +3,7 @@
 import type * as types from './types.js';
 
 /** What a move depends on beside its run. */
-export interface MoveTerms {
+export interface MigrationConditions {
 	now: number;
 	/** More tasks that fill wait than find places. */
 	isBacklogged: () => boolean;
@@ -12,11 +12,11 @@
 }
 
 /** Whether a run was slowed to almost nothing for a while, and can go on elsewhere from a checkpoint. */
-export function isMovable(place: types.Placement, terms: MoveTerms): boolean {
+export function shouldMigrate(place: types.Placement, conditions: MigrationConditions): boolean {
 	const { spec } = place.task.step;
 	if (place.phase !== 'running' || !spec.fills || !spec.checkpoints) return false;
-	const slowedMs = terms.now - place.paceChangedAt;
-	if (place.pace > settings.migrationPacePercent || slowedMs < settings.migrateAfterMs) return false;
-	const isDear = terms.restoreMs > spec.estimateMs * settings.costlyMigrationFraction;
-	return slowedMs >= settings.costlyMigrateAfterMs || !isDear || !terms.isBacklogged();
+	const throttledMs = conditions.now - place.paceChangedAt;
+	if (place.pace > settings.migrationPacePercent || throttledMs < settings.migrateAfterMs) return false;
+	const isExpensive = conditions.restoreMs > spec.estimateMs * settings.costlyMigrationFraction;
+	return throttledMs >= settings.costlyMigrateAfterMs || !isExpensive || !conditions.isBacklogged();
 }
--- a/src/core/dispatch/stalled-log.ts
+++ b/src/core/dispatch/stalled-log.ts
@@ -10,7 +10,7 @@
 import type * as waiting from './waiting-log.js';
 
 /** Steps told of in one look, at most; the longest waits come first. */
-const mostTold = 8;
+const maxReported = 8;
 
 /** What telling uses. */
 export interface StalledLogOptions {
@@ -26,7 +26,7 @@
 
 /** Writes the lines. */
 export class StalledLog {
-	private nextLookAt = -Infinity;
+	private nextCheckAt = -Infinity;
 
 	private constructor(private readonly opts: StalledLogOptions) {}
 
@@ -35,16 +35,16 @@
 	}
 
 	/** To be called now and then. */
-	look(): void {
+	logIfDue(): void {
 		const now = this.opts.clock.now();
-		if (now < this.nextLookAt) return;
-		this.nextLookAt = now + settings.stalledLogIntervalMs;
+		if (now < this.nextCheckAt) return;
+		this.nextCheckAt = now + settings.stalledLogIntervalMs;
 		const stalled = this.opts.waiting().filter((task) => now - task.readyAt >= settings.stalledAfterMs);
 		stalled.sort((a, b) => a.readyAt - b.readyAt);
-		for (const task of stalled.slice(0, mostTold)) this.tell(task, now, stalled.length);
+		for (const task of stalled.slice(0, maxReported)) this.logStep(task, now, stalled.length);
 	}
 
-	private tell(task: jobs.Task, now: number, steps: number): void {
+	private logStep(task: jobs.Task, now: number, steps: number): void {
 		const { step } = task;
 		const workers = this.opts.workersFor(step);
 		const { reason, detail } = this.opts.explain(task);
--- a/src/core/dispatch/start-window.ts
+++ b/src/core/dispatch/start-window.ts
@@ -12,21 +12,21 @@
 export const targetMs = 200;
 
 /** Starts on their way at least. */
-export const leastLimit = 16;
+export const minLimit = 16;
 
 /** Starts on their way at most; each takes a socket. */
-export const mostLimit = 2_000;
+export const maxLimit = 2_000;
 
 /** Starts on their way before any answer has told how long they take. */
-const firstLimit = 32;
+const initialLimit = 32;
 
 /** So many answers are judged together: fewer are luck, more are judged late. */
-const leastSamples = 8;
-const mostSamples = 64;
+const minSamples = 8;
+const maxSamples = 64;
 
 /** The limit grows by this factor while starts are answered in time, and shrinks to no less than this part at once. */
-const growth = 1.5;
-const leastPart = 0.5;
+const growthFactor = 1.5;
+const minShrinkFactor = 0.5;
 
 /**
  * A start that was overtaken by so many times the starts that were on their way before it does not wait for the owner's
@@ -45,9 +45,9 @@
 /** The limit after some answers. */
 export function nextLimit(limit: number, times: AnswerTimes): number {
 	const { medianMs, wasFull } = times;
-	if (medianMs > targetMs) return Math.max(leastLimit, limit * Math.max(leastPart, targetMs / medianMs));
+	if (medianMs > targetMs) return Math.max(minLimit, limit * Math.max(minShrinkFactor, targetMs / medianMs));
 	// A limit that nothing has reached is not known to be right.
-	return wasFull ? Math.min(mostLimit, limit * growth) : limit;
+	return wasFull ? Math.min(maxLimit, limit * growthFactor) : limit;
 }
 
 /** One start on its way. */
@@ -57,12 +57,12 @@
 	/** How many starts had been answered by then. */
 	readonly answersBefore: number;
 	/** How many were on their way then. */
-	readonly ahead: number;
+	readonly pendingBefore: number;
 }
 
 /** The starts that are on their way. */
 export class StartWindow {
-	private limit = firstLimit;
+	private limit = initialLimit;
 	/** The oldest first. */
 	private readonly slots = new Set<StartSlot>();
 	private answers = 0;
@@ -77,7 +77,7 @@
 
 	/** How many more starts may be sent now. */
 	get free(): number {
-		this.leaveOutOvertaken();
+		this.dropOvertaken();
 		const free = Math.floor(this.limit) - this.slots.size;
 		if (free <= 0) this.wasFull = true;
 		return Math.max(0, free);
@@ -90,16 +90,16 @@
 
 	/** A start is sent, and takes up room from now on. */
 	take(): StartSlot {
-		const slot = { sentAt: this.now(), answersBefore: this.answers, ahead: this.slots.size };
+		const slot = { sentAt: this.now(), answersBefore: this.answers, pendingBefore: this.slots.size };
 		this.slots.add(slot);
 		return slot;
 	}
 
 	/** A start was answered. */
-	answered(slot: StartSlot): void {
+	noteAnswered(slot: StartSlot): void {
 		this.answers += 1;
 		// The silence of its worker says nothing about the others.
-		if (this.slots.delete(slot)) this.judge(this.now() - slot.sentAt);
+		if (this.slots.delete(slot)) this.addSample(this.now() - slot.sentAt);
 	}
 
 	/** A start has no answer, or was not sent after all. */
@@ -107,19 +107,19 @@
 		this.slots.delete(slot);
 	}
 
-	private judge(tookMs: number): void {
+	private addSample(tookMs: number): void {
 		this.samples.push(tookMs);
-		const wanted = Math.min(mostSamples, Math.max(leastSamples, this.limit / 2));
-		if (this.samples.length < wanted) return;
+		const sampleCount = Math.min(maxSamples, Math.max(minSamples, this.limit / 2));
+		if (this.samples.length < sampleCount) return;
 		this.limit = nextLimit(this.limit, { medianMs: median(this.samples), wasFull: this.wasFull });
 		this.samples = [];
 		this.wasFull = false;
 	}
 
-	private leaveOutOvertaken(): void {
+	private dropOvertaken(): void {
 		for (const slot of this.slots) {
 			const overtakenBy = this.answers - slot.answersBefore;
-			if (overtakenBy <= overtakenFactor * slot.ahead + leastSamples) return;
+			if (overtakenBy <= overtakenFactor * slot.pendingBefore + minSamples) return;
 			this.slots.delete(slot);
 		}
 	}
--- a/src/core/dispatch/starter.ts
+++ b/src/core/dispatch/starter.ts
@@ -1,6 +1,6 @@
 /** Sends starts and stops, and follows each until it is known what became of it. */
 import * as clocks from '../clock.js';
-import * as room from './room.js';
+import * as freeCapacity from './room.js';
 import * as settings from './settings.js';
 import * as windows from './start-window.js';
 import type * as meters from './load-meter.js';
@@ -15,9 +15,9 @@
 	/** Resolves once the start may be sent, as a successor could know of it; undefined: there is nothing to wait for. */
 	beforeStart: (session: sessions.WorkerSession, placement: types.Placement) => Promise<void> | undefined;
 	/** What of the platform has not been read lately, so that nothing may be started by it; undefined: all has been. */
-	unread: () => types.UnreadList | undefined;
+	unreadList: () => types.UnreadList | undefined;
 	/** Another start may be sent. */
-	onRoom: () => void;
+	onStartSlotFree: () => void;
 	/** The run is known to be there. */
 	onStarted: (placement: types.Placement) => void;
 	/** A start was not sent, as its place is not what it was; it is free again. */
@@ -52,7 +52,7 @@
 	}
 
 	/** How many starts may be on their way, and how many are. */
-	get onTheirWay(): { limit: number; count: number } {
+	get startsInFlight(): { limit: number; count: number } {
 		return this.window.state;
 	}
 
@@ -63,26 +63,26 @@
 		if (stored !== undefined) await stored;
 		const slot = this.window.take();
 		try {
-			await this.startIn(slot, session, placement, ticket);
+			await this.startWithSlot(slot, session, placement, ticket);
 		} finally {
-			this.leave(slot);
+			this.releaseSlot(slot);
 		}
 	}
 
 	/** A start takes up no more room. */
-	private leave(slot: windows.StartSlot): void {
+	private releaseSlot(slot: windows.StartSlot): void {
 		this.window.release(slot);
-		this.handlers.onRoom();
+		this.handlers.onStartSlotFree();
 	}
 
-	private async startIn(
+	private async startWithSlot(
 		slot: windows.StartSlot,
 		session: sessions.WorkerSession,
 		placement: types.Placement,
 		ticket: string,
 	): Promise<void> {
-		if (!isToStart(session, placement)) return;
-		const reason = this.obstacle(session, placement);
+		if (!isStartPending(session, placement)) return;
+		const reason = this.startObstacle(session, placement);
 		if (reason !== undefined) {
 			session.free(placement);
 			this.handlers.onWithdrawn(session, placement, reason);
@@ -91,7 +91,7 @@
 		// One lease for all tries: each grant puts off the time by which a silent worker's tasks have ended.
 		const leaseUntil = session.grantLease();
 		if (leaseUntil === undefined) {
-			this.notStarted(session, placement, { kind: 'too-late' });
+			this.handleNotStarted(session, placement, { kind: 'too-late' });
 			return;
 		}
 		this.meter.count('starts');
@@ -108,13 +108,14 @@
 				leaseUntil,
 				checkpoint: placement.task.checkpoint,
 				ticket,
-				isWanted: () => isToStart(session, placement) && this.obstacle(session, placement) === undefined,
+				isWanted: () =>
+					isStartPending(session, placement) && this.startObstacle(session, placement) === undefined,
 			});
-			if (tries === 0) this.noteFirstTry(slot, res);
+			if (tries === 0) this.noteFirstAttempt(slot, res);
 			if (!isPlaced(session, placement)) return;
 			if (res.ok) {
 				session.noteAnswer(res.value);
-				this.started(session, placement);
+				this.markStarted(session, placement);
 				return;
 			}
 			const isFirst = tries === 0;
@@ -124,12 +125,12 @@
 			if (res.err.kind !== 'no-answer') {
 				// After a try without an answer no refusal proves that the run is not there, or does not come yet.
 				if (!isFirst) break;
-				this.notStarted(session, placement, res.err);
+				this.handleNotStarted(session, placement, res.err);
 				return;
 			}
 			await clocks.sleep(this.deps.clock, settings.commandRetryMs);
-			if (!isToStart(session, placement)) return;
-			if (this.obstacle(session, placement) !== undefined) break;
+			if (!isStartPending(session, placement)) return;
+			if (this.startObstacle(session, placement) !== undefined) break;
 		}
 		// It may be there, or come later: a stop that is acknowledged settles it.
 		await this.stop(session, placement);
@@ -139,14 +140,14 @@
 	 * Why a start may not be sent any more, though its place was taken: it may have waited for the store, or been sent once
 	 * without an answer, and the worker may have begun to drain or lost room since.
 	 */
-	private obstacle(session: sessions.WorkerSession, placement: types.Placement): string | undefined {
+	private startObstacle(session: sessions.WorkerSession, placement: types.Placement): string | undefined {
 		const { runOnProbation: probation } = session;
 		if (!session.hasReportedUnderToken) return 'unheard';
 		if (session.leaving) return 'leaving';
-		if (room.isOverfull(session)) return 'room-shrunk';
+		if (freeCapacity.isOverCapacity(session)) return 'room-shrunk';
 		if (probation !== undefined && probation !== placement) return 'probation';
 		if (session.isInEvacuatedZone) return 'zone-evacuated';
-		return this.handlers.unread();
+		return this.handlers.unreadList();
 	}
 
 	/** Stops a run, and logs why; `more`: what else the log line tells. */
@@ -154,9 +155,14 @@
 		reason: string,
 		session: sessions.WorkerSession,
 		placement: types.Placement,
-		more: events.EventFields = {},
+		extraFields: events.EventFields = {},
 	): void {
-		this.deps.events.emit('task.stop', { task: placement.task.name, worker: session.id, reason, ...more });
+		this.deps.events.emit('task.stop', {
+			task: placement.task.name,
+			worker: session.id,
+			reason,
+			...extraFields,
+		});
 		void this.stop(session, placement);
 	}
 
@@ -180,23 +186,23 @@
 	}
 
 	/** After its first try a start is answered, or its worker is silent: neither is on its way any more. */
-	private noteFirstTry(slot: windows.StartSlot, res: results.Result<unknown, fleet.WorkerFailure>): void {
+	private noteFirstAttempt(slot: windows.StartSlot, res: results.Result<unknown, fleet.WorkerFailure>): void {
 		if (!res.ok && res.err.kind === 'no-answer') {
-			this.leave(slot);
+			this.releaseSlot(slot);
 			return;
 		}
-		this.window.answered(slot);
+		this.window.noteAnswered(slot);
 		this.meter.count('answers');
 	}
 
-	private started(session: sessions.WorkerSession, placement: types.Placement): void {
+	private markStarted(session: sessions.WorkerSession, placement: types.Placement): void {
 		if (placement.phase === 'starting') placement.phase = 'running';
 		placement.confirmedAt = this.deps.clock.now();
 		session.neighboursChangedAt = placement.confirmedAt;
 		this.handlers.onStarted(placement);
 	}
 
-	private notStarted(
+	private handleNotStarted(
 		session: sessions.WorkerSession,
 		placement: types.Placement,
 		err: fleet.WorkerFailure,
@@ -207,7 +213,7 @@
 }
 
 /** Whether a start is still wanted, and not known to have been carried out. */
-function isToStart(session: sessions.WorkerSession, placement: types.Placement): boolean {
+function isStartPending(session: sessions.WorkerSession, placement: types.Placement): boolean {
 	return placement.phase === 'starting' && isPlaced(session, placement);
 }
 
--- a/src/core/dispatch/step-candidates.ts
+++ b/src/core/dispatch/step-candidates.ts
@@ -15,7 +15,7 @@
 	/** Lower is better. */
 	score: number;
 	/** The score is not only the least that it may be. */
-	exact: boolean;
+	isExact: boolean;
 	/** State of the worker that was rated. */
 	revision: number;
 }
@@ -27,45 +27,45 @@
 
 	private constructor(
 		private readonly task: jobs.Task,
-		private readonly choice: placement.Choice,
+		private readonly ctx: placement.PlacementContext,
 		/** What holds for tasks that may share these candidates. */
-		private readonly terms: placement.Terms,
+		private readonly limits: placement.PlacementLimits,
 	) {
-		this.candidates = choice.workers.flatMap((worker) => this.rateRoughly(worker) ?? []);
+		this.candidates = ctx.workers.flatMap((worker) => this.rateByLowerBound(worker) ?? []);
 		// Of equals the first comes first, whatever else changes: tests and logs stay comparable.
 		this.candidates.reverse().sort((a, b) => b.score - a.score);
 	}
 
-	static create(task: jobs.Task, choice: placement.Choice): StepCandidates {
-		return new StepCandidates(task, choice, placement.termsOf(task, choice.now));
+	static create(task: jobs.Task, ctx: placement.PlacementContext): StepCandidates {
+		return new StepCandidates(task, ctx, placement.limitsOf(task, ctx.now));
 	}
 
 	/** Whether these are the candidates of a task too. */
-	serve(task: jobs.Task): boolean {
-		const { harmLimit, reserve } = placement.termsOf(task, this.choice.now);
-		const isSame = harmLimit === this.terms.harmLimit && reserve === this.terms.reserve;
+	appliesTo(task: jobs.Task): boolean {
+		const { sloViolationLimit: limit, reserveMilliCores: reserve } = placement.limitsOf(task, this.ctx.now);
+		const isSame = limit === this.limits.sloViolationLimit && reserve === this.limits.reserveMilliCores;
 		return isSame && task.step === this.task.step && task.failedOn.size + this.task.failedOn.size === 0;
 	}
 
 	/** The best worker; it stays in front until it has changed. */
-	best(): sessions.WorkerSession | placement.NoPlace {
-		for (let first = this.candidates.at(-1); first !== undefined; first = this.candidates.at(-1)) {
-			if (first.exact && first.revision === first.worker.revision) return first.worker;
+	best(): sessions.WorkerSession | placement.PlacementFailure {
+		for (let front = this.candidates.at(-1); front !== undefined; front = this.candidates.at(-1)) {
+			if (front.isExact && front.revision === front.worker.revision) return front.worker;
 			this.candidates.pop();
-			const rated = this.rateExactly(first.worker);
+			const rated = this.rateExactly(front.worker);
 			if (rated !== undefined) this.insert(rated);
 		}
-		return this.choice.workers.length > 0 ? 'no-room' : 'no-worker-open';
+		return this.ctx.workers.length > 0 ? 'no-room' : 'no-worker-open';
 	}
 
-	private rateRoughly(worker: sessions.WorkerSession): Candidate | undefined {
-		const score = placement.leastScore(this.task, worker, this.choice, this.terms);
-		return score === Infinity ? undefined : { worker, score, exact: false, revision: worker.revision };
+	private rateByLowerBound(worker: sessions.WorkerSession): Candidate | undefined {
+		const score = placement.scoreLowerBound(this.task, worker, this.ctx, this.limits);
+		return score === Infinity ? undefined : { worker, score, isExact: false, revision: worker.revision };
 	}
 
 	private rateExactly(worker: sessions.WorkerSession): Candidate | undefined {
-		const score = placement.score(this.task, worker, this.choice, this.terms);
-		return score === Infinity ? undefined : { worker, score, exact: true, revision: worker.revision };
+		const score = placement.score(this.task, worker, this.ctx, this.limits);
+		return score === Infinity ? undefined : { worker, score, isExact: true, revision: worker.revision };
 	}
 
 	private insert(rated: Candidate): void {
--- a/src/core/dispatch/task-locations.ts
+++ b/src/core/dispatch/task-locations.ts
@@ -23,13 +23,13 @@
 /** A worker that was lost, and whether it had hung before. */
 interface LostWorker {
 	session: sessions.WorkerSession;
-	wasHanging: boolean;
+	wasHung: boolean;
 }
 
 /** Where the tasks of one owner's jobs may be. */
 export class TaskLocations {
 	/** Workers that were lost before they could tell what earlier owners had started there, by their ids. */
-	private readonly lostUnheard = new Map<string, LostWorker>();
+	private readonly lostUnreportedWorkers = new Map<string, LostWorker>();
 
 	private constructor(private readonly opts: TaskLocationsOptions) {}
 
@@ -38,15 +38,15 @@
 	}
 
 	/** Whether every owner that may have started a job stored the workers of its lasting tasks. */
-	areStored(record: jobs.JobRecord): boolean {
+	areWorkersStored(record: jobs.JobRecord): boolean {
 		const since = this.opts.workersStoredSince;
 		return since === firstGeneration || record.acceptedUnder >= since;
 	}
 
 	/** Whether a run of an inherited task, unknown to this owner, may be on a worker that has not answered it yet. */
-	mayBeHidden(task: jobs.Task): boolean {
+	mayHaveUnreportedRun(task: jobs.Task): boolean {
 		const { workers } = this.opts;
-		if (!isStored(task)) return workers.mayHaveUnreportedRun(task.name);
+		if (!isWorkerStored(task)) return workers.mayHaveUnreportedRun(task.name);
 		// A worker that is not on the roster any more is proved to run nothing.
 		return workers.get(task.worker)?.mayHaveUnreportedRun(task.name) ?? false;
 	}
@@ -54,26 +54,27 @@
 	/** A worker and all that ran there is lost. */
 	noteLost(session: sessions.WorkerSession): void {
 		if (!session.lostBeforeFirstReport) return;
-		this.lostUnheard.set(session.id, { session, wasHanging: session.isHanging });
+		this.lostUnreportedWorkers.set(session.id, { session, wasHung: session.isHanging });
 	}
 
 	/** What became of a run that an earlier owner may have started on a worker, and that is nowhere. */
-	fateOn(worker: string): jobs.TryFate {
-		const lost = this.lostUnheard.get(worker);
-		if (lost !== undefined) return lost.wasHanging ? 'in-doubt' : 'crashed';
+	outcomeOn(worker: string): jobs.TryFate {
+		const lost = this.lostUnreportedWorkers.get(worker);
+		if (lost !== undefined) return lost.wasHung ? 'in-doubt' : 'crashed';
 		return this.opts.workers.hasReported(worker) ? 'not-started' : 'crashed';
 	}
 
 	/** Whether any worker may have gone down under a run that an earlier owner started and this one never heard of. */
 	mayHaveCrashed(task: jobs.Task): boolean {
-		for (const { session } of this.lostUnheard.values()) if (mayHaveCrashedOn(session, task)) return true;
+		for (const { session } of this.lostUnreportedWorkers.values())
+			if (mayHaveCrashedOn(session, task)) return true;
 		return false;
 	}
 
 	/** To be awaited before the start of a placed task is sent; undefined: it may be sent at once. */
-	store(place: types.Placement): Promise<void> | undefined {
+	storeBeforeStart(place: types.Placement): Promise<void> | undefined {
 		// A start after a crash is counted before it is sent, or an owner that goes down with the worker would take it along.
-		if (!isStored(place.task) && place.task.crashes === undefined) return undefined;
+		if (!isWorkerStored(place.task) && place.task.crashes === undefined) return undefined;
 		const { job } = place.task.step;
 		this.opts.progress.mark(job, true);
 		return this.opts.progress.stored([job]);
@@ -83,11 +84,11 @@
 /** Whether a worker that was lost unheard may have gone down under a run of the task. */
 export function mayHaveCrashedOn(session: sessions.WorkerSession, task: jobs.Task): boolean {
 	if (!task.step.job.inherited || task.run > 0) return false;
-	if (isStored(task)) return session.id === task.worker;
+	if (isWorkerStored(task)) return session.id === task.worker;
 	return session.rosteredTasks?.has(task.name) ?? true;
 }
 
 /** Whether a task's worker is stored before each start. */
-function isStored(task: jobs.Task): boolean {
+function isWorkerStored(task: jobs.Task): boolean {
 	return task.step.spec.lasting && task.step.job.workersStored;
 }
--- a/src/core/dispatch/waiting-log.ts
+++ b/src/core/dispatch/waiting-log.ts
@@ -7,7 +7,7 @@
 import type * as jobs from '../jobs/index.js';
 
 /** A step is looked at no more often than this, and first after its task has waited so long; in milliseconds. */
-const lookGapMs = 1_000;
+const checkIntervalMs = 1_000;
 
 /** Why a step's tasks wait. `detail`: how many workers stand in which way. */
 export interface WaitingReason {
@@ -15,14 +15,14 @@
 	detail?: string;
 }
 
-interface LastLook {
+interface LastCheck {
 	at: number;
 	reason: string;
 }
 
 /** The reasons told so far. */
 export class WaitingLog {
-	private readonly looks = new WeakMap<jobs.StepRun, LastLook>();
+	private readonly lastChecks = new WeakMap<jobs.StepRun, LastCheck>();
 
 	private constructor(
 		private readonly clock: clocks.Clock,
@@ -37,10 +37,10 @@
 	note(task: jobs.Task, explain: () => WaitingReason): void {
 		const now = this.clock.now();
 		const waitedMs = now - task.readyAt;
-		const last = this.looks.get(task.step);
-		if (waitedMs < lookGapMs || (last !== undefined && now - last.at < lookGapMs)) return;
+		const last = this.lastChecks.get(task.step);
+		if (waitedMs < checkIntervalMs || (last !== undefined && now - last.at < checkIntervalMs)) return;
 		const { reason, detail } = explain();
-		this.looks.set(task.step, { at: now, reason });
+		this.lastChecks.set(task.step, { at: now, reason });
 		if (last?.reason === reason) return;
 		const { step } = task;
 		this.log.emit('step.waiting', {
--- a/src/core/dispatch/waiting-order.ts
+++ b/src/core/dispatch/waiting-order.ts
@@ -12,20 +12,26 @@
 }
 
 /** Sorts steps in place; the first is to be placed first. */
-export function sort(
+export function sortByUrgency(
 	steps: WaitingStep[],
 	priorityOf: (job: jobs.ActiveJob) => number,
 	now: number,
 ): WaitingStep[] {
-	const ranks = new Map(steps.map((one) => [one, rankOf(one, priorityOf, now)]));
-	return steps.sort((a, b) => compare(ranks.get(a) ?? [], ranks.get(b) ?? []));
+	const sortKeys = new Map(steps.map((one) => [one, sortKeyOf(one, priorityOf, now)]));
+	return steps.sort((a, b) => compare(sortKeys.get(a) ?? [], sortKeys.get(b) ?? []));
 }
 
 /** What counts for a step's turn, the weightiest first. */
-function rankOf(waiting: WaitingStep, priorityOf: (job: jobs.ActiveJob) => number, now: number): number[] {
+function sortKeyOf(waiting: WaitingStep, priorityOf: (job: jobs.ActiveJob) => number, now: number): number[] {
 	const { step, tasks } = waiting;
-	const comesLate = step.spec.lasting && !tasks.some((task) => isOverdue(task, now));
-	return [priorityOf(step.job), Number(comesLate), lateness(step, now), step.job.dueAt, step.number];
+	const comesAfterShort = step.spec.lasting && !tasks.some((task) => isOverdue(task, now));
+	return [
+		priorityOf(step.job),
+		Number(comesAfterShort),
+		latenessClass(step, now),
+		step.job.dueAt,
+		step.number,
+	];
 }
 
 function compare(a: number[], b: number[]): number {
@@ -47,7 +53,7 @@
 }
 
 /** Filling tasks that have waited so long that no harm that they do keeps them waiting longer, the longest wait first. */
-export function starved(tasks: jobs.Task[], now: number): jobs.Task[] {
+export function starvedTasks(tasks: jobs.Task[], now: number): jobs.Task[] {
 	const found = tasks.filter((task) => isStarved(task, now));
 	return found.sort((a, b) => waitedMs(b, now) - waitedMs(a, now));
 }
@@ -60,7 +66,7 @@
  * 0 before a job's due time, 1 while it is late, 2 once it is worth nothing. By due time alone, a queue that has fallen
  * behind would make every job late in turn. A lasting task serves whenever it runs.
  */
-function lateness(step: jobs.StepRun, now: number): number {
+function latenessClass(step: jobs.StepRun, now: number): number {
 	const { job, spec } = step;
 	if (spec.lasting || now <= job.dueAt) return 0;
 	return now <= job.worthlessAt ? 1 : 2;
--- a/src/core/dispatch/waiting-reason.ts
+++ b/src/core/dispatch/waiting-reason.ts
@@ -5,12 +5,12 @@
 import type * as waiting from './waiting-log.js';
 
 /** Counts what stands between a task and each open worker; the least of it is the reason. */
-export function whyNoPlace(task: jobs.Task, choice: placement.Choice): waiting.WaitingReason {
+export function unplacedReason(task: jobs.Task, ctx: placement.PlacementContext): waiting.WaitingReason {
 	const { step } = task;
-	if (step.spec.gang && !gangs.isWhole(step)) return { reason: 'gang-incomplete' };
+	if (step.spec.gang && !gangs.areAllReady(step)) return { reason: 'gang-incomplete' };
 	const counts = new Map<string, number>();
-	for (const worker of choice.workers) {
-		const obstacle = placement.obstacleAt(task, worker, choice) ?? 'none';
+	for (const worker of ctx.workers) {
+		const obstacle = placement.obstacleAt(task, worker, ctx) ?? 'none';
 		counts.set(obstacle, (counts.get(obstacle) ?? 0) + 1);
 	}
 	if (counts.size === 0) return { reason: 'no-worker-open' };
--- a/src/core/dispatch/waiting-steps.ts
+++ b/src/core/dispatch/waiting-steps.ts
@@ -20,9 +20,9 @@
 	}
 
 	/** How many tasks of such steps wait. */
-	count(wanted: (step: jobs.StepRun) => boolean): number {
+	count(matches: (step: jobs.StepRun) => boolean): number {
 		let count = 0;
-		for (const [step, tasks] of this.byStep) if (wanted(step)) count += tasks.size;
+		for (const [step, tasks] of this.byStep) if (matches(step)) count += tasks.size;
 		return count;
 	}
 
@@ -37,24 +37,24 @@
 	}
 
 	/** Of each step the task that has waited longest. */
-	longest(): jobs.Task[] {
+	longestWaiting(): jobs.Task[] {
 		return this.steps().map((step) => this.tasksOf(step).reduce((a, b) => (b.readyAt < a.readyAt ? b : a)));
 	}
 
 	/** A task waits from now on. */
 	add(task: jobs.Task): void {
-		const known = this.byStep.get(task.step);
-		if (known?.has(task) === true) return;
+		const waitingTasks = this.byStep.get(task.step);
+		if (waitingTasks?.has(task) === true) return;
 		this.total += 1;
-		if (known === undefined) this.byStep.set(task.step, new Set([task]));
-		else known.add(task);
+		if (waitingTasks === undefined) this.byStep.set(task.step, new Set([task]));
+		else waitingTasks.add(task);
 	}
 
 	/** A task waits no more. */
 	delete(task: jobs.Task): void {
-		const known = this.byStep.get(task.step);
-		if (known?.delete(task) !== true) return;
+		const waitingTasks = this.byStep.get(task.step);
+		if (waitingTasks?.delete(task) !== true) return;
 		this.total -= 1;
-		if (known.size === 0) this.byStep.delete(task.step);
+		if (waitingTasks.size === 0) this.byStep.delete(task.step);
 	}
 }
--- a/test/placer.test.ts
+++ b/test/placer.test.ts
@@ -37,7 +37,7 @@
 			spentMs += lookMs;
 			return [];
 		},
-		mayBeHidden: () => false,
+		mayHaveUnreportedRun: () => false,
 		policyOf: () => fixtures.queue,
 		estimates: interference.Interference.create(clock),
 		askAdviser: undefined,
@@ -51,7 +51,7 @@
 		restoreMs: 0,
 		mayStartAgain: () => true,
 		meter: meters.LoadMeter.create(),
-		startRoom: () => Infinity,
+		freeStartSlots: () => Infinity,
 		stopFor: () => undefined,
 	});
 	return { placer: created, spentMs: () => spentMs };
@@ -67,7 +67,7 @@
 	const from = clock.now();
 	// Reports come all the time, and each wakes the placer.
 	while (clock.now() - from < 5_000) {
-		slow.placer.wake();
+		slow.placer.requestRound();
 		await clock.pass(5);
 	}
 	const part = slow.spentMs() / (clock.now() - from);
--- a/test/start-window.test.ts
+++ b/test/start-window.test.ts
@@ -82,7 +82,7 @@
 });
 
 test('the limit follows what the answers take, within its bounds', (t) => {
-	const { nextLimit, targetMs, leastLimit, mostLimit } = windows;
+	const { nextLimit, targetMs, minLimit: leastLimit, maxLimit: mostLimit } = windows;
 	t.is(nextLimit(100, { medianMs: targetMs / 4, wasFull: true }), 150);
 	t.is(nextLimit(100, { medianMs: targetMs / 4, wasFull: false }), 100);
 	t.is(nextLimit(100, { medianMs: targetMs * 1.25, wasFull: true }), 80);
@@ -117,7 +117,7 @@
 	for (let answered = 0; answered < first * 2; answered += 1) {
 		const slot = silent.take();
 		now += 5;
-		silent.answered(slot);
+		silent.noteAnswered(slot);
 	}
 	t.is(silent.free, first);
 });
--- a/test/upkeep.test.ts
+++ b/test/upkeep.test.ts
@@ -143,7 +143,7 @@
 	const job = jobs.ActiveJob.create(record, undefined, opts);
 	job.openNextTime(clock.now());
 	const asked: string[][] = [];
-	const advisory = advice.Advisory.create({
+	const advisory = advice.AdviserTickets.create({
 		clock,
 		events: events.EventLog.create('test', clock),
 		ask: async (_step, workers) => {
@@ -153,19 +153,19 @@
 			});
 			return results.ok({ good: [{ worker: 'w2', ticket: 'pass' }], validMs: 1_000 });
 		},
-		onNews: () => undefined,
+		onAdvice: () => undefined,
 	});
 	const step = job.steps[0];
 	if (step === undefined) throw new Error('the job has no step');
-	advisory.want(step, ['w1', 'w2']);
-	advisory.want(step, ['w1', 'w2']);
+	advisory.requestTickets(step, ['w1', 'w2']);
+	advisory.requestTickets(step, ['w1', 'w2']);
 	t.is(advisory.ticket(step, 'w2'), undefined);
 	await clock.pass(150);
 	t.is(advisory.ticket(step, 'w2'), 'pass');
 	t.is(advisory.ticket(step, 'w1'), undefined);
 	await clock.pass(900);
 	t.is(advisory.ticket(step, 'w2'), undefined);
-	advisory.want(step, ['w1', 'w2']);
+	advisory.requestTickets(step, ['w1', 'w2']);
 	await clock.pass(150);
 	t.deepEqual(asked, [['w1', 'w2'], ['w2']]);
 });
