--- a/src/core/box/owner-role.ts
+++ b/src/core/box/owner-role.ts
@@ -109,7 +109,7 @@
 
 	/** What the next owner may rely on about workers that do not answer this one. */
 	silentWorkers(): protocol.SilentWorkers | undefined {
-		const leftMs = this.dispatcher.silentLeases();
+		const leftMs = this.dispatcher.unresponsiveLeases();
 		if (Object.keys(leftMs).length === 0) return undefined;
 		return { rosterVersion: this.owned.rosterVersion, leftMs };
 	}
@@ -134,7 +134,7 @@
 	private noteLoad(): void {
 		const { roundMs, longestRoundMs, reportMs, ...load } = this.dispatcher.load();
 		this.finishRate.note(load.finished, load.waitingShort);
-		this.backlog = admission.backlogOf(this.dispatcher.owed(), this.finishRate.perS);
+		this.backlog = admission.backlogOf(this.dispatcher.outstandingTasks(), this.finishRate.perS);
 		const { user, system } = process.cpuUsage(this.cpuBefore);
 		this.cpuBefore = process.cpuUsage();
 		this.load = {
@@ -153,7 +153,7 @@
 	private async storeLearnt(): Promise<void> {
 		const outcome = await this.owned.publish(
 			ledger.keys.learntKey,
-			wire.encodeValue(this.dispatcher.knowledge()),
+			wire.encodeValue(this.dispatcher.exportLearnedModels()),
 		);
 		if (outcome === 'superseded') this.deps.onFenced('the store names a newer generation');
 		else if (outcome !== 'committed')
@@ -196,7 +196,7 @@
 				leaseEnds,
 			},
 			contents,
-			contents.learnt as dispatch.Knowledge | undefined,
+			contents.learnt as dispatch.LearnedModels | undefined,
 		);
 	}
 
@@ -257,7 +257,7 @@
 			if (parsed?.kind !== 'job') return;
 			const record = ledger.decodeJob(value);
 			if (record.ok) this.dispatcher.addJob(record.value);
-			else this.dispatcher.leaveOut({ id: parsed.id, reason: record.err });
+			else this.dispatcher.skipUnreadable({ id: parsed.id, reason: record.err });
 		};
 		return followers.RecordFollower.create({
 			store: this.deps.store,
--- a/src/core/dispatch/choices.ts
+++ b/src/core/dispatch/choices.ts
@@ -10,7 +10,7 @@
 /** What choices are made of. */
 export interface EligibleWorkersOptions extends advice.AdviserTicketsOptions {
 	policyOf: (job: jobs.ActiveJob) => jobs.QueuePolicy;
-	estimates: interference.Interference;
+	estimates: interference.InterferenceModel;
 }
 
 /** The choices of one owner. */
--- a/src/core/dispatch/crash-blame.ts
+++ b/src/core/dispatch/crash-blame.ts
@@ -12,16 +12,16 @@
  * A run that was sent so long before its worker ceased to answer may have brought it down, in milliseconds: the way there
  * and a crash at once. What takes longer to crash befalls neighbours that were started meanwhile too, and names nobody.
  */
-export const suspicionMs = 150;
+export const suspectWindowMs = 150;
 
 /** Workers that cease to answer within this of each other have one cause, in milliseconds: they break off together. */
-const togetherMs = 60;
+const commonCauseMs = 60;
 
 /** Crashes are compared with those of the last so many milliseconds: longer than the longest lease. */
-const rememberedMs = 15_000;
+const retentionMs = 15_000;
 
 /** A worker that ceased to answer. */
-interface Silence {
+interface ContactLoss {
 	worker: string;
 	at: number;
 	/** Runs that may have brought it down. */
@@ -29,34 +29,34 @@
 }
 
 /** Remembers which workers ceased to answer. */
-export class CrashBlame {
+export class CrashAttribution {
 	/** The oldest first. */
-	private silences: Silence[] = [];
+	private contactLosses: ContactLoss[] = [];
 
 	private constructor(private readonly clock: clocks.Clock) {}
 
-	static create(clock: clocks.Clock): CrashBlame {
-		return new CrashBlame(clock);
+	static create(clock: clocks.Clock): CrashAttribution {
+		return new CrashAttribution(clock);
 	}
 
 	/** A worker ceases to answer. */
-	noteSilence(session: sessions.WorkerSession): void {
+	noteContactLost(session: sessions.WorkerSession): void {
 		const now = this.clock.now();
 		const { id: worker, firstFailureAt: at = now } = session;
-		this.silences = this.silences.filter((one) => now - one.at < rememberedMs);
-		this.silences.push({ worker, at, suspects: suspectsOn(session, at) });
+		this.contactLosses = this.contactLosses.filter((one) => now - one.at < retentionMs);
+		this.contactLosses.push({ worker, at, suspects: suspectsOn(session, at) });
 	}
 
 	/** Runs that seem to have brought a worker down, which has not answered since it was last noted. */
 	blamed(worker: string): Set<types.Placement> {
-		const silence = this.silences.findLast((one) => one.worker === worker);
-		if (silence === undefined) return new Set();
-		const together = this.silences.filter(
-			(one) => one.worker !== worker && Math.abs(one.at - silence.at) <= togetherMs,
+		const contactLoss = this.contactLosses.findLast((one) => one.worker === worker);
+		if (contactLoss === undefined) return new Set();
+		const simultaneous = this.contactLosses.filter(
+			(one) => one.worker !== worker && Math.abs(one.at - contactLoss.at) <= commonCauseMs,
 		);
-		const isShared = (step: jobs.StepRun): boolean =>
-			together.every((one) => one.suspects.some((place) => place.task.step === step));
-		return new Set(silence.suspects.filter((place) => isShared(place.task.step)));
+		const isSuspectOnAll = (step: jobs.StepRun): boolean =>
+			simultaneous.every((one) => one.suspects.some((placement) => placement.task.step === step));
+		return new Set(contactLoss.suspects.filter((placement) => isSuspectOnAll(placement.task.step)));
 	}
 }
 
@@ -67,7 +67,7 @@
 function suspectsOn(session: sessions.WorkerSession, at: number): types.Placement[] {
 	const { placements, runOnProbation: probation } = session;
 	const places = [...placements.values()];
-	const recent = places.filter((place) => at - (place.startSentAt ?? -Infinity) <= suspicionMs);
+	const recent = places.filter((placement) => at - (placement.startSentAt ?? -Infinity) <= suspectWindowMs);
 	if (probation !== undefined && recent.includes(probation)) return [probation];
 	return recent.filter(({ task }) => (task.crashes?.blamed ?? 0) === 0);
 }
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -1,14 +1,14 @@
 /** The owner's work: takes in jobs, workers and reports, and sees to it that every task runs as often as it should. */
 import * as clocks from '../clock.js';
 import * as callRepeater from './call-repeater.js';
-import * as blame from './crash-blame.js';
+import * as crashAttribution from './crash-blame.js';
 import * as countedCalls from './counted-calls.js';
-import * as ends from './ends.js';
+import * as reportHandling from './ends.js';
 import * as evacuations from './zone-evacuations.js';
 import * as fencing from './fencing-tokens.js';
-import * as firstQuestions from './first-questions.js';
+import * as firstReportRequests from './first-questions.js';
 import * as interference from './interference.js';
-import * as jobBook from './job-book.js';
+import * as jobRegistry from './job-book.js';
 import * as meters from './load-meter.js';
 import * as freshness from './list-freshness.js';
 import * as locations from './task-locations.js';
@@ -20,36 +20,36 @@
 import * as saver from './progress-saver.js';
 import * as settings from './settings.js';
 import * as starter from './starter.js';
-import * as strangers from './strangers.js';
+import * as unknownJobs from './strangers.js';
 import * as vacating from './vacating.js';
 import * as watch from './run-watch.js';
 import * as workerPool from './worker-pool.js';
 import type * as fleet from '../fleet/types.js';
 import type * as jobs from '../jobs/index.js';
 import type * as options from './options.js';
-import type * as learnt from './knowledge.js';
+import type * as learnedModels from './knowledge.js';
 import type * as ledger from '../ledger/index.js';
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
 /** Dispatches all jobs under one epoch. */
 export class Dispatcher {
-	private readonly book: jobBook.JobBook;
-	private readonly strangers: strangers.UnknownJobs;
+	private readonly registry: jobRegistry.JobRegistry;
+	private readonly unknownJobs: unknownJobs.UnknownJobs;
 	private readonly workers: workerPool.WorkerPool;
 	private readonly locations: locations.TaskLocations;
 	private readonly placer: placer.Placer;
 	private readonly progress: saver.ProgressSaver;
 	private readonly starter: starter.Starter;
-	private readonly estimates: interference.Interference;
+	private readonly interferenceModel: interference.InterferenceModel;
 	private readonly pressure: pressure.InterferenceControl;
 	private readonly outcomes: outcomes.Outcomes;
-	private readonly blame: blame.CrashBlame;
+	private readonly crashAttribution: crashAttribution.CrashAttribution;
 	private readonly probations: probation.Probations;
-	private readonly ticks: clocks.Timer;
-	private readonly reportContext: ends.ReportContext;
+	private readonly tickTimer: clocks.Timer;
+	private readonly reportContext: reportHandling.ReportContext;
 	private readonly reportLog: reportLog.ReportLog;
-	private readonly list: freshness.ListFreshness;
+	private readonly listFreshness: freshness.ListFreshness;
 	private readonly evacuations: evacuations.ZoneEvacuations;
 
 	private constructor(
@@ -59,18 +59,18 @@
 	) {
 		const { clock } = opts;
 		this.reportLog = reportLog.ReportLog.create(opts.events, opts.epoch);
-		this.estimates = interference.Interference.create(clock);
-		this.pressure = pressure.InterferenceControl.create(opts, this.estimates, opts.maxSloViolationMs);
+		this.interferenceModel = interference.InterferenceModel.create(clock);
+		this.pressure = pressure.InterferenceControl.create(opts, this.interferenceModel, opts.maxSloViolationMs);
 		this.progress = this.createSaver();
-		this.list = freshness.ListFreshness.create(clock, opts.readList);
+		this.listFreshness = freshness.ListFreshness.create(clock, opts.readList);
 		this.evacuations = evacuations.ZoneEvacuations.create(clock, opts.maxEvacuationAgeMs);
-		this.blame = blame.CrashBlame.create(clock);
+		this.crashAttribution = crashAttribution.CrashAttribution.create(clock);
 		this.probations = this.createProbations();
 		this.starter = this.createStarter();
 		this.placer = this.createPlacer();
-		this.book = this.createBook();
+		this.registry = this.createRegistry();
 		this.outcomes = this.createOutcomes();
-		this.strangers = this.createStrangers();
+		this.unknownJobs = this.createUnknownJobs();
 		this.reportContext = this.createReportContext();
 		this.workers = this.createPool(contents.roster);
 		this.locations = locations.TaskLocations.create({
@@ -78,7 +78,7 @@
 			progress: this.progress,
 			workersStoredSince: contents.workersStoredSince,
 		});
-		this.ticks = clocks.every(clock, settings.tickMs, () => {
+		this.tickTimer = clocks.every(clock, settings.tickMs, () => {
 			this.tick();
 		});
 	}
@@ -87,7 +87,7 @@
 	static create(
 		opts: options.DispatcherOptions,
 		contents: ledger.LedgerContents,
-		knowledge?: learnt.Knowledge,
+		models?: learnedModels.LearnedModels,
 	): Dispatcher {
 		const meter = meters.LoadMeter.create();
 		const repeated = callRepeater.repeatCalls(opts.calls, opts.clock, () => {
@@ -95,30 +95,30 @@
 		});
 		const calls = countedCalls.countCalls(repeated, meter);
 		const dispatcher = new Dispatcher({ ...opts, calls }, meter, contents);
-		if (knowledge !== undefined) dispatcher.adoptKnowledge(knowledge);
-		for (const unreadable of contents.unreadable) dispatcher.leaveOut(unreadable);
+		if (models !== undefined) dispatcher.restoreLearnedModels(models);
+		for (const unreadable of contents.unreadable) dispatcher.skipUnreadable(unreadable);
 		for (const stored of contents.jobs.values()) dispatcher.addStored(stored);
 		return dispatcher;
 	}
 
 	/** Takes in an accepted job; a job known already changes nothing. */
 	addJob(record: jobs.JobRecord): void {
-		if (this.book.get(record.id) !== undefined) return;
+		if (this.registry.get(record.id) !== undefined) return;
 		// An owner that a box told of the job may have started it, unless that owner is this one.
 		const inherited = record.acceptedUnder !== this.opts.epoch;
 		const workersStored = this.locations.areWorkersStored(record);
-		this.book.add(record, undefined, { cancelled: false, inherited, workersStored });
+		this.registry.add(record, undefined, { cancelled: false, inherited, workersStored });
 	}
 
 	/** A stored job can't be worked on. It costs itself only: whoever owned would stop working by it, one after the other. */
-	leaveOut({ id, reason }: ledger.UnreadableJob): void {
+	skipUnreadable({ id, reason }: ledger.UnreadableJob): void {
 		this.opts.events.emit('job.unreadable', { job: id, reason });
-		this.strangers.exclude(id);
+		this.unknownJobs.exclude(id);
 	}
 
 	/** Takes in a stored cancellation. */
 	cancelJob(id: string): void {
-		const job = this.book.get(id);
+		const job = this.registry.get(id);
 		if (job === undefined || job.ended) return;
 		job.cancelled = true;
 		this.outcomes.endJob(job, 'cancelled');
@@ -126,17 +126,17 @@
 
 	/** How a job stands; undefined: not known here. */
 	stateOf(id: string): jobs.JobState | undefined {
-		return this.book.stateOf(id);
+		return this.registry.stateOf(id);
 	}
 
 	/** How a job stands, and why it has failed; undefined: not known here. */
 	viewOf(id: string): jobs.JobView | undefined {
-		return this.book.viewOf(id);
+		return this.registry.viewOf(id);
 	}
 
 	/** Jobs of a queue of which no task has begun. */
 	pendingOf(queue: string): number {
-		return this.book.pendingOf(queue);
+		return this.registry.pendingOf(queue);
 	}
 
 	/** The platform's list of workers, in part or whole. */
@@ -147,7 +147,7 @@
 
 	/** The platform's list of workers is as was told, as of that clock time. */
 	noteListRead(heldAt: number): void {
-		this.list.noteConfirmed(heldAt);
+		this.listFreshness.noteConfirmed(heldAt);
 	}
 
 	/** These zones were evacuated, and no others, at that clock time. */
@@ -161,11 +161,11 @@
 
 	/** Closes a worker of that name to new work and moves what runs there; an unknown worker is empty. */
 	vacate(name: string): vacating.VacateState {
-		const known = this.workers.named(name);
-		for (const session of known) session.isBeingVacated = true;
-		return vacating.vacateAll(known, {
+		const workerSessions = this.workers.named(name);
+		for (const session of workerSessions) session.isBeingVacated = true;
+		return vacating.vacateAll(workerSessions, {
 			sessionOf: (task) => this.placer.sessionOf(task),
-			stop: (from, place) => void this.starter.stop(from, place),
+			stop: (from, placement) => void this.starter.stop(from, placement),
 		});
 	}
 
@@ -175,7 +175,7 @@
 	}
 
 	/** By worker that is silent: how long until every lease there is over, in milliseconds, for the next owner. */
-	silentLeases(): Record<string, number> {
+	unresponsiveLeases(): Record<string, number> {
 		return this.workers.withholdUnresponsiveLeases();
 	}
 
@@ -188,18 +188,18 @@
 	}
 
 	/** Tasks that are owed, by the priority of their queues. */
-	owed(): ReadonlyMap<number, number> {
-		return this.book.owed((job) => this.policyOf(job).priority);
+	outstandingTasks(): ReadonlyMap<number, number> {
+		return this.registry.outstandingTasks((job) => this.policyOf(job).priority);
 	}
 
 	/** What was learnt of how tasks disturb each other, for the next owner. */
-	knowledge(): learnt.Knowledge {
-		return this.estimates.knowledge();
+	exportLearnedModels(): learnedModels.LearnedModels {
+		return this.interferenceModel.exportLearned();
 	}
 
 	/** Gives no more orders. What runs goes on under its leases until another owner takes over. */
 	close(): void {
-		this.ticks.cancel();
+		this.tickTimer.cancel();
 		this.placer.close();
 		this.progress.close();
 		this.workers.close();
@@ -208,33 +208,33 @@
 	/** What has not been read lately, so that nothing may be started by it; undefined: all has been. */
 	private get unread(): types.UnreadList | undefined {
 		if (!this.evacuations.isKnown) return 'evacuations-unread';
-		return this.list.isFresh ? undefined : 'list-unread';
+		return this.listFreshness.isFresh ? undefined : 'list-unread';
 	}
 
-	private adoptKnowledge(knowledge: learnt.Knowledge): void {
-		const adopted = this.estimates.adopt(knowledge);
+	private restoreLearnedModels(models: learnedModels.LearnedModels): void {
+		const adopted = this.interferenceModel.restore(models);
 		this.opts.events.emit('learnt.adopted', {
 			epoch: this.opts.epoch,
-			images: adopted ? Object.keys(knowledge.images).length : 0,
-			loads: adopted ? Object.keys(knowledge.loads).length : 0,
+			images: adopted ? Object.keys(models.images).length : 0,
+			loads: adopted ? Object.keys(models.loads).length : 0,
 		});
 	}
 
 	private createStarter(): starter.Starter {
 		return starter.Starter.create(this.opts, this.meter, {
-			beforeStart: (session, place) => this.beforeStart(session, place),
+			beforeStart: (session, placement) => this.beforeStart(session, placement),
 			unreadList: () => this.unread,
 			onStartSlotFree: () => {
 				this.placer.requestRound();
 			},
-			onWithdrawn: (session, place, reason) => {
-				this.outcomes.withdrawn(session, place, reason);
+			onWithdrawn: (session, placement, reason) => {
+				this.outcomes.withdrawn(session, placement, reason);
 			},
-			onStarted: (place) => {
-				this.outcomes.begun(place.task.step.job);
+			onStarted: (placement) => {
+				this.outcomes.started(placement.task.step.job);
 			},
-			onNotStarted: (session, place, err) => {
-				this.outcomes.notStarted(session, place, err);
+			onNotStarted: (session, placement, err) => {
+				this.outcomes.notStarted(session, placement, err);
 			},
 		});
 	}
@@ -247,22 +247,22 @@
 			workers: () => this.workers.all(),
 			mayHaveUnreportedRun: (task) => this.locations.mayHaveUnreportedRun(task),
 			policyOf: (job) => this.policyOf(job),
-			estimates: this.estimates,
+			estimates: this.interferenceModel,
 			probations: this.probations,
 			mayAct: () => this.opts.mayAct() && this.unread === undefined,
 			mayStartAgain: (task) => this.outcomes.mayStartAgain(task),
 			meter: this.meter,
 			freeStartSlots: () => this.starter.room,
-			start: (session, place, ticket) => void this.starter.start(session, place, ticket),
-			stopFor: (reason, session, place) => {
-				this.starter.stopFor(reason, session, place);
+			start: (session, placement, ticket) => void this.starter.start(session, placement, ticket),
+			stopFor: (reason, session, placement) => {
+				this.starter.stopFor(reason, session, placement);
 			},
 		});
 	}
 
-	private createBook(): jobBook.JobBook {
+	private createRegistry(): jobRegistry.JobRegistry {
 		const { clock, events, keepStateMs, clearJobs } = this.opts;
-		return jobBook.JobBook.create({
+		return jobRegistry.JobRegistry.create({
 			clock,
 			events,
 			keepStateMs,
@@ -276,16 +276,16 @@
 	private createOutcomes(): outcomes.Outcomes {
 		return outcomes.Outcomes.create({
 			...this.opts,
-			book: this.book,
+			registry: this.registry,
 			placer: this.placer,
 			progress: this.progress,
-			blame: this.blame,
+			crashAttribution: this.crashAttribution,
 			probations: this.probations,
 			starter: this.starter,
 			policyOf: (job) => this.policyOf(job),
-			estimates: this.estimates,
-			mayHaveCrashed: (task) => this.locations.mayHaveCrashed(task),
-			fateOn: (worker) => this.locations.outcomeOn(worker),
+			interferenceModel: this.interferenceModel,
+			mayHaveCrashedUnreported: (task) => this.locations.mayHaveCrashed(task),
+			tryOutcomeOn: (worker) => this.locations.outcomeOn(worker),
 		});
 	}
 
@@ -300,18 +300,21 @@
 	}
 
 	/** What a start waits for: what has to be stored, and quiet where it is to be on probation. */
-	private beforeStart(session: sessions.WorkerSession, place: types.Placement): Promise<void> | undefined {
-		const stored = this.locations.storeBeforeStart(place);
-		if (session.runOnProbation !== place) return stored;
-		return Promise.all([stored, this.probations.quietAt(session)]).then(() => undefined);
+	private beforeStart(
+		session: sessions.WorkerSession,
+		placement: types.Placement,
+	): Promise<void> | undefined {
+		const stored = this.locations.storeBeforeStart(placement);
+		if (session.runOnProbation !== placement) return stored;
+		return Promise.all([stored, this.probations.waitForQuiet(session)]).then(() => undefined);
 	}
 
-	private createStrangers(): strangers.UnknownJobs {
-		return strangers.UnknownJobs.create({
+	private createUnknownJobs(): unknownJobs.UnknownJobs {
+		return unknownJobs.UnknownJobs.create({
 			readJob: this.opts.readJob,
-			isKnown: (id) => this.book.get(id) !== undefined,
+			isKnown: (id) => this.registry.get(id) !== undefined,
 			onFound: (stored) => {
-				if (this.book.get(stored.record.id) === undefined) this.addStored(stored);
+				if (this.registry.get(stored.record.id) === undefined) this.addStored(stored);
 			},
 		});
 	}
@@ -338,7 +341,7 @@
 		const handlers: types.ReportHandlers = {
 			onReport: (from, asked) => this.onReport(from, asked),
 			onUnanswered: (from, err) => {
-				this.blame.noteSilence(from);
+				this.crashAttribution.noteContactLost(from);
 				this.reportLog.unanswered(from, err);
 			},
 			onLost: (from, loss) => {
@@ -351,27 +354,34 @@
 		const { epoch, onFenced } = this.opts;
 		const tokens = fencing.FencingTokens.create(epoch, onFenced);
 		const isEvacuated = (zone: string): boolean => this.evacuations.has(zone);
-		const first = firstQuestions.FirstReportTurns.create(this.opts.clock);
+		const firstRequests = firstReportRequests.FirstReportTurns.create(this.opts.clock);
 		return workerPool.WorkerPool.create(
-			{ ...this.opts, tokens, isEvacuated, firstReportTurns: first, handlers, onWorkersAvailable: onOpened },
+			{
+				...this.opts,
+				tokens,
+				isEvacuated,
+				firstReportTurns: firstRequests,
+				handlers,
+				onWorkersAvailable: onOpened,
+			},
 			roster,
 		);
 	}
 
-	private createReportContext(): ends.ReportContext {
+	private createReportContext(): reportHandling.ReportContext {
 		const { clock, calls } = this.opts;
 		return {
 			now: () => clock.now(),
-			findTask: (name) => this.book.findTask(name),
-			findRunning: (name) => this.book.findRunning(name),
+			findTask: (name) => this.registry.findTask(name),
+			findTaskOfRun: (name) => this.registry.findTaskOfRun(name),
 			sessionOf: (task) => this.placer.sessionOf(task),
 			adopt: (session, task, run) => this.adopt(session, task, run),
 			log: this.reportLog,
-			stopStray: (session, task, run) => {
+			stopOrphan: (session, task, run) => {
 				this.reportLog.orphanedRun(session, task, run);
 				void calls.stop(session.target, task, run, session.stamp().token);
 			},
-			stop: (session, place) => void this.starter.stop(session, place),
+			stop: (session, placement) => void this.starter.stop(session, placement),
 			finished: (task) => {
 				this.meter.count('finished');
 				this.outcomes.finished(task);
@@ -379,13 +389,13 @@
 			failed: (session, task, run) => {
 				this.outcomes.failed(session, task, run);
 			},
-			survived: (task, run) => {
-				this.outcomes.survived(task, run);
+			exitedWithoutCrash: (task, run) => {
+				this.outcomes.exitedWithoutCrash(task, run);
 			},
 			abandoned: () => {
 				this.meter.count('abandoned');
 			},
-			again: (task) => {
+			requeue: (task) => {
 				this.placer.add(task);
 			},
 		};
@@ -394,31 +404,31 @@
 	private addStored(stored: ledger.StoredJob): void {
 		const { record, progress, cancelled } = stored;
 		const workersStored = this.locations.areWorkersStored(record);
-		const job = this.book.add(record, progress, { cancelled, inherited: true, workersStored });
+		const job = this.registry.add(record, progress, { cancelled, inherited: true, workersStored });
 		if (cancelled && !job.ended) this.outcomes.endJob(job, 'cancelled');
 	}
 
-	private onReport(session: sessions.WorkerSession, asked: types.ReceivedReport): types.ReportOutcome {
+	private onReport(session: sessions.WorkerSession, received: types.ReceivedReport): types.ReportOutcome {
 		const startedAt = this.opts.clock.now();
-		const outcome = this.takeReport(session, asked);
-		this.meter.report(this.opts.clock.now() - startedAt);
+		const outcome = this.handleReport(session, received);
+		this.meter.noteReport(this.opts.clock.now() - startedAt);
 		return outcome;
 	}
 
-	private takeReport(session: sessions.WorkerSession, asked: types.ReceivedReport): types.ReportOutcome {
-		const { report, sentAt, others } = asked;
-		if (!this.strangers.checkJobsKnown(report)) {
-			ends.takeKnownRuns(this.reportContext, session, report);
+	private handleReport(session: sessions.WorkerSession, received: types.ReceivedReport): types.ReportOutcome {
+		const { report, sentAt, others } = received;
+		if (!this.unknownJobs.checkJobsKnown(report)) {
+			reportHandling.applyKnownRuns(this.reportContext, session, report);
 			this.pressure.controlWorker(session);
 			return { type: 'put-off' };
 		}
 		for (const other of others) other.endForLaterIncarnation(report);
 		const upTo = Math.max(session.seenUpTo, ...report.ended.map((end) => end.seq));
-		const { changed, unstored } = ends.takeReport(this.reportContext, session, report, sentAt);
+		const { changed, unstored } = reportHandling.applyReport(this.reportContext, session, report, sentAt);
 		if (!session.isReconciled) this.reportLog.firstReport(session, report);
 		for (const job of changed) this.progress.mark(job);
 		this.pressure.controlWorker(session);
-		this.probations.look(session);
+		this.probations.checkRuns(session);
 		// Until the last of its ends is listed, what ran there may have ended unheard.
 		if (!report.hasMoreEnds) this.workers.noteReconciled(session);
 		this.placer.requestRound();
@@ -431,7 +441,7 @@
 		unstored: Set<jobs.ActiveJob>,
 		upTo: number,
 	): Promise<void> {
-		await this.progress.stored(unstored);
+		await this.progress.whenStored(unstored);
 		session.noteStored(upTo);
 	}
 
@@ -444,16 +454,19 @@
 		// The stored worker of a lasting task is another one now.
 		for (const { task } of moved) if (task.step.spec.lasting) this.progress.mark(task.step.job, true);
 		// Until then the roster names the worker, or a successor would not know that it went down under anything.
-		const unseen = session.lostBeforeFirstReport ? this.outcomes.lostUnheard(session) : [];
-		const changed = new Set([...unseen, ...[...lost, ...moved].map((place) => place.task.step.job)]);
-		void this.progress.stored(changed).then(() => {
+		const possiblyStarted = session.lostBeforeFirstReport ? this.outcomes.lostBeforeFirstReport(session) : [];
+		const changed = new Set([
+			...possiblyStarted,
+			...[...lost, ...moved].map((placement) => placement.task.step.job),
+		]);
+		void this.progress.whenStored(changed).then(() => {
 			this.workers.forget(session);
 		});
 		this.placer.requestRound();
 	}
 
 	private adopt(session: sessions.WorkerSession, task: jobs.Task, run: number): types.Placement {
-		this.outcomes.begun(task.step.job);
+		this.outcomes.started(task.step.job);
 		return this.placer.adopt(session, task, run);
 	}
 
@@ -462,7 +475,7 @@
 	}
 
 	private tick(): void {
-		this.list.refresh();
+		this.listFreshness.refresh();
 		this.workers.tick();
 		for (const session of this.workers.all()) {
 			watch.watchRuns(session, this.starter, this.opts.clock.now());
@@ -470,7 +483,7 @@
 		}
 		for (const zone of this.evacuations.takeEmptied((one) => this.workers.isEmpty(one)))
 			this.opts.events.emit('zone.emptied', { zone });
-		this.book.tick();
+		this.registry.tick();
 		this.placer.logStalled();
 		this.placer.requestRound();
 	}
--- a/src/core/dispatch/ends.ts
+++ b/src/core/dispatch/ends.ts
@@ -10,22 +10,22 @@
 	now: () => number;
 	findTask: (name: string) => jobs.Task | undefined;
 	/** The task of a run that is there, also of a job that has long ended. */
-	findRunning: (name: string) => jobs.Task | undefined;
+	findTaskOfRun: (name: string) => jobs.Task | undefined;
 	/** Where a task is placed. */
 	sessionOf: (task: jobs.Task) => sessions.WorkerSession | undefined;
 	/** A run found on a worker is that task's run from now on. */
 	adopt: (session: sessions.WorkerSession, task: jobs.Task, run: number) => types.Placement;
 	/** Stops a run that nobody wants, of a task that is not known. */
-	stopStray: (session: sessions.WorkerSession, task: string, run: number) => void;
+	stopOrphan: (session: sessions.WorkerSession, task: string, run: number) => void;
 	stop: (session: sessions.WorkerSession, placement: types.Placement) => void;
 	finished: (task: jobs.Task) => void;
 	failed: (session: sessions.WorkerSession, task: jobs.Task, run: number) => void;
 	/** A run is over, and its worker lives. */
-	survived: (task: jobs.Task, run: number) => void;
+	exitedWithoutCrash: (task: jobs.Task, run: number) => void;
 	/** A run ended and neither finished nor failed. */
 	abandoned: () => void;
 	/** The task runs nowhere and may be started again. */
-	again: (task: jobs.Task) => void;
+	requeue: (task: jobs.Task) => void;
 	log: reportLog.ReportLog;
 }
 
@@ -38,7 +38,7 @@
 }
 
 /** Takes in a report. */
-export function takeReport(
+export function applyReport(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
 	report: fleet.WorkerReport,
@@ -46,27 +46,27 @@
 ): ReportedJobs {
 	const changed = new Set<jobs.ActiveJob>();
 	const unstored = new Set<jobs.ActiveJob>();
-	noteUnread(ctx, session, report);
-	for (const end of report.ended) {
-		const task = ctx.findTask(end.task);
+	logUnreadExits(ctx, session, report);
+	for (const exit of report.ended) {
+		const task = ctx.findTask(exit.task);
 		const job = task?.step.job;
-		const isNew = end.seq > session.seenUpTo;
+		const isNew = exit.seq > session.seenUpTo;
 		if (job !== undefined && !job.endStored) {
 			// An end that was seen before may still wait to be stored.
 			unstored.add(job);
 			if (isNew) changed.add(job);
 		}
 		if (!isNew) continue;
-		session.seenUpTo = end.seq;
-		ctx.log.ended(session, end);
-		if (end.how !== 'done' && end.how !== 'failed') ctx.abandoned();
-		if (task !== undefined) takeEnd(ctx, session, task, end);
+		session.seenUpTo = exit.seq;
+		ctx.log.ended(session, exit);
+		if (exit.how !== 'done' && exit.how !== 'failed') ctx.abandoned();
+		if (task !== undefined) applyExit(ctx, session, task, exit);
 	}
-	session.orphanedRunCount = report.running.filter((running) => !takeRunning(ctx, session, running)).length;
+	session.orphanedRunCount = report.running.filter((running) => !applyRunning(ctx, session, running)).length;
 	if (report.hasMoreEnds) return { changed, unstored };
-	const listed = new Set(report.running.map((one) => one.task));
+	const listedTasks = new Set(report.running.map((one) => one.task));
 	for (const placement of [...session.placements.values()])
-		if (!listed.has(placement.task.name)) takeAbsence(ctx, session, placement, sentAt);
+		if (!listedTasks.has(placement.task.name)) applyAbsence(ctx, session, placement, sentAt);
 	return { changed, unstored };
 }
 
@@ -74,52 +74,56 @@
  * Takes in the runs of tasks that are known, of a report that names unknown jobs as well: what serves users is protected
  * though the store does not say what those are.
  */
-export function takeKnownRuns(
+export function applyKnownRuns(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
 	report: fleet.WorkerReport,
 ): void {
 	for (const running of report.running) {
-		const task = ctx.findRunning(running.task);
+		const task = ctx.findTaskOfRun(running.task);
 		if (task === undefined) continue;
 		const at = ctx.sessionOf(task) ?? session;
-		if (at === session) takeRunning(ctx, session, running);
+		if (at === session) applyRunning(ctx, session, running);
 	}
 }
 
 /** Ends are numbered without gaps, so one that is missing between two reports was forgotten before anybody read it. */
-function noteUnread(ctx: ReportContext, session: sessions.WorkerSession, report: fleet.WorkerReport): void {
+function logUnreadExits(
+	ctx: ReportContext,
+	session: sessions.WorkerSession,
+	report: fleet.WorkerReport,
+): void {
 	const first = report.ended[0];
 	const isKnown = session.seenUpTo > 0;
 	if (isKnown && first !== undefined && first.seq > session.seenUpTo + 1) ctx.log.unreadExits(session, first);
 }
 
-function takeEnd(
+function applyExit(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
 	task: jobs.Task,
-	end: fleet.RunEnd,
+	exit: fleet.RunEnd,
 ): void {
 	const placement = session.placements.get(task.name);
-	const current = placement?.run === end.run;
-	if (placement !== undefined && current) session.free(placement);
-	task.run = Math.max(task.run, end.run);
-	if (isOver(task)) return;
-	ctx.survived(task, end.run);
-	if (end.how === 'failed') ctx.failed(session, task, end.run);
-	if (end.how === 'done') {
+	const isCurrent = placement?.run === exit.run;
+	if (placement !== undefined && isCurrent) session.free(placement);
+	task.run = Math.max(task.run, exit.run);
+	if (isTaskOver(task)) return;
+	ctx.exitedWithoutCrash(task, exit.run);
+	if (exit.how === 'failed') ctx.failed(session, task, exit.run);
+	if (exit.how === 'done') {
 		session.health.noteSuccess();
 		if (!task.step.spec.lasting) {
-			finish(ctx, task);
+			finishTask(ctx, task);
 			return;
 		}
 	}
-	if (end.checkpoint !== '') task.checkpoint = end.checkpoint;
-	const elsewhere = ctx.sessionOf(task);
-	if (elsewhere === undefined) ctx.again(task);
+	if (exit.checkpoint !== '') task.checkpoint = exit.checkpoint;
+	const otherSession = ctx.sessionOf(task);
+	if (otherSession === undefined) ctx.requeue(task);
 }
 
-function finish(ctx: ReportContext, task: jobs.Task): void {
+function finishTask(ctx: ReportContext, task: jobs.Task): void {
 	const other = ctx.sessionOf(task);
 	const placement = other?.placements.get(task.name);
 	if (other !== undefined && placement !== undefined) ctx.stop(other, placement);
@@ -127,15 +131,15 @@
 }
 
 /** Takes in one run that is there; false: it is stopped, and has no place. */
-function takeRunning(
+function applyRunning(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
 	running: fleet.RunningTask,
 ): boolean {
-	const task = ctx.findRunning(running.task);
-	const placement = task && placeOf(ctx, session, task, running.run);
+	const task = ctx.findTaskOfRun(running.task);
+	const placement = task && findOrCreatePlacement(ctx, session, task, running.run);
 	if (task === undefined || placement === undefined || running.run < placement.run) {
-		ctx.stopStray(session, running.task, running.run);
+		ctx.stopOrphan(session, running.task, running.run);
 		return false;
 	}
 	if (placement.run === running.run) noteRunning(ctx, session, placement, running);
@@ -143,7 +147,7 @@
 }
 
 /** The place of a run, taken now if it has none and may have one. */
-function placeOf(
+function findOrCreatePlacement(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
 	task: jobs.Task,
@@ -151,7 +155,7 @@
 ): types.Placement | undefined {
 	const known = session.placements.get(task.name);
 	if (known !== undefined) return known;
-	return isOver(task) ? stopUnwanted(ctx, session, task, run) : adoptable(ctx, session, task, run);
+	return isTaskOver(task) ? stopUnwanted(ctx, session, task, run) : adoptIfUnplaced(ctx, session, task, run);
 }
 
 function noteRunning(
@@ -187,12 +191,12 @@
 }
 
 /** Whether no run of the task is wanted any more. */
-function isOver(task: jobs.Task): boolean {
+function isTaskOver(task: jobs.Task): boolean {
 	return task.state === 'finished' || task.step.job.ended;
 }
 
 /** A run that an earlier owner started, unless its task is placed elsewhere; an old one is stopped before the next start. */
-function adoptable(
+function adoptIfUnplaced(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
 	task: jobs.Task,
@@ -209,7 +213,7 @@
 }
 
 /** A run that a report does not list, neither as running nor as ended. */
-function takeAbsence(
+function applyAbsence(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
 	placement: types.Placement,
@@ -221,7 +225,7 @@
 	if (!wasThere && !isStopped) return;
 	ctx.log.notListed(session, placement);
 	session.free(placement);
-	if (isOver(placement.task)) return;
-	ctx.survived(placement.task, placement.run);
-	ctx.again(placement.task);
+	if (isTaskOver(placement.task)) return;
+	ctx.exitedWithoutCrash(placement.task, placement.run);
+	ctx.requeue(placement.task);
 }
--- a/src/core/dispatch/harm-exemptions.ts
+++ b/src/core/dispatch/harm-exemptions.ts
@@ -8,46 +8,46 @@
 import type * as types from './types.js';
 
 /** The exemptions in use. */
-export class HarmExemptions {
+export class InterferenceExemptions {
 	private readonly granted = new Map<sessions.WorkerSession, types.Placement>();
 
 	private constructor() {
 		// Built by `create`, like every class here.
 	}
 
-	static create(): HarmExemptions {
-		return new HarmExemptions();
+	static create(): InterferenceExemptions {
+		return new InterferenceExemptions();
 	}
 
 	/** Whether a step that has waited so long may have one, in a pool with so many open workers. */
-	isFree(step: jobs.StepRun, waitedMs: number, workers: number): boolean {
+	mayGrant(step: jobs.StepRun, waitedMs: number, workers: number): boolean {
 		this.prune();
-		const places = [...this.granted.values()];
+		const placements = [...this.granted.values()];
 		// One that stands still for its neighbours harms nobody.
-		const atWork = places.filter((place) => place.pace > 0).length;
-		if (atWork >= Math.ceil(workers * partFor(waitedMs))) return false;
-		return !places.some((place) => place.task.step === step);
+		const atWork = placements.filter((placement) => placement.pace > 0).length;
+		if (atWork >= Math.ceil(workers * maxShareFor(waitedMs))) return false;
+		return !placements.some((placement) => placement.task.step === step);
 	}
 
 	/** Whether a worker holds a task under one. */
-	isOn(session: sessions.WorkerSession): boolean {
+	hasExemption(session: sessions.WorkerSession): boolean {
 		return this.granted.has(session);
 	}
 
 	/** A task is placed under one. */
-	grant(session: sessions.WorkerSession, place: types.Placement): void {
-		place.exempt = true;
-		this.granted.set(session, place);
+	grant(session: sessions.WorkerSession, placement: types.Placement): void {
+		placement.exempt = true;
+		this.granted.set(session, placement);
 	}
 
 	/** Forgets those whose task is not there any more. */
 	private prune(): void {
-		for (const [session, place] of this.granted)
-			if (session.placements.get(place.task.name) !== place) this.granted.delete(session);
+		for (const [session, placement] of this.granted)
+			if (session.placements.get(placement.task.name) !== placement) this.granted.delete(session);
 	}
 }
 
 /** Part of the workers that may hold such tasks: the longer the wait, the more. */
-function partFor(waitedMs: number): number {
+function maxShareFor(waitedMs: number): number {
 	return Math.min(settings.maxExemptFraction, (settings.exemptFraction * waitedMs) / settings.starvedAfterMs);
 }
--- a/src/core/dispatch/image-model.ts
+++ b/src/core/dispatch/image-model.ts
@@ -6,28 +6,28 @@
  */
 
 /** First guess of a pair's slope. */
-const firstSlope = 0.7;
+const initialSlope = 0.7;
 
 /** Weight of the first guess, in squared shares; a tenth of a worker seen for five reports outweighs it. */
-const firstWeight = 0.05;
+const initialWeight = 0.05;
 
 /** Part of the evidence that each new report keeps: about the last two thousand reports count. */
-const keptEvidence = 0.9995;
+const evidenceDecay = 0.9995;
 
 /** First guess of the tail of an idle task, as a part of its target. */
-const firstIdle = 1 / 6;
+const initialIdleShare = 1 / 6;
 
 /** The lowest tail seen is about that of an idle task; readings are rough. */
-const idlePerLowest = 0.95;
+const idleToLowestRatio = 0.95;
 
 /** A busy part raised by more than this is taken for this: an overload shows how far only roughly. */
-const mostRaised = 1.5;
+const maxIncrease = 1.5;
 
 /** Share of the worker by neighbour image. */
 export type Shares = ReadonlyMap<string, number>;
 
 /** What was learnt of one serving image, in a form that another owner can go on from. */
-export interface LearntImage {
+export interface LearnedImage {
 	/** Lowest tail seen, in milliseconds. */
 	lowest: number;
 	/** Neighbour images in the order of the unknowns. */
@@ -42,10 +42,10 @@
  * The equations are solved anew once so many new reports, as a part of those that count, have come in. Solving takes
  * thousands of steps and one report of many moves a slope by less than this part.
  */
-const newPart = 0.01;
+const newReportsShare = 0.01;
 
 /** So many reports count, old ones having faded. */
-const mostReports = 2_000;
+const maxEffectiveReports = 2_000;
 
 /** The model of one serving image. */
 export class ImageModel {
@@ -56,7 +56,7 @@
 	private reports = 0;
 	private newReports = 0;
 
-	private constructor(private readonly sums: LearntImage) {
+	private constructor(private readonly sums: LearnedImage) {
 		this.known = new Set(sums.images);
 	}
 
@@ -65,12 +65,12 @@
 	}
 
 	/** Goes on from what another owner learnt. */
-	static restore(learnt: LearntImage): ImageModel {
-		return new ImageModel(structuredClone(learnt));
+	static restore(learned: LearnedImage): ImageModel {
+		return new ImageModel(structuredClone(learned));
 	}
 
 	/** What was learnt so far; its lists stay in use here, so whoever goes on from them copies them. */
-	get learnt(): LearntImage {
+	get learned(): LearnedImage {
 		return { ...this.sums };
 	}
 
@@ -90,29 +90,29 @@
 	}
 
 	/** Learns that neighbours with these shares raised the busy part by `raised`, as a part of the load. */
-	learn(shares: Shares, raised: number): void {
+	learn(shares: Shares, increase: number): void {
 		for (const image of shares.keys()) if (!this.known.has(image)) this.addImage(image);
 		const { images, products, results } = this.sums;
 		const inputs = images.map((image) => shares.get(image) ?? 0);
-		const result = Math.min(mostRaised, raised);
+		const result = Math.min(maxIncrease, increase);
 		for (const [i, row] of products.entries()) {
 			const input = inputs[i] ?? 0;
 			for (let j = 0; j < row.length; j += 1)
-				row[j] = (row[j] ?? 0) * keptEvidence + input * (inputs[j] ?? 0);
-			results[i] = (results[i] ?? 0) * keptEvidence + input * result;
+				row[j] = (row[j] ?? 0) * evidenceDecay + input * (inputs[j] ?? 0);
+			results[i] = (results[i] ?? 0) * evidenceDecay + input * result;
 		}
-		this.reports = Math.min(mostReports, this.reports + 1);
+		this.reports = Math.min(maxEffectiveReports, this.reports + 1);
 		this.newReports += 1;
-		if (this.newReports >= this.reports * newPart) this.slopes = undefined;
+		if (this.newReports >= this.reports * newReportsShare) this.slopes = undefined;
 	}
 
 	/** How much a whole worker of a neighbour raises the busy part; a neighbour never lowers it. */
 	slope(neighbour: string): number {
-		return (this.slopes ?? this.solve()).get(neighbour) ?? firstSlope;
+		return (this.slopes ?? this.solve()).get(neighbour) ?? initialSlope;
 	}
 
 	/** How much all these neighbours together raise the busy part. */
-	disturbance(shares: Shares): number {
+	interferenceOf(shares: Shares): number {
 		let sum = 0;
 		for (const [image, share] of shares) sum += this.slope(image) * share;
 		return sum;
@@ -120,7 +120,7 @@
 
 	/** Tail of an idle task, in milliseconds. */
 	private idleTail(targetMs: number): number {
-		return Math.min(targetMs * firstIdle, this.sums.lowest * idlePerLowest);
+		return Math.min(targetMs * initialIdleShare, this.sums.lowest * idleToLowestRatio);
 	}
 
 	/** Adds an image's unknown, with the first guess of its slope. */
@@ -129,8 +129,8 @@
 		this.known.add(image);
 		images.push(image);
 		for (const row of products) row.push(0);
-		products.push([...images.slice(1).map(() => 0), firstWeight]);
-		results.push(firstWeight * firstSlope);
+		products.push([...images.slice(1).map(() => 0), initialWeight]);
+		results.push(initialWeight * initialSlope);
 		this.slopes = undefined;
 	}
 
@@ -141,7 +141,7 @@
 		const rows = products.map((row, i) => [...row, results[i] ?? 0]);
 		for (let pivot = 0; pivot < size; pivot += 1) eliminate(rows, pivot);
 		const solved = rows.map((row, i) => Math.max(0, (row[size] ?? 0) / (row[i] ?? 1)));
-		this.slopes = new Map(images.map((image, i) => [image, solved[i] ?? firstSlope]));
+		this.slopes = new Map(images.map((image, i) => [image, solved[i] ?? initialSlope]));
 		this.newReports = 0;
 		return this.slopes;
 	}
--- a/src/core/dispatch/interference.ts
+++ b/src/core/dispatch/interference.ts
@@ -7,7 +7,7 @@
  * cautious first guess. docs/decisions/0011-interference.md has the measurements behind the form.
  */
 import * as imageModel from './image-model.js';
-import * as stored from './knowledge.js';
+import * as learnedModels from './knowledge.js';
 import * as loadWave from './load-wave.js';
 import * as neighbours from './neighbours.js';
 import * as placements from './placements.js';
@@ -18,52 +18,52 @@
 import type * as waveFit from './wave-fit.js';
 
 /** A reading covers so long, in milliseconds: a neighbour that started in between counts in part. */
-const readingMs = 600;
+const readingWindowMs = 600;
 
 /** A profile of a worker is worked out anew after so long, in milliseconds: loads and slopes move slowly. */
-const profileMs = 250;
+const profileMaxAgeMs = 250;
 
 /** Loads are predicted for so long ahead, in milliseconds: half of what a filling task usually runs. */
-const aheadMs = 900;
+const predictionMs = 900;
 
 /**
  * Of the tasks that are expected this much busier than their target allows, none, and all, go over it during the next
  * seconds; in between the part rises about evenly.
  */
-const surelyUnder = -0.16;
-const surelyOver = 0.24;
+const neverOverMargin = -0.16;
+const alwaysOverMargin = 0.24;
 
 /** A load that an earlier owner learnt is of use for so long, in milliseconds: one or two of its periods. */
-const inheritedMs = 20_000;
+const inheritedMaxAgeMs = 20_000;
 
 /** Above this part of a worker's cores in use, every serving task there is disturbed, whatever uses them. */
-const crowdedUse = 0.9;
+const contentionThreshold = 0.9;
 
 /** The part of its reservation that a lasting task of unknown load uses. */
-const usualUse = 0.5;
+const defaultLoad = 0.5;
 
 /**
  * After a tail went over its target, readings stay high for a while whatever the neighbours do: what has queued up
  * has to be worked off. Nothing is learnt from readings for so long, in milliseconds.
  */
-const overloadMs = 1_800;
+const overloadRecoveryMs = 1_800;
 
 /** A reading under this part of its target shows that a task is not over it any more. */
-const clearlyUnderPart = 0.8;
+const clearlyUnderFactor = 0.8;
 
 /** Under this load a tail is too close to that of an idle task to tell anything. */
-const leastLoad = 0.35;
+const minLoad = 0.35;
 
 /** Mean difference of slopes from which two serving images count as wholly unlike. */
-const unlikeSlope = 1;
+const fullDissimilaritySlope = 1;
 
 /** A serving task, its load when a neighbour placed now is at work, and how much those there raise its busy part. */
 interface ServingProfile {
 	image: string;
 	load: number;
-	disturbance: number;
+	interference: number;
 	/** How much a whole worker of cores in use beyond `crowdedUse` raises it further. */
-	crowdingSlope: number;
+	contentionSlope: number;
 	/** Busy part from which it is over its target. */
 	limit: number;
 }
@@ -78,14 +78,14 @@
 }
 
 /** Unlike shares of a worker, worked out for one state of it. */
-interface UnlikeShares {
+interface DissimilarShares {
 	revision: number;
 	at: number;
 	byImage: Map<string, number | undefined>;
 }
 
 /** What stood beside a worker's serving tasks during its newest readings. */
-interface Surroundings {
+interface NeighbourReadings {
 	shares: imageModel.Shares;
 	/** Nothing changed while the readings were taken. */
 	steady: boolean;
@@ -95,10 +95,10 @@
 }
 
 /** Estimates of disturbance, over all workers of one owner. */
-export class Interference {
-	private readonly models = new Map<string, imageModel.ImageModel>();
+export class InterferenceModel {
+	private readonly imageModels = new Map<string, imageModel.ImageModel>();
 	private readonly profiles = new WeakMap<sessions.WorkerSession, Profile>();
-	private readonly unlikeShares = new WeakMap<sessions.WorkerSession, UnlikeShares>();
+	private readonly dissimilarShares = new WeakMap<sessions.WorkerSession, DissimilarShares>();
 	private readonly waves = new Map<jobs.StepRun, loadWave.LoadWave>();
 	/** Of steps that have ended, whose tasks may still be stopping: kept no longer than the step. */
 	private readonly endedWaves = new WeakMap<jobs.StepRun, loadWave.LoadWave>();
@@ -106,11 +106,11 @@
 	private readonly periods = new Map<string, loadWave.LoadPeriod>();
 
 	/** By pair of images, as of a moment ago: each choice asks for hundreds of them. */
-	private readonly unlikenesses = new Map<string, number>();
-	private unlikenessAt = -Infinity;
+	private readonly dissimilarities = new Map<string, number>();
+	private dissimilaritiesAt = -Infinity;
 
 	/** What an earlier owner learnt of loads whose steps have not reported to this one yet. */
-	private readonly inherited = new Map<string, waveFit.WaveSums>();
+	private readonly inheritedLoads = new Map<string, waveFit.WaveSums>();
 	/** From the steady clock to the wall clock, as it stood at the beginning: later jumps of that clock change nothing. */
 	private readonly wallOffset: number;
 
@@ -118,79 +118,79 @@
 		this.wallOffset = clock.wall() - clock.now();
 	}
 
-	static create(clock: clocks.Clock): Interference {
-		return new Interference(clock);
+	static create(clock: clocks.Clock): InterferenceModel {
+		return new InterferenceModel(clock);
 	}
 
 	/** What was learnt so far. */
-	knowledge(): stored.Knowledge {
-		const time = this.time();
-		const images = [...this.models].map(([image, model]) => [image, model.learnt] as const);
-		const periods = [...this.periods].map(([image, period]) => [image, period.index(time)] as const);
+	exportLearned(): learnedModels.LearnedModels {
+		const time = this.wallTime();
+		const images = [...this.imageModels].map(([image, model]) => [image, model.learned] as const);
+		const periods = [...this.periods].map(([image, period]) => [image, period.chosenIndex(time)] as const);
 		const loads = [...this.waves].flatMap(([step, wave]) => {
-			const sums = wave.learnt(time);
+			const sums = wave.learned(time);
 			return sums === undefined ? [] : [[nameOf(step), sums] as const];
 		});
 		return {
-			format: stored.format,
+			format: learnedModels.format,
 			images: Object.fromEntries(images),
 			periods: Object.fromEntries(periods),
-			loads: Object.fromEntries([...this.inherited, ...loads]),
+			loads: Object.fromEntries([...this.inheritedLoads, ...loads]),
 		};
 	}
 
 	/** Goes on from what another owner learnt; false: it is stored in the form of another version. */
-	adopt(knowledge: stored.Knowledge): boolean {
-		if (knowledge.format !== stored.format) return false;
-		const { images, periods, loads } = knowledge;
-		for (const [image, learnt] of Object.entries(images))
-			this.models.set(image, imageModel.ImageModel.restore(learnt));
+	restore(learned: learnedModels.LearnedModels): boolean {
+		if (learned.format !== learnedModels.format) return false;
+		const { images, periods, loads } = learned;
+		for (const [image, exported] of Object.entries(images))
+			this.imageModels.set(image, imageModel.ImageModel.restore(exported));
 		for (const [image, period] of Object.entries(periods))
-			this.periods.set(image, loadWave.LoadPeriod.restore(period, this.time()));
-		const since = this.time() - inheritedMs;
-		this.inherited.clear();
+			this.periods.set(image, loadWave.LoadPeriod.restore(period, this.wallTime()));
+		const since = this.wallTime() - inheritedMaxAgeMs;
+		this.inheritedLoads.clear();
 		for (const [name, sums] of Object.entries(loads))
-			if ((sums.updatedAt ?? 0) >= since) this.inherited.set(name, sums);
+			if ((sums.updatedAt ?? 0) >= since) this.inheritedLoads.set(name, sums);
 		return true;
 	}
 
 	/** Learns from a worker's newest readings. */
 	observe(session: sessions.WorkerSession): void {
 		const atWork = neighbours
-			.servingOf(session)
-			.filter((place) => place.reading > 0 && place.percent === 100);
+			.servingPlacements(session)
+			.filter((placement) => placement.reading > 0 && placement.percent === 100);
 		const now = this.clock.now();
-		for (const place of atWork) noteOver(session, place, now);
+		for (const placement of atWork) noteOverTarget(session, placement, now);
 		// Before the platform has named the worker, its size is not known.
 		if (atWork.length === 0 || session.entry === undefined) return;
-		const shares = neighbours.sharesOf(session, (place) => partOfReading(place, now));
-		const crowding = crowdingAt(this.useOf(session, this.time() - loadWave.readingAgeMs));
-		const around: Surroundings = {
-			shares: shares.set(neighbours.crowding, crowding),
-			steady: now - session.neighboursChangedAt > readingMs,
+		const shares = neighbours.neighbourShares(session, (placement) => shareOfReading(placement, now));
+		const contention = contentionAt(this.utilizationOf(session, this.wallTime() - loadWave.readingAgeMs));
+		const neighbourReadings: NeighbourReadings = {
+			shares: shares.set(neighbours.contention, contention),
+			steady: now - session.neighboursChangedAt > readingWindowMs,
 			relievedAt: session.preemptibleLoadReducedAt,
 			now,
 		};
-		for (const place of atWork) this.observeTask(place, around);
+		for (const placement of atWork) this.observeTask(placement, neighbourReadings);
 	}
 
 	/**
 	 * How many serving tasks of a worker one more neighbour is expected to keep over their targets, beyond those that are
 	 * so already; parts count for those that go over for a part of the time.
 	 */
-	harmOf(session: sessions.WorkerSession, image: string, share: number): number {
+	expectedViolations(session: sessions.WorkerSession, image: string, share: number): number {
 		const { tasks, use } = this.profile(session);
-		const crowding = crowdingAt(use + share) - crowdingAt(use);
-		let harm = 0;
+		const contention = contentionAt(use + share) - contentionAt(use);
+		let violations = 0;
 		for (const one of tasks) {
-			const more = this.slope(one.image, image) * share + one.crowdingSlope * crowding;
-			harm += harmAt(one, one.disturbance + more) - harmAt(one, one.disturbance);
+			const more = this.slope(one.image, image) * share + one.contentionSlope * contention;
+			violations += violationShare(one, one.interference + more) - violationShare(one, one.interference);
 		}
-		return harm;
+		return violations;
 	}
 
 	/** Part of a worker's cores that is in use when a neighbour placed now is at work. */
-	expectedUse(session: sessions.WorkerSession): number {
+	expectedUtilization(session: sessions.WorkerSession): number {
 		return this.profile(session).use;
 	}
 
@@ -203,18 +203,18 @@
 	 * How differently two serving images are disturbed, 0 to 1: 1 where a neighbour that one does not mind overloads the
 	 * other, or nothing is known.
 	 */
-	unlikeness(one: string, other: string): number {
+	dissimilarity(one: string, other: string): number {
 		if (one === other) return 0;
 		const now = this.clock.now();
-		if (now - this.unlikenessAt >= profileMs) {
-			this.unlikenesses.clear();
-			this.unlikenessAt = now;
+		if (now - this.dissimilaritiesAt >= profileMaxAgeMs) {
+			this.dissimilarities.clear();
+			this.dissimilaritiesAt = now;
 		}
 		const key = `${one}\n${other}`;
-		const known = this.unlikenesses.get(key);
+		const known = this.dissimilarities.get(key);
 		if (known !== undefined) return known;
-		const found = this.compare(one, other);
-		this.unlikenesses.set(key, found);
+		const found = this.computeDissimilarity(one, other);
+		this.dissimilarities.set(key, found);
 		return found;
 	}
 
@@ -222,58 +222,58 @@
 	 * Part of the worker's serving cores whose images are disturbed by other neighbours than `image` is; undefined: nothing
 	 * serves there.
 	 */
-	unlikeShare(image: string, session: sessions.WorkerSession): number | undefined {
-		const known = this.unlikeShares.get(session);
+	dissimilarShare(image: string, session: sessions.WorkerSession): number | undefined {
+		const known = this.dissimilarShares.get(session);
 		const now = this.clock.now();
-		const isFresh = known?.revision === session.revision && now - known.at < profileMs;
+		const isFresh = known?.revision === session.revision && now - known.at < profileMaxAgeMs;
 		const kept = isFresh
 			? known
 			: { revision: session.revision, at: now, byImage: new Map<string, number | undefined>() };
-		if (!isFresh) this.unlikeShares.set(session, kept);
+		if (!isFresh) this.dissimilarShares.set(session, kept);
 		if (kept.byImage.has(image)) return kept.byImage.get(image);
-		const share = this.workOutUnlikeShare(image, session);
+		const share = this.computeDissimilarShare(image, session);
 		kept.byImage.set(image, share);
 		return share;
 	}
 
-	private workOutUnlikeShare(image: string, session: sessions.WorkerSession): number | undefined {
+	private computeDissimilarShare(image: string, session: sessions.WorkerSession): number | undefined {
 		let serving = 0;
-		let unlike = 0;
+		let dissimilar = 0;
 		for (const { task } of session.placements.values()) {
 			const { spec } = task.step;
 			if (spec.targetMs === 0) continue;
 			serving += spec.milliCores;
-			unlike += spec.milliCores * this.unlikeness(image, spec.image);
+			dissimilar += spec.milliCores * this.dissimilarity(image, spec.image);
 		}
-		return serving === 0 ? undefined : unlike / serving;
+		return serving === 0 ? undefined : dissimilar / serving;
 	}
 
-	private compare(one: string, other: string): number {
+	private computeDissimilarity(one: string, other: string): number {
 		const images = new Set([...this.model(one).neighbours, ...this.model(other).neighbours]);
-		images.delete(neighbours.ordinary);
-		images.delete(neighbours.crowding);
+		images.delete(neighbours.otherTasks);
+		images.delete(neighbours.contention);
 		if (images.size === 0) return 1;
 		let sum = 0;
 		for (const image of images) sum += Math.abs(this.slope(one, image) - this.slope(other, image));
-		return Math.min(1, sum / images.size / unlikeSlope);
+		return Math.min(1, sum / images.size / fullDissimilaritySlope);
 	}
 
-	private observeTask(place: types.Placement, around: Surroundings): void {
-		const { shares, steady, relievedAt, now } = around;
-		const { image, targetMs } = place.task.step.spec;
+	private observeTask(placement: types.Placement, neighbourReadings: NeighbourReadings): void {
+		const { shares, steady, relievedAt, now } = neighbourReadings;
+		const { image, targetMs } = placement.task.step.spec;
 		const model = this.model(image);
-		model.noteTail(place.reading);
-		const isOver = place.reading > targetMs;
-		const relievedLately = now - relievedAt < overloadMs;
+		model.noteTail(placement.reading);
+		const isOver = placement.reading > targetMs;
+		const wasJustRelieved = now - relievedAt < overloadRecoveryMs;
 		// Relieved of a neighbour, it still has to work off what has queued up.
-		if (relievedLately && now - place.lastOverTargetAt < overloadMs) return;
-		const busy = model.busyPart(place.reading, targetMs);
-		const wave = this.wave(place.task.step);
-		const time = this.time();
-		wave.note(place.task.index, busy, time);
+		if (wasJustRelieved && now - placement.lastOverTargetAt < overloadRecoveryMs) return;
+		const busy = model.busyPart(placement.reading, targetMs);
+		const wave = this.wave(placement.task.step);
+		const time = this.wallTime();
+		wave.addReading(placement.task.index, busy, time);
 		if (!wave.isComparable(time)) return;
 		const load = wave.loadAt(time - loadWave.readingAgeMs, time);
-		if (load <= leastLoad) return;
+		if (load <= minLoad) return;
 		// Of readings under changed neighbours, only those over the target are evidence.
 		if (steady || isOver) model.learn(shares, busy / load - 1);
 	}
@@ -282,27 +282,27 @@
 	forget(step: jobs.StepRun): void {
 		const wave = this.waves.get(step);
 		this.waves.delete(step);
-		if (wave !== undefined) this.setAside(step, wave);
+		if (wave !== undefined) this.retire(step, wave);
 	}
 
 	/** The serving tasks of a worker beside what is placed there. */
 	private profile(session: sessions.WorkerSession): Profile {
 		const known = this.profiles.get(session);
 		const now = this.clock.now();
-		if (known?.revision === session.revision && now - known.at < profileMs) return known;
-		const time = this.time() + aheadMs;
-		const use = this.useOf(session, time);
-		const shares = neighbours.sharesOf(session, () => 1);
-		shares.set(neighbours.crowding, crowdingAt(use));
-		const tasks = neighbours.servingOf(session).map((place) => {
-			const { image, targetMs } = place.task.step.spec;
+		if (known?.revision === session.revision && now - known.at < profileMaxAgeMs) return known;
+		const time = this.wallTime() + predictionMs;
+		const use = this.utilizationOf(session, time);
+		const shares = neighbours.neighbourShares(session, () => 1);
+		shares.set(neighbours.contention, contentionAt(use));
+		const tasks = neighbours.servingPlacements(session).map((placement) => {
+			const { image, targetMs } = placement.task.step.spec;
 			const model = this.model(image);
-			const load = this.loadOf(place.task.step, time);
+			const load = this.loadOf(placement.task.step, time);
 			return {
 				image,
 				load,
-				disturbance: model.disturbance(shares),
-				crowdingSlope: model.slope(neighbours.crowding),
+				interference: model.interferenceOf(shares),
+				contentionSlope: model.slope(neighbours.contention),
 				limit: model.busyPart(targetMs, targetMs),
 			};
 		});
@@ -312,7 +312,7 @@
 	}
 
 	/** Part of a worker's cores in use at a time: what fills and short tasks use all, lasting ones by their loads. */
-	private useOf(session: sessions.WorkerSession, time: number): number {
+	private utilizationOf(session: sessions.WorkerSession, time: number): number {
 		let idle = 0;
 		for (const { task } of session.placements.values()) {
 			const { lasting, fills, milliCores } = task.step.spec;
@@ -323,12 +323,12 @@
 	}
 
 	private loadOf(step: jobs.StepRun, time: number): number {
-		if (step.spec.targetMs === 0) return usualUse;
-		return this.wave(step).loadAt(time, this.time());
+		if (step.spec.targetMs === 0) return defaultLoad;
+		return this.wave(step).loadAt(time, this.wallTime());
 	}
 
 	/** Now, in the time that loads are kept in. */
-	private time(): number {
+	private wallTime(): number {
 		return this.clock.now() + this.wallOffset;
 	}
 
@@ -336,13 +336,13 @@
 		const known = this.waves.get(step) ?? this.endedWaves.get(step);
 		if (known !== undefined) return known;
 		const created = this.period(step.spec.image).createWave(this.takeInherited(step));
-		if (step.job.ended) this.setAside(step, created);
+		if (step.job.ended) this.retire(step, created);
 		else this.waves.set(step, created);
 		return created;
 	}
 
 	/** Until the tasks of an ended step have stopped, looks at their worker still ask for its load. */
-	private setAside(step: jobs.StepRun, wave: loadWave.LoadWave): void {
+	private retire(step: jobs.StepRun, wave: loadWave.LoadWave): void {
 		this.period(step.spec.image).remove(wave);
 		this.endedWaves.set(step, wave);
 	}
@@ -350,23 +350,23 @@
 	private period(image: string): loadWave.LoadPeriod {
 		const known = this.periods.get(image);
 		if (known !== undefined) return known;
-		const created = loadWave.LoadPeriod.create(this.time());
+		const created = loadWave.LoadPeriod.create(this.wallTime());
 		this.periods.set(image, created);
 		return created;
 	}
 
 	private takeInherited(step: jobs.StepRun): waveFit.WaveSums | undefined {
 		const name = nameOf(step);
-		const sums = this.inherited.get(name);
-		this.inherited.delete(name);
+		const sums = this.inheritedLoads.get(name);
+		this.inheritedLoads.delete(name);
 		return sums;
 	}
 
 	private model(image: string): imageModel.ImageModel {
-		const known = this.models.get(image);
+		const known = this.imageModels.get(image);
 		if (known !== undefined) return known;
 		const created = imageModel.ImageModel.create();
-		this.models.set(image, created);
+		this.imageModels.set(image, created);
 		return created;
 	}
 }
@@ -377,42 +377,44 @@
 }
 
 /** Part of the newest reading during which a neighbour was at work. */
-function partOfReading(place: types.Placement, now: number): number {
-	if (place.confirmedAt === 0) return 0;
-	return Math.min(1, (now - Math.max(place.confirmedAt, place.paceChangedAt)) / readingMs);
+function shareOfReading(placement: types.Placement, now: number): number {
+	if (placement.confirmedAt === 0) return 0;
+	return Math.min(1, (now - Math.max(placement.confirmedAt, placement.paceChangedAt)) / readingWindowMs);
 }
 
 /** Part of the next seconds that a task is over its target, by its disturbance. */
-function harmAt(task: ServingProfile, disturbance: number): number {
-	const beyond = task.load * (1 + disturbance) - task.limit;
-	return Math.min(1, Math.max(0, (beyond - surelyUnder) / (surelyOver - surelyUnder)));
+function violationShare(task: ServingProfile, interference: number): number {
+	const beyond = task.load * (1 + interference) - task.limit;
+	return Math.min(1, Math.max(0, (beyond - neverOverMargin) / (alwaysOverMargin - neverOverMargin)));
 }
 
 /** Part of a worker's cores in use beyond what goes without disturbance. */
-function crowdingAt(use: number): number {
-	return Math.max(0, use - crowdedUse);
+function contentionAt(use: number): number {
+	return Math.max(0, use - contentionThreshold);
 }
 
 /**
  * Notes whether a task is over its target, and since when. It may have been over it for as long as nothing was heard of
  * its worker. Readings are rough: one just under the target ends nothing.
  */
-function noteOver(session: sessions.WorkerSession, place: types.Placement, now: number): void {
-	const { reading, overTargetSince: overSince, hasDippedUnderTarget: hasDipped } = place;
-	const { targetMs } = place.task.step.spec;
+function noteOverTarget(session: sessions.WorkerSession, placement: types.Placement, now: number): void {
+	const { reading, overTargetSince: overSince, hasDippedUnderTarget: hasDipped } = placement;
+	const { targetMs } = placement.task.step.spec;
 	if (reading > targetMs) {
-		place.lastOverTargetAt = now;
-		place.overTargetSince = overSince ?? Math.max(now - session.unansweredBeforeReportMs, knownSince(place));
-		place.hasDippedUnderTarget = false;
+		placement.lastOverTargetAt = now;
+		placement.overTargetSince =
+			overSince ?? Math.max(now - session.unansweredBeforeReportMs, earliestOverAt(placement));
+		placement.hasDippedUnderTarget = false;
 		return;
 	}
 	// Time without reports is no calm.
-	place.lastOverTargetAt = session.excludeUnansweredTime(place.lastOverTargetAt);
-	place.hasDippedUnderTarget = overSince !== undefined && !hasDipped && reading > targetMs * clearlyUnderPart;
-	if (!place.hasDippedUnderTarget) place.overTargetSince = undefined;
+	placement.lastOverTargetAt = session.excludeUnansweredTime(placement.lastOverTargetAt);
+	placement.hasDippedUnderTarget =
+		overSince !== undefined && !hasDipped && reading > targetMs * clearlyUnderFactor;
+	if (!placement.hasDippedUnderTarget) placement.overTargetSince = undefined;
 }
 
 /** Clock time before which a run cannot have been over its target. */
-function knownSince(place: types.Placement): number {
-	return placements.isAdopted(place) ? -Infinity : place.confirmedAt;
+function earliestOverAt(placement: types.Placement): number {
+	return placements.isAdopted(placement) ? -Infinity : placement.confirmedAt;
 }
--- a/src/core/dispatch/job-book.ts
+++ b/src/core/dispatch/job-book.ts
@@ -5,13 +5,13 @@
 import type * as ledger from '../ledger/index.js';
 
 /** Ended jobs cleared from the store in one write: three keys each of 32. */
-const clearBatch = 10;
+const deletesPerWrite = 10;
 
 /** A job is known for so long after it was cleared from the store, in milliseconds: a list asked for before may name it. */
-const forgetAfterMs = 10_000;
+const keepDeletedMs = 10_000;
 
 /** Settings of a book. */
-export interface JobBookOptions {
+export interface JobRegistryOptions {
 	clock: clocks.Clock;
 	events: events.EventLog;
 	/** A finished job's state is kept this long, in milliseconds. */
@@ -22,18 +22,18 @@
 }
 
 /** All jobs under one owner. */
-export class JobBook {
+export class JobRegistry {
 	private readonly jobs = new Map<string, jobs.ActiveJob>();
 	/** Scheduled jobs whose next time has not come. */
 	private readonly scheduled = new Set<jobs.ActiveJob>();
 	/** Jobs that the store keeps no more, with the clock time of that, the longest ago first. */
-	private readonly cleared = new Map<string, number>();
-	private clearing = false;
+	private readonly deletedAt = new Map<string, number>();
+	private isDeleting = false;
 
-	private constructor(private readonly opts: JobBookOptions) {}
+	private constructor(private readonly opts: JobRegistryOptions) {}
 
-	static create(opts: JobBookOptions): JobBook {
-		return new JobBook(opts);
+	static create(opts: JobRegistryOptions): JobRegistry {
+		return new JobRegistry(opts);
 	}
 
 	/** A job by its id. */
@@ -59,7 +59,7 @@
 			ageMs: Math.round(age),
 			state: job.state,
 		});
-		this.openTimes(job);
+		this.openOccurrences(job);
 		return job;
 	}
 
@@ -69,7 +69,7 @@
 	}
 
 	/** The task of a run that is there, also of a job that has long ended: how much it takes is needed. */
-	findRunning(name: string): jobs.Task | undefined {
+	findTaskOfRun(name: string): jobs.Task | undefined {
 		return this.find(name, () => true);
 	}
 
@@ -91,12 +91,12 @@
 	}
 
 	/** Jobs that an earlier owner may have started and that have not ended. */
-	inherited(): jobs.ActiveJob[] {
+	unfinishedInherited(): jobs.ActiveJob[] {
 		return [...this.jobs.values()].filter((job) => job.inherited && !job.ended);
 	}
 
 	/** Tasks that have not finished, by the priority of their jobs; lasting ones never do, and are left out. */
-	owed(priorityOf: (job: jobs.ActiveJob) => number): Map<number, number> {
+	outstandingTasks(priorityOf: (job: jobs.ActiveJob) => number): Map<number, number> {
 		const owed = new Map<number, number>();
 		for (const job of this.jobs.values()) {
 			if (job.ended) continue;
@@ -116,7 +116,7 @@
 	}
 
 	/** A job has ended: no more of its times come. */
-	close(job: jobs.ActiveJob, state: jobs.JobState): void {
+	markEnded(job: jobs.ActiveJob, state: jobs.JobState): void {
 		job.state = state;
 		job.endedAt = this.opts.clock.wall();
 		this.scheduled.delete(job);
@@ -125,21 +125,21 @@
 
 	/** To be called now and then: opens times that have come, clears away what ended long ago. */
 	tick(): void {
-		for (const job of [...this.scheduled]) this.openTimes(job);
-		this.clearOld();
+		for (const job of [...this.scheduled]) this.openOccurrences(job);
+		this.deleteOld();
 	}
 
 	/** A worker knows tasks of times that an owner has begun; they are made now if `mayMake` says so. */
-	private find(name: string, mayMake: (job: jobs.ActiveJob) => boolean): jobs.Task | undefined {
+	private find(name: string, mayOpen: (job: jobs.ActiveJob) => boolean): jobs.Task | undefined {
 		const parsed = jobs.parseTaskName(name);
 		const job = parsed && this.jobs.get(parsed.job);
 		if (parsed === undefined || job === undefined) return undefined;
-		if (mayMake(job) && job.reach(parsed.time)) this.openTimes(job);
+		if (mayOpen(job) && job.reach(parsed.time)) this.openOccurrences(job);
 		return job.findTask(parsed.time, parsed.step, parsed.index);
 	}
 
 	/** Makes the tasks of every time that has come. */
-	private openTimes(job: jobs.ActiveJob): void {
+	private openOccurrences(job: jobs.ActiveJob): void {
 		const { clock } = this.opts;
 		for (;;) {
 			const due = job.nextDue();
@@ -156,34 +156,34 @@
 	}
 
 	/** Forgets jobs that ended long ago, in the store and then here: one that is stored and not known would run again. */
-	private clearOld(): void {
-		this.forgetCleared();
-		if (this.clearing) return;
+	private deleteOld(): void {
+		this.removeDeleted();
+		if (this.isDeleting) return;
 		const before = this.opts.clock.wall() - this.opts.keepStateMs;
 		const old: string[] = [];
 		for (const job of this.jobs.values()) {
-			if (old.length >= clearBatch) break;
+			if (old.length >= deletesPerWrite) break;
 			const isOld = job.endStored && job.endedAt < before;
-			if (isOld && !this.cleared.has(job.id)) old.push(job.id);
+			if (isOld && !this.deletedAt.has(job.id)) old.push(job.id);
 		}
-		if (old.length > 0) void this.clear(old);
+		if (old.length > 0) void this.deleteStored(old);
 	}
 
-	private async clear(old: string[]): Promise<void> {
-		this.clearing = true;
+	private async deleteStored(old: string[]): Promise<void> {
+		this.isDeleting = true;
 		const outcome = await this.opts.clearJobs(old);
-		this.clearing = false;
+		this.isDeleting = false;
 		// Without an answer they are tried again: clearing twice changes nothing.
 		if (outcome !== 'committed') return;
 		const now = this.opts.clock.now();
-		for (const id of old) this.cleared.set(id, now);
+		for (const id of old) this.deletedAt.set(id, now);
 	}
 
-	private forgetCleared(): void {
-		const before = this.opts.clock.now() - forgetAfterMs;
-		for (const [id, at] of this.cleared) {
+	private removeDeleted(): void {
+		const before = this.opts.clock.now() - keepDeletedMs;
+		for (const [id, at] of this.deletedAt) {
 			if (at > before) return;
-			this.cleared.delete(id);
+			this.deletedAt.delete(id);
 			this.jobs.delete(id);
 		}
 	}
--- a/src/core/dispatch/knowledge.ts
+++ b/src/core/dispatch/knowledge.ts
@@ -6,11 +6,11 @@
 export const format = 1;
 
 /** All that was learnt; another owner may go on from it. Times are of the wall clock: boxes share no other. */
-export interface Knowledge {
+export interface LearnedModels {
 	/** Form of this record: an owner of another version learns anew. */
 	format: number;
 	/** How neighbours disturb each serving image. */
-	images: Record<string, imageModel.LearntImage>;
+	images: Record<string, imageModel.LearnedImage>;
 	/** Number of the period in which the loads of each serving image swing. */
 	periods: Record<string, number>;
 	/** The loads of lasting steps, by name. */
--- a/src/core/dispatch/load-meter.ts
+++ b/src/core/dispatch/load-meter.ts
@@ -26,7 +26,7 @@
 	longestRoundMs: number;
 }
 
-const nothing: LoadReading = {
+const zeroReading: LoadReading = {
 	starts: 0,
 	answers: 0,
 	holds: 0,
@@ -43,12 +43,12 @@
 };
 
 /** What is counted one by one. */
-export type Counted =
+export type CounterName =
 	'starts' | 'answers' | 'holds' | 'stops' | 'paces' | 'repeats' | 'finished' | 'abandoned';
 
 /** Counts between two readings. */
 export class LoadMeter {
-	private counts: LoadReading = { ...nothing };
+	private counts: LoadReading = { ...zeroReading };
 
 	private constructor() {
 		// Built by `create`, like every class here.
@@ -59,18 +59,18 @@
 	}
 
 	/** Something was done once more. */
-	count(what: Counted): void {
-		this.counts[what] += 1;
+	count(counter: CounterName): void {
+		this.counts[counter] += 1;
 	}
 
 	/** Taking in a report took so long. */
-	report(tookMs: number): void {
+	noteReport(tookMs: number): void {
 		this.counts.reports += 1;
 		this.counts.reportMs += tookMs;
 	}
 
 	/** A round of placing took so long. */
-	round(tookMs: number): void {
+	noteRound(tookMs: number): void {
 		this.counts.rounds += 1;
 		this.counts.roundMs += tookMs;
 		this.counts.longestRoundMs = Math.max(this.counts.longestRoundMs, tookMs);
@@ -79,7 +79,7 @@
 	/** What was done since the last reading. */
 	read(): LoadReading {
 		const { counts } = this;
-		this.counts = { ...nothing };
+		this.counts = { ...zeroReading };
 		return counts;
 	}
 }
--- a/src/core/dispatch/load-wave.ts
+++ b/src/core/dispatch/load-wave.ts
@@ -9,47 +9,47 @@
 const periodsMs = Array.from({ length: 19 }, (_, i) => 5_000 * (10 / 9) ** i);
 
 /** First guess of a load: a queue that is half busy. */
-const firstLoad = 0.5;
+const initialLoad = 0.5;
 
 /** The least and most that a load is taken for. */
-const leastLoad = 0.05;
-const mostLoad = 0.95;
+const minLoad = 0.05;
+const maxLoad = 0.95;
 
 /** A busy part so far above the expected load is taken for noise; one further above, for a disturbance. */
-const noise = 0.04;
+const noiseThreshold = 0.04;
 
 /** Weight of a disturbed sample next to one at the load, at the limit of the noise; it falls with the distance. */
-const disturbedWeight = 0.35;
+const outlierWeight = 0.35;
 
 /** A report counts for so long when tasks are compared, in milliseconds. */
-const freshMs = 1_300;
+const reportMaxAgeMs = 1_300;
 
 /** Fewer tasks than this can't tell a load from a disturbance. */
-const leastTasks = 3;
+const minTasks = 3;
 
 /** A reading covers the last half second: it tells the value of so long ago, in milliseconds. */
 export const readingAgeMs = 250;
 
 /** Times so close are one moment to a load, in milliseconds: it swings over five seconds at least. */
-const sameMomentMs = 50;
+const cacheToleranceMs = 50;
 
 /** The period is chosen anew after so long, in milliseconds: it is a lasting property of what runs. */
-const choiceMs = 1_000;
+const choiceIntervalMs = 1_000;
 
 /** Before loads were seen for so long, in milliseconds, a short period would fit their noise better than their swing. */
-const leastHistoryMs = 9_000;
+const minHistoryMs = 9_000;
 
 /** A period that an earlier owner chose is taken for so long, in milliseconds: until the others are seen as well. */
-const inheritedMs = 20_000;
+const inheritedPeriodMs = 20_000;
 
 /** Number of the period that is taken at first: the middle one, of 13 seconds. */
-const firstPeriod = Math.floor(periodsMs.length / 2);
+const initialPeriod = Math.floor(periodsMs.length / 2);
 
 /**
  * A sample enters the fit of the chosen period; those of the other periods take one of so many, as they only serve to
  * choose.
  */
-const samplesPerOther = 6;
+const otherPeriodsInterval = 6;
 
 /** The period that the loads of one image swing in, chosen over all its steps. */
 export class LoadPeriod {
@@ -58,16 +58,16 @@
 	/** `choiceAt`: time of the next choice. */
 	private constructor(
 		private chosen: number,
-		private choiceAt: number,
+		private nextChoiceAt: number,
 	) {}
 
 	static create(now: number): LoadPeriod {
-		return new LoadPeriod(firstPeriod, now + leastHistoryMs);
+		return new LoadPeriod(initialPeriod, now + minHistoryMs);
 	}
 
 	/** Goes on with the period that an earlier owner chose. */
 	static restore(chosen: number, now: number): LoadPeriod {
-		return new LoadPeriod(chosen, now + inheritedMs);
+		return new LoadPeriod(chosen, now + inheritedPeriodMs);
 	}
 
 	/** A step whose load swings in this period; `sums`: what an earlier owner learnt of it. */
@@ -83,9 +83,9 @@
 	}
 
 	/** Number of the period that leaves least unexplained. */
-	index(now: number): number {
-		if (now < this.choiceAt) return this.chosen;
-		this.choiceAt = now + choiceMs;
+	chosenIndex(now: number): number {
+		if (now < this.nextChoiceAt) return this.chosen;
+		this.nextChoiceAt = now + choiceIntervalMs;
 		const unexplained = periodsMs.map((_, i) => {
 			let sum = 0;
 			for (const wave of this.waves) sum += wave.unexplained(i);
@@ -118,8 +118,8 @@
 	) {
 		this.fits = periodsMs.map((periodMs, i) =>
 			inherited?.period === i
-				? waveFit.WaveFit.restore(periodMs, firstLoad, inherited.sums)
-				: waveFit.WaveFit.create(periodMs, firstLoad),
+				? waveFit.WaveFit.restore(periodMs, initialLoad, inherited.sums)
+				: waveFit.WaveFit.create(periodMs, initialLoad),
 		);
 	}
 
@@ -128,17 +128,17 @@
 	}
 
 	/** Takes in a task's busy part from a reading that was just reported. */
-	note(task: number, busy: number, now: number): void {
+	addReading(task: number, busy: number, now: number): void {
 		const at = now - readingAgeMs;
-		const above = busy - this.loadAt(at, now);
-		const weight = above <= noise ? 1 : (disturbedWeight * noise) / above;
-		const chosen = this.period.index(now);
+		const excess = busy - this.loadAt(at, now);
+		const weight = excess <= noiseThreshold ? 1 : (outlierWeight * noiseThreshold) / excess;
+		const chosen = this.period.chosenIndex(now);
 		this.newest = undefined;
 		this.samples += 1;
-		const isForAll = this.samples % samplesPerOther === 0;
+		const isForAll = this.samples % otherPeriodsInterval === 0;
 		this.fits.forEach((fit, i) => {
-			if (i === chosen) fit.note(busy, weight, at);
-			else if (isForAll) fit.note(busy, weight * samplesPerOther, at);
+			if (i === chosen) fit.addSample(busy, weight, at);
+			else if (isForAll) fit.addSample(busy, weight * otherPeriodsInterval, at);
 		});
 		this.reportedAt.set(task, now);
 	}
@@ -146,9 +146,9 @@
 	/** The load at a time not far from now. */
 	loadAt(time: number, now: number): number {
 		const { newest } = this;
-		if (newest !== undefined && Math.abs(time - newest.time) < sameMomentMs) return newest.load;
-		const fitted = this.fits[this.period.index(now)]?.at(time) ?? firstLoad;
-		const load = Math.min(mostLoad, Math.max(leastLoad, fitted));
+		if (newest !== undefined && Math.abs(time - newest.time) < cacheToleranceMs) return newest.load;
+		const fitted = this.fits[this.period.chosenIndex(now)]?.at(time) ?? initialLoad;
+		const load = Math.min(maxLoad, Math.max(minLoad, fitted));
 		this.newest = { time, load };
 		return load;
 	}
@@ -156,8 +156,8 @@
 	/** Whether enough tasks report to tell the load from a disturbance. */
 	isComparable(now: number): boolean {
 		let fresh = 0;
-		for (const at of this.reportedAt.values()) if (now - at < freshMs) fresh += 1;
-		return fresh >= leastTasks;
+		for (const at of this.reportedAt.values()) if (now - at < reportMaxAgeMs) fresh += 1;
+		return fresh >= minTasks;
 	}
 
 	/** What a wave of the period with that number leaves unexplained, as a mean of squares. */
@@ -166,8 +166,8 @@
 	}
 
 	/** What was learnt of the load in its period; undefined: nothing yet. */
-	learnt(now: number): waveFit.WaveSums | undefined {
-		const sums = this.fits[this.period.index(now)]?.learnt;
+	learned(now: number): waveFit.WaveSums | undefined {
+		const sums = this.fits[this.period.chosenIndex(now)]?.learned;
 		return sums?.updatedAt === undefined ? undefined : sums;
 	}
 }
--- a/src/core/dispatch/neighbours.ts
+++ b/src/core/dispatch/neighbours.ts
@@ -3,21 +3,21 @@
 import type * as types from './types.js';
 
 /** Name under which tasks that neither serve nor fill are counted. */
-export const ordinary = '';
+export const otherTasks = '';
 
 /** Name under which the cores in use beyond what goes without disturbance are counted; images have other names. */
-export const crowding = ' crowding';
+export const contention = ' crowding';
 
 /** Up to this part of its cores in use, a run that fills stands still: readings are rough. */
-const idlePart = 0.05;
+const idleShare = 0.05;
 
 /** Placements that serve users on a worker. */
-export function servingOf(session: sessions.WorkerSession): types.Placement[] {
+export function servingPlacements(session: sessions.WorkerSession): types.Placement[] {
 	return [...session.placements.values()].filter(isServing);
 }
 
 /** Placements that fill on a worker, were started there and are not known to be stopping. */
-export function fillingOf(session: sessions.WorkerSession): types.Placement[] {
+export function preemptiblePlacements(session: sessions.WorkerSession): types.Placement[] {
 	return [...session.placements.values()].filter(
 		({ task, phase, stopConfirmedAt: stoppedAt }) =>
 			task.step.spec.fills && phase !== 'starting' && stoppedAt === 0,
@@ -26,20 +26,20 @@
 
 /** Whether a run that fills works, by its own reading. */
 export function isAtWork({ task, reading }: types.Placement): boolean {
-	return reading > task.step.spec.milliCores * idlePart;
+	return reading > task.step.spec.milliCores * idleShare;
 }
 
 /** What the neighbours of the serving tasks use, by image; `partOf` weighs each. */
-export function sharesOf(
+export function neighbourShares(
 	session: sessions.WorkerSession,
-	partOf: (place: types.Placement) => number,
+	weightOf: (place: types.Placement) => number,
 ): Map<string, number> {
 	const shares = new Map<string, number>();
 	for (const place of session.placements.values()) {
 		if (isServing(place)) continue;
 		const { spec } = place.task.step;
-		const image = spec.fills ? spec.image : ordinary;
-		shares.set(image, (shares.get(image) ?? 0) + shareOf(session, place) * partOf(place));
+		const image = spec.fills ? spec.image : otherTasks;
+		shares.set(image, (shares.get(image) ?? 0) + shareOf(session, place) * weightOf(place));
 	}
 	return shares;
 }
--- a/src/core/dispatch/outcomes.ts
+++ b/src/core/dispatch/outcomes.ts
@@ -2,12 +2,12 @@
 import * as jobs from '../jobs/index.js';
 import * as locations from './task-locations.js';
 import * as settings from './settings.js';
-import type * as blame from './crash-blame.js';
+import type * as crashAttribution from './crash-blame.js';
 import type * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 import type * as fleet from '../fleet/types.js';
 import type * as interference from './interference.js';
-import type * as jobBook from './job-book.js';
+import type * as jobRegistry from './job-book.js';
 import type * as placer from './placer.js';
 import type * as probation from './probation.js';
 import type * as saver from './progress-saver.js';
@@ -19,25 +19,25 @@
 export interface OutcomesOptions {
 	clock: clocks.Clock;
 	events: events.EventLog;
-	book: jobBook.JobBook;
+	registry: jobRegistry.JobRegistry;
 	placer: placer.Placer;
 	progress: saver.ProgressSaver;
-	blame: blame.CrashBlame;
+	crashAttribution: crashAttribution.CrashAttribution;
 	probations: probation.Probations;
 	starter: starter.Starter;
 	policyOf: (job: jobs.ActiveJob) => jobs.QueuePolicy;
-	estimates: interference.Interference;
+	interferenceModel: interference.InterferenceModel;
 	/** Whether a worker may have gone down under a run of the task that this owner never heard of. */
-	mayHaveCrashed: (task: jobs.Task) => boolean;
+	mayHaveCrashedUnreported: (task: jobs.Task) => boolean;
 	/** What became of a run that an earlier owner may have started on a worker, and that is nowhere. */
-	fateOn: (worker: string) => jobs.TryFate;
+	tryOutcomeOn: (worker: string) => jobs.TryFate;
 }
 
 /** A worker that carries out a start answers within so long, in milliseconds, unless the start brings it down before. */
-const mostAnswerMs = 50;
+const maxStartAnswerMs = 50;
 
 /** Stands for the run of an earlier owner whose number is not known. */
-const unseenRun = 0;
+const unknownRunNumber = 0;
 
 /** Carries outcomes over to jobs and to the other tasks of a gang. */
 export class Outcomes {
@@ -48,13 +48,13 @@
 	}
 
 	/** A run of the job is known to be there. */
-	begun(job: jobs.ActiveJob): void {
+	started(job: jobs.ActiveJob): void {
 		if (job.state === 'pending') job.state = 'running';
 	}
 
 	/** A run is known never to start. */
-	notStarted(session: sessions.WorkerSession, place: types.Placement, err: fleet.WorkerFailure): void {
-		const { task, run } = place;
+	notStarted(session: sessions.WorkerSession, placement: types.Placement, err: fleet.WorkerFailure): void {
+		const { task, run } = placement;
 		this.opts.events.emit('start.refused', {
 			task: task.name,
 			run,
@@ -64,32 +64,32 @@
 		task.crashes?.noteNotStarted(run);
 		if (err.kind !== 'stale-run') session.health.backOff(settings.refusalBackoffMs);
 		this.opts.placer.requeue(task);
-		this.breakGang(task);
+		this.stopGang(task);
 	}
 
 	/** A start was held back: its place is not what it was when it was taken. */
-	withdrawn(session: sessions.WorkerSession, place: types.Placement, reason: string): void {
-		const { task, run } = place;
+	withdrawn(session: sessions.WorkerSession, placement: types.Placement, reason: string): void {
+		const { task, run } = placement;
 		this.opts.events.emit('start.withdrawn', { task: task.name, run, worker: session.id, reason });
 		task.crashes?.noteNotStarted(run);
 		this.opts.placer.requeue(task);
-		this.breakGang(task);
+		this.stopGang(task);
 	}
 
 	/** Runs went down with their worker, or may have. */
-	lost(session: sessions.WorkerSession, places: readonly types.Placement[]): void {
-		const blamed = this.opts.blame.blamed(session.id);
-		for (const place of places) {
-			const { task } = place;
-			if (mayHaveCrashed(session, place)) this.noteCrash(session, place, blamed.has(place));
-			else this.survived(task, place.run);
+	lost(session: sessions.WorkerSession, placements: readonly types.Placement[]): void {
+		const blamed = this.opts.crashAttribution.blamed(session.id);
+		for (const placement of placements) {
+			const { task } = placement;
+			if (mayHaveCausedCrash(session, placement)) this.noteCrash(session, placement, blamed.has(placement));
+			else this.exitedWithoutCrash(task, placement.run);
 			this.opts.placer.add(task);
-			this.breakGang(task);
+			this.stopGang(task);
 		}
 	}
 
 	/** A run is over, and its worker lives, or went down for another reason. */
-	survived(task: jobs.Task, run: number): void {
+	exitedWithoutCrash(task: jobs.Task, run: number): void {
 		task.crashes?.noteEnd(run);
 		if (task.crashes?.empty === true) task.crashes = undefined;
 	}
@@ -98,60 +98,60 @@
 	 * A worker went down before it had told what earlier owners had started there; returns the jobs of which something may
 	 * have been. They are to be stored: a later owner won't know of that worker.
 	 */
-	lostUnheard(session: sessions.WorkerSession): Set<jobs.ActiveJob> {
-		const found = new Set<jobs.ActiveJob>();
-		const mayHaveCrashed = (task: jobs.Task): boolean => locations.mayHaveCrashedOn(session, task);
-		for (const job of this.opts.book.inherited())
+	lostBeforeFirstReport(session: sessions.WorkerSession): Set<jobs.ActiveJob> {
+		const affectedJobs = new Set<jobs.ActiveJob>();
+		const mayHaveCrashedHere = (task: jobs.Task): boolean => locations.mayHaveCrashedOn(session, task);
+		for (const job of this.opts.registry.unfinishedInherited())
 			for (const step of job.steps)
 				for (const task of step.tasks)
-					if (this.settleTryOn(session.id, task) || this.noteUnseenCrash(task, mayHaveCrashed))
-						found.add(job);
-		for (const job of found) this.opts.progress.mark(job);
-		return found;
+					if (this.resolveTryOn(session.id, task) || this.noteUnreportedCrash(task, mayHaveCrashedHere))
+						affectedJobs.add(job);
+		for (const job of affectedJobs) this.opts.progress.mark(job);
+		return affectedJobs;
 	}
 
 	/** Whether a task may be started once more after what became of its workers; if not, it is given up. */
 	mayStartAgain(task: jobs.Task): boolean {
-		this.noteUnseenCrash(task, this.opts.mayHaveCrashed);
+		this.noteUnreportedCrash(task, this.opts.mayHaveCrashedUnreported);
 		const { crashes } = task;
 		if (crashes === undefined) return true;
-		crashes.settleTries(this.opts.fateOn);
-		return !this.giveUpSpent(task, crashes);
+		crashes.settleTries(this.opts.tryOutcomeOn);
+		return !this.abandonIfCrashLimitReached(task, crashes);
 	}
 
 	/** Settles a task's stored start on a worker that went down before it had told what it runs; false: there was none. */
-	private settleTryOn(worker: string, { crashes }: jobs.Task): boolean {
+	private resolveTryOn(worker: string, { crashes }: jobs.Task): boolean {
 		if (crashes?.wasTriedOn(worker) !== true) return false;
-		crashes.settleTries((one) => (one === worker ? this.opts.fateOn(worker) : undefined));
+		crashes.settleTries((one) => (one === worker ? this.opts.tryOutcomeOn(worker) : undefined));
 		return true;
 	}
 
 	/** Counts a crash under a run that this owner never heard of, if there may have been one; false: there was none to count. */
-	private noteUnseenCrash(task: jobs.Task, mayHaveCrashed: (task: jobs.Task) => boolean): boolean {
+	private noteUnreportedCrash(task: jobs.Task, mayHave: (task: jobs.Task) => boolean): boolean {
 		if (task.state === 'finished' || task.crashes !== undefined) return false;
-		if (!mayHaveCrashed(task)) return false;
+		if (!mayHave(task)) return false;
 		task.crashes = jobs.CrashHistory.create();
-		task.crashes.noteCrash(unseenRun, false);
+		task.crashes.noteCrash(unknownRunNumber, false);
 		return true;
 	}
 
 	/** A worker went down under a run. */
-	private noteCrash(session: sessions.WorkerSession, place: types.Placement, isBlamed: boolean): void {
-		const { task, run, startSentAt: sentAt = -Infinity } = place;
+	private noteCrash(session: sessions.WorkerSession, placement: types.Placement, isBlamed: boolean): void {
+		const { task, run, startSentAt: sentAt = -Infinity } = placement;
 		const { job } = task.step;
 		if (job.ended || task.state === 'finished') return;
 		const crashes = (task.crashes ??= jobs.CrashHistory.create());
 		if (session.isHanging) crashes.noteDoubtfulCrash(run);
 		else crashes.noteCrash(run, isBlamed, (session.firstFailureAt ?? Infinity) - sentAt);
-		this.opts.probations.noteCrash(task, place.onProbation);
+		this.opts.probations.noteCrash(task, placement.onProbation);
 		this.opts.progress.mark(job);
 		const { crashed, blamed, lost } = crashes;
 		this.opts.events.emit('task.crashed', { task: task.name, run, crashed, blamed, lost });
-		this.giveUpSpent(task, crashes);
+		this.abandonIfCrashLimitReached(task, crashes);
 	}
 
 	/** Gives a task up, and its job with it, if too many workers went down under it; true: it was. */
-	private giveUpSpent(task: jobs.Task, crashes: jobs.CrashHistory): boolean {
+	private abandonIfCrashLimitReached(task: jobs.Task, crashes: jobs.CrashHistory): boolean {
 		const { verdict, crashed, blamed, lost } = crashes;
 		if (verdict === undefined) return false;
 		const { job } = task.step;
@@ -184,7 +184,7 @@
 		session.health.noteFailure(job.id);
 		const { attempts } = this.opts.policyOf(job);
 		if (spec.lasting || counted.failures.size < attempts) {
-			this.breakGang(task);
+			this.stopGang(task);
 			return;
 		}
 		job.failure = `task ${counted.name} failed ${String(counted.failures.size)} times`;
@@ -193,9 +193,9 @@
 
 	/** Closes a job and stops what still runs of it. */
 	endJob(job: jobs.ActiveJob, state: jobs.JobState): void {
-		this.opts.book.close(job, state);
+		this.opts.registry.markEnded(job, state);
 		for (const step of job.steps) {
-			this.opts.estimates.forget(step);
+			this.opts.interferenceModel.forget(step);
 			for (const task of step.tasks) {
 				this.opts.placer.drop(task);
 				this.stop(task);
@@ -205,28 +205,28 @@
 	}
 
 	/** Without one member the others of a gang wait in vain. */
-	private breakGang(task: jobs.Task): void {
+	private stopGang(task: jobs.Task): void {
 		if (!task.step.spec.gang) return;
 		for (const other of task.step.tasks) this.stop(other);
 	}
 
 	private stop(task: jobs.Task): void {
 		const session = this.opts.placer.sessionOf(task);
-		const place = session?.placements.get(task.name);
-		if (session !== undefined && place !== undefined) void this.opts.starter.stop(session, place);
+		const placement = session?.placements.get(task.name);
+		if (session !== undefined && placement !== undefined) void this.opts.starter.stop(session, placement);
 	}
 }
 
 /** Whether a run that was lost with its worker may have brought it down. */
-function mayHaveCrashed(session: sessions.WorkerSession, place: types.Placement): boolean {
-	const { startSentAt: sentAt, confirmedAt } = place;
+function mayHaveCausedCrash(session: sessions.WorkerSession, placement: types.Placement): boolean {
+	const { startSentAt: sentAt, confirmedAt } = placement;
 	const { firstFailureAt: failedAt = Infinity } = session;
 	// A worker that ends as planned was brought down by nobody, nor by a start that was never sent.
 	if (sentAt === undefined || session.hasPlannedEnd) return false;
 	// It had ceased to answer before.
 	if (failedAt <= sentAt) return false;
 	// One that was left without an answer for longer was not carried out.
-	if (confirmedAt === 0) return failedAt - sentAt <= mostAnswerMs;
+	if (confirmedAt === 0) return failedAt - sentAt <= maxStartAnswerMs;
 	// A run that has worked for so long clears its task, so it clears itself.
 	return session.lastAnsweredAt - confirmedAt < jobs.mostToClearMs;
 }
--- a/src/core/dispatch/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -75,7 +75,7 @@
 export interface PlacementContext {
 	/** Open workers of the task's pool. */
 	workers: sessions.WorkerSession[];
-	estimates: interference.Interference;
+	estimates: interference.InterferenceModel;
 	now: number;
 	/** The limits of harm do not hold: among what has room, the least harm is chosen. */
 	ignoreInterference?: boolean;
@@ -125,7 +125,7 @@
 	if (lowerBound === Infinity) return Infinity;
 	if (!spec.fills)
 		return spec.targetMs > 0 ? lowerBound + dissimilarityPenalty(spec.image, worker, estimates) : lowerBound;
-	const expectedViolations = estimates.harmOf(worker, spec.image, coreShareOf(spec, worker));
+	const expectedViolations = estimates.expectedViolations(worker, spec.image, coreShareOf(spec, worker));
 	if (!isUnlimited && expectedViolations > limits.sloViolationLimit) return Infinity;
 	if (!isUnlimited && interferesWithOverloaded(spec.image, worker, estimates, now)) return Infinity;
 	return lowerBound + expectedViolations * weights.sloViolation;
@@ -143,7 +143,7 @@
 	const base = commonPenalty(task, worker);
 	if (spec.fills) {
 		if (worker.mustPausePreemptible) return Infinity;
-		const use = ctx.estimates.expectedUse(worker) + coreShareOf(spec, worker);
+		const use = ctx.estimates.expectedUtilization(worker) + coreShareOf(spec, worker);
 		return use > maxExpectedUse && ctx.ignoreInterference !== true ? Infinity : base + use;
 	}
 	const capacity = worker.entry?.capacity.milliCores ?? 1;
@@ -167,8 +167,9 @@
 	if (!spec.fills) return undefined;
 	if (worker.mustPausePreemptible) return 'standing-still';
 	const share = coreShareOf(spec, worker);
-	if (estimates.expectedUse(worker) + share > maxExpectedUse) return 'cores-in-use';
-	if (estimates.harmOf(worker, spec.image, share) > sloViolationLimitFor(task, now)) return 'harm';
+	if (estimates.expectedUtilization(worker) + share > maxExpectedUse) return 'cores-in-use';
+	if (estimates.expectedViolations(worker, spec.image, share) > sloViolationLimitFor(task, now))
+		return 'harm';
 	return interferesWithOverloaded(spec.image, worker, estimates, now) ? 'overloaded' : undefined;
 }
 
@@ -191,9 +192,9 @@
 function dissimilarityPenalty(
 	image: string,
 	worker: sessions.WorkerSession,
-	estimates: interference.Interference,
+	estimates: interference.InterferenceModel,
 ): number {
-	const dissimilarShare = estimates.unlikeShare(image, worker);
+	const dissimilarShare = estimates.dissimilarShare(image, worker);
 	return dissimilarShare === undefined ? weights.noServingTasks : dissimilarShare * weights.dissimilarImages;
 }
 
@@ -211,7 +212,7 @@
 function interferesWithOverloaded(
 	image: string,
 	worker: sessions.WorkerSession,
-	estimates: interference.Interference,
+	estimates: interference.InterferenceModel,
 	now: number,
 ): boolean {
 	for (const place of worker.placements.values()) {
--- a/src/core/dispatch/placer.ts
+++ b/src/core/dispatch/placer.ts
@@ -31,7 +31,7 @@
 	/** Whether a run of an inherited task, unknown to this owner, may be on a worker that has not answered it yet. */
 	mayHaveUnreportedRun: (task: jobs.Task) => boolean;
 	policyOf: (job: jobs.ActiveJob) => jobs.QueuePolicy;
-	estimates: interference.Interference;
+	estimates: interference.InterferenceModel;
 	probations: probation.Probations;
 	/** Whether a task may be started once more; if not, it is given up. */
 	mayStartAgain: (task: jobs.Task) => boolean;
@@ -53,7 +53,7 @@
 	private readonly eligibleWorkers: eligible.EligibleWorkers;
 	private readonly waitingLog: waiting.WaitingLog;
 	private readonly stalledLog: stalled.StalledLog;
-	private readonly exemptions = exemptions.HarmExemptions.create();
+	private readonly exemptions = exemptions.InterferenceExemptions.create();
 	/** Clock time from which a step that found no place is looked at again. */
 	private readonly retryAt = new WeakMap<jobs.StepRun, number>();
 	private readonly rounds: timers.RoundTimer;
@@ -192,7 +192,7 @@
 		const round = rounds.PlacingRound.create(this.opts.workers(), now);
 		const ctx = this.eligibleWorkers.contextFor(step, round);
 		const isSuspectTask = this.opts.probations.isSuspect(task);
-		if (isSuspectTask && !this.opts.probations.isFree(step, ctx.workers.length))
+		if (isSuspectTask && !this.opts.probations.mayStartOnProbation(step, ctx.workers.length))
 			return { reason: 'other-suspects' };
 		if (this.eligibleWorkers.lacksTicket(step, round)) return { reason: 'no-ticket' };
 		return reasons.unplacedReason(task, ctx);
@@ -258,7 +258,7 @@
 		const ctx = this.eligibleWorkers.contextRequestingAdvice(step, round);
 		// Suspects wait for each other, and the rest of the step does not.
 		let mayPlaceSuspects = true;
-		for (const task of probation.inTurn(tasks)) {
+		for (const task of probation.sortBySuspicion(tasks)) {
 			if (this.opts.freeStartSlots() === 0) return undefined;
 			if (this.opts.probations.isSuspect(task))
 				mayPlaceSuspects = mayPlaceSuspects && this.placeOnProbation(task, ctx);
@@ -274,11 +274,11 @@
 	/** Places a suspect on probation, if its turn has come and a worker takes it. */
 	private placeOnProbation(task: jobs.Task, ctx: placement.PlacementContext): boolean {
 		const { probations } = this.opts;
-		if (!probations.isFree(task.step, ctx.workers.length)) {
+		if (!probations.mayStartOnProbation(task.step, ctx.workers.length)) {
 			this.waitingLog.note(task, () => ({ reason: 'other-suspects' }));
 			return false;
 		}
-		const places = this.reservePlacement(task, probations.choose(task, ctx));
+		const places = this.reservePlacement(task, probations.chooseWorker(task, ctx));
 		if (places.length === 0) this.waitingLog.note(task, () => reasons.unplacedReason(task, ctx));
 		for (const { session, place } of places) {
 			session.runOnProbation = place;
@@ -335,8 +335,8 @@
 		for (const task of waitingOrder.starvedTasks(waiting, round.now)) {
 			const ctx = this.eligibleWorkers.contextRequestingAdvice(task.step, round);
 			const waitedMs = waitingOrder.waitedMs(task, round.now);
-			if (!this.exemptions.isFree(task.step, waitedMs, ctx.workers.length)) continue;
-			const workers = ctx.workers.filter((one) => !this.exemptions.isOn(one));
+			if (!this.exemptions.mayGrant(task.step, waitedMs, ctx.workers.length)) continue;
+			const workers = ctx.workers.filter((one) => !this.exemptions.hasExemption(one));
 			const exemptContext = { ...ctx, workers, ignoreInterference: true };
 			const places = task.step.spec.gang
 				? this.reserveGang(task.step, exemptContext)
--- a/src/core/dispatch/preemption.ts
+++ b/src/core/dispatch/preemption.ts
@@ -30,7 +30,7 @@
 	now: number;
 	priorityOf: (job: jobs.ActiveJob) => number;
 	poolOf: (job: jobs.ActiveJob) => string;
-	estimates: interference.Interference;
+	estimates: interference.InterferenceModel;
 }
 
 /** The cheapest task to stop on a worker. */
@@ -133,6 +133,6 @@
 	const { place, session } = victim;
 	const { spec } = place.task.step;
 	const isOverTarget = place.overTargetSince !== undefined;
-	const dissimilarShare = ctx.estimates.unlikeShare(spec.image, session) ?? 0;
+	const dissimilarShare = ctx.estimates.dissimilarShare(spec.image, session) ?? 0;
 	return (spec.milliCores * (1 - dissimilarDiscount * dissimilarShare)) / (isOverTarget ? 2 : 1);
 }
--- a/src/core/dispatch/pressure.ts
+++ b/src/core/dispatch/pressure.ts
@@ -30,7 +30,7 @@
 
 	private constructor(
 		private readonly deps: types.DispatchDeps,
-		private readonly estimates: interference.Interference,
+		private readonly estimates: interference.InterferenceModel,
 		private readonly maxSloViolationMs: number,
 	) {
 		this.log = reliefLog.ReliefLog.create(deps.events, deps.epoch);
@@ -40,7 +40,7 @@
 	/** `harmMs`: so long over its target, a task counts as harmed. */
 	static create(
 		deps: types.DispatchDeps,
-		estimates: interference.Interference,
+		estimates: interference.InterferenceModel,
 		maxSloViolationMs: number,
 	): InterferenceControl {
 		return new InterferenceControl(deps, estimates, maxSloViolationMs);
@@ -50,15 +50,15 @@
 	controlWorker(session: sessions.WorkerSession): void {
 		this.estimates.observe(session);
 		const delayMs = session.reportDelayMs;
-		const overloads = neighbours.servingOf(session).map((served) => this.overloadOf(served, delayMs));
-		const preemptible = neighbours.fillingOf(session);
-		session.mustPausePreemptible = overloads.some(({ isNearHarm }) => isNearHarm);
+		const overloads = neighbours.servingPlacements(session).map((served) => this.overloadOf(served, delayMs));
+		const preemptible = neighbours.preemptiblePlacements(session);
+		session.mustPausePreemptible = overloads.some(({ isNearViolation: isNearHarm }) => isNearHarm);
 		for (const place of preemptible) {
 			const percent = session.mustPausePreemptible ? commands.pausedPace : this.desiredPace(place, overloads);
 			if (percent !== undefined) this.paceCommands.set(session, place, percent);
 			this.paceCommands.reassertPace(session, place);
 		}
-		for (const overload of overloads) this.log.note(session, overload, preemptible);
+		for (const overload of overloads) this.log.logTransition(session, overload, preemptible);
 	}
 
 	/**
@@ -68,7 +68,7 @@
 	private overloadOf(served: types.Placement, delayMs: number): reliefLog.Overload {
 		const { overTargetSince: overSince } = served;
 		const overMs = overSince === undefined ? 0 : this.deps.clock.now() - overSince + 2 * delayMs;
-		return { served, overMs, isNearHarm: overMs >= this.maxSloViolationMs * throttleAllFraction };
+		return { served, overMs, isNearViolation: overMs >= this.maxSloViolationMs * throttleAllFraction };
 	}
 
 	/** The pace that a task should have beside these; undefined: as it is. */
--- a/src/core/dispatch/probation.ts
+++ b/src/core/dispatch/probation.ts
@@ -15,26 +15,26 @@
 const probationMs = 500;
 
 /** Workers with a run on probation at the same time: this part of those that may run it, and always one. */
-const firstPart = 0.1;
+const initialShare = 0.1;
 
 /**
  * One more for each run that passes, up to this part, until one of them goes down with its worker. After many crashes by
  * chance there are more suspects than could be tried in time otherwise.
  */
-const mostPart = 0.5;
+const maxShare = 0.5;
 
 /** Runs of a step on probation at the same time: one, and so many more for each that has passed. */
-const morePerPass = 2;
+const extraPerPass = 2;
 
 /** A step of which so many tasks are suspected is suspected whole. */
-const mostSuspectsOfStep = 2;
+const suspectStepThreshold = 2;
 
 /** After a second crash a task waits so long before its next start, after a third twice as long, in milliseconds. */
-const pauseMs = 250;
+const crashBackoffMs = 250;
 
 /** What is lost with a lasting task, or a member of a gang, as a multiple of its cores. */
-const lastingLoss = 4;
-const gangLoss = 4;
+const longRunningLossFactor = 4;
+const gangLossFactor = 4;
 
 /** What probations use. */
 export interface ProbationOptions {
@@ -46,16 +46,16 @@
 }
 
 /** What is known of a step's suspects. */
-interface StepRecord {
+interface StepProbation {
 	suspects: Set<jobs.Task>;
 	passed: number;
 }
 
 /** Tasks under suspicion, and the runs by which they are tried. */
 export class Probations {
-	private readonly steps = new WeakMap<jobs.StepRun, StepRecord>();
+	private readonly steps = new WeakMap<jobs.StepRun, StepProbation>();
 	/** Runs that have passed since one on probation last went down with its worker. */
-	private passedInRow = 0;
+	private consecutivePasses = 0;
 
 	private constructor(private readonly opts: ProbationOptions) {}
 
@@ -66,8 +66,8 @@
 	/** A worker went down under a task, `onProbation` or not; the task is not started again for a while. */
 	noteCrash(task: jobs.Task, onProbation: boolean): void {
 		const { crashed = 0, blamed = 0 } = task.crashes ?? {};
-		if (onProbation) this.passedInRow = 0;
-		task.pausedUntil = this.opts.clock.now() + pauseMs * (crashed - 1);
+		if (onProbation) this.consecutivePasses = 0;
+		task.pausedUntil = this.opts.clock.now() + crashBackoffMs * (crashed - 1);
 		if (blamed > 0) this.recordOf(task.step).suspects.add(task);
 	}
 
@@ -77,82 +77,82 @@
 		const { crashed = 0, blamed = 0 } = task.crashes ?? {};
 		if (blamed > 0 || crashed > 1) return true;
 		const record = this.steps.get(task.step);
-		return record?.passed === 0 && record.suspects.size >= mostSuspectsOfStep;
+		return record?.passed === 0 && record.suspects.size >= suspectStepThreshold;
 	}
 
 	/** Whether one more run of the step may be on probation now, in a pool of so many open workers. */
-	isFree(step: jobs.StepRun, workers: number): boolean {
-		const tried = this.opts.workers().filter((one) => one.runOnProbation !== undefined);
+	mayStartOnProbation(step: jobs.StepRun, workers: number): boolean {
+		const withProbation = this.opts.workers().filter((one) => one.runOnProbation !== undefined);
 		// A worker that has ceased to answer is tried by nobody any more, and may take long to be proved dead.
-		const underWay = tried.filter((one) => one.firstFailureAt === undefined).length;
-		if (underWay >= this.limitAmong(workers)) return false;
-		const ofStep = tried.filter((one) => one.runOnProbation?.task.step === step).length;
-		return ofStep <= (this.steps.get(step)?.passed ?? 0) * morePerPass;
+		const responsive = withProbation.filter((one) => one.firstFailureAt === undefined).length;
+		if (responsive >= this.maxConcurrent(workers)) return false;
+		const ofStep = withProbation.filter((one) => one.runOnProbation?.task.step === step).length;
+		return ofStep <= (this.steps.get(step)?.passed ?? 0) * extraPerPass;
 	}
 
 	/** Runs that may be on probation at the same time in a pool of so many open workers. */
-	private limitAmong(workers: number): number {
-		const first = Math.max(1, Math.floor(workers * firstPart));
-		return Math.max(first, Math.min(first + this.passedInRow, Math.floor(workers * mostPart)));
+	private maxConcurrent(workers: number): number {
+		const initial = Math.max(1, Math.floor(workers * initialShare));
+		return Math.max(initial, Math.min(initial + this.consecutivePasses, Math.floor(workers * maxShare)));
 	}
 
 	/** The worker that takes a suspect at the least loss to others. */
-	choose(
+	chooseWorker(
 		task: jobs.Task,
 		choice: placement.PlacementContext,
 	): sessions.WorkerSession | placement.PlacementFailure {
 		const terms = placement.limitsOf(task, choice.now);
-		const able = choice.workers.filter(
+		const eligible = choice.workers.filter(
 			(one) => one.open && placement.score(task, one, choice, terms) < Infinity,
 		);
-		const [first, ...others] = able;
+		const [first, ...others] = eligible;
 		if (first === undefined) return choice.workers.length > 0 ? 'no-room' : 'no-worker-open';
-		return others.reduce((best, one) => (lossAt(one) < lossAt(best) ? one : best), first);
+		return others.reduce((best, one) => (potentialLossOn(one) < potentialLossOn(best) ? one : best), first);
 	}
 
 	/** Until then a run on probation is not sent: a crash would be held against what was started there before it. */
-	quietAt(session: sessions.WorkerSession): Promise<void> {
+	waitForQuiet(session: sessions.WorkerSession): Promise<void> {
 		const ms = session.lastStartSentAt + probationMs - this.opts.clock.now();
 		return ms > 0 ? clocks.sleep(this.opts.clock, ms) : Promise.resolve();
 	}
 
 	/** A worker has just reported: runs that have outlived what they were suspected of are cleared. */
-	look(session: sessions.WorkerSession): void {
+	checkRuns(session: sessions.WorkerSession): void {
 		const { runOnProbation: probation } = session;
-		if (probation !== undefined && this.hasWorked(probation, probationMs)) {
+		if (probation !== undefined && this.hasRunFor(probation, probationMs)) {
 			session.runOnProbation = undefined;
 			probation.onProbation = false;
-			this.pass(probation, 'probation');
+			this.notePassed(probation, 'probation');
 		}
 		for (const place of session.placements.values()) {
 			const { crashes } = place.task;
-			if (crashes !== undefined && this.hasWorked(place, crashes.clearedAfterMs)) this.clear(place);
+			if (crashes !== undefined && this.hasRunFor(place, crashes.clearedAfterMs)) this.clearSuspicion(place);
 		}
 	}
 
 	/** Whether a run has been at work for so long. */
-	private hasWorked(place: types.Placement, ms: number): boolean {
+	private hasRunFor(place: types.Placement, ms: number): boolean {
 		const isAtWork = place.phase === 'running' && place.confirmedAt > 0 && place.pace > 0;
 		return isAtWork && this.opts.clock.now() - place.confirmedAt > ms;
 	}
 
-	private pass(place: types.Placement, reason: string): void {
+	private notePassed(place: types.Placement, reason: string): void {
 		const { task, run } = place;
 		const record = this.recordOf(task.step);
 		record.passed += 1;
-		this.passedInRow += 1;
+		this.consecutivePasses += 1;
 		record.suspects.delete(task);
 		task.crashes?.acquit();
 		this.opts.events.emit('task.cleared', { task: task.name, run, reason });
 		this.opts.onChanged(task.step.job);
 	}
 
-	private clear(place: types.Placement): void {
+	private clearSuspicion(place: types.Placement): void {
 		place.task.crashes = undefined;
-		this.pass(place, 'at work');
+		this.notePassed(place, 'at work');
 	}
 
-	private recordOf(step: jobs.StepRun): StepRecord {
+	private recordOf(step: jobs.StepRun): StepProbation {
 		const known = this.steps.get(step) ?? { suspects: new Set(), passed: 0 };
 		this.steps.set(step, known);
 		return known;
@@ -160,24 +160,25 @@
 }
 
 /** Tasks of a step in the order in which they are tried: one more crash of the most suspect tells most. */
-export function inTurn(tasks: jobs.Task[]): jobs.Task[] {
+export function sortBySuspicion(tasks: jobs.Task[]): jobs.Task[] {
 	if (tasks.every((task) => task.crashes === undefined)) return tasks;
-	return [...tasks].sort((a, b) => weightOf(b) - weightOf(a));
+	return [...tasks].sort((a, b) => suspicionOf(b) - suspicionOf(a));
 }
 
-function weightOf({ crashes }: jobs.Task): number {
+function suspicionOf({ crashes }: jobs.Task): number {
 	return crashes === undefined ? 0 : crashes.blamed + crashes.crashed;
 }
 
 /** What would be lost with a worker, in thousandths of a core: tasks that can't go on elsewhere weigh by how far they are. */
-function lossAt(session: sessions.WorkerSession): number {
+function potentialLossOn(session: sessions.WorkerSession): number {
 	let loss = 0;
-	for (const { task, percent } of session.placements.values()) loss += lossOf(task.step.spec, percent);
+	for (const { task, percent } of session.placements.values())
+		loss += potentialLossOf(task.step.spec, percent);
 	return loss;
 }
 
-function lossOf(spec: jobs.StepSpec, percent: number): number {
-	if (spec.lasting) return spec.milliCores * lastingLoss;
+function potentialLossOf(spec: jobs.StepSpec, percent: number): number {
+	if (spec.lasting) return spec.milliCores * longRunningLossFactor;
 	const share = spec.checkpoints ? 0.1 : 0.5 + percent / 200;
-	return spec.milliCores * share * (spec.gang ? gangLoss : 1);
+	return spec.milliCores * share * (spec.gang ? gangLossFactor : 1);
 }
--- a/src/core/dispatch/progress-saver.ts
+++ b/src/core/dispatch/progress-saver.ts
@@ -13,22 +13,22 @@
 import type * as jobs from '../jobs/index.js';
 
 /** Writes under way at once, at most: each takes its part of what the store and the owner's processor bear. */
-const mostWrites = 3;
+const maxConcurrentWrites = 3;
 
 /** The same where the store is so slow that these would not take all that waits in time. */
-const mostWritesBehind = 8;
+const maxConcurrentWritesWhenBehind = 8;
 
 /** What has waited for longest is to be in a write within this time, in milliseconds. */
-const longestWaitMs = 1_000;
+const maxWaitMs = 1_000;
 
 /** A write that failed is tried again after this many milliseconds. */
 const retryMs = 150;
 
 /** A job whose progress the store refuses is set aside for so long, in milliseconds. */
-const asideMs = 5_000;
+const refusedRetryMs = 5_000;
 
 /** Progress that nobody waits for is passed over by what is waited for and changed up to this much later, in milliseconds. */
-const patienceMs = 1_000;
+const awaitedHeadStartMs = 1_000;
 
 /** Where progress goes. */
 export type SaveProgress = (batch: Map<string, jobs.ProgressRecord>) => Promise<ledger.WriteOutcome>;
@@ -61,9 +61,9 @@
 	/** Changed, and in no write under way; each with the clock time since when. */
 	private readonly dirty = new Map<jobs.ActiveJob, number>();
 	/** Changed, and refused by the store a short while ago: in no write until that is over. */
-	private readonly aside = new Set<jobs.ActiveJob>();
+	private readonly postponed = new Set<jobs.ActiveJob>();
 	/** Refused when last written: they are written alone, so that they hold up no others. */
-	private readonly suspects = new WeakSet<jobs.ActiveJob>();
+	private readonly lastRefused = new WeakSet<jobs.ActiveJob>();
 	/** Of those and of what changed since its write began: jobs for whose storing somebody waits. */
 	private readonly awaited = new Set<jobs.ActiveJob>();
 	/** In a write under way. */
@@ -74,15 +74,15 @@
 	private readonly changes = new WeakMap<jobs.ActiveJob, number>();
 	private waiters: Waiter[] = [];
 	/** Halves of batches that the store refused: each is a write of its own, until the job that it refuses stands alone. */
-	private halves: jobs.ActiveJob[][] = [];
+	private splitBatches: jobs.ActiveJob[][] = [];
 	/** Number of the newest change of all. */
-	private change = 0;
+	private lastChange = 0;
 	/** Writes under way. */
 	private writes = 0;
 	/** How long the newest write that was stored took, in milliseconds. */
 	private writeMs = 0;
 	/** The next write begins after a while. */
-	private isDue = false;
+	private isWriteScheduled = false;
 	private closed = false;
 
 	private constructor(private readonly opts: SaverOptions) {}
@@ -93,8 +93,8 @@
 
 	/** Marks a job as changed; `awaited`: somebody waits until that is stored, as always for a job's end. */
 	mark(job: jobs.ActiveJob, awaited = job.ended): void {
-		this.change += 1;
-		this.changes.set(job, this.change);
+		this.lastChange += 1;
+		this.changes.set(job, this.lastChange);
 		if (this.inFlight.has(job)) this.changedInFlight.add(job);
 		else this.addDirty(job);
 		if (awaited) this.awaited.add(job);
@@ -102,7 +102,7 @@
 	}
 
 	/** Resolves once the changes of these jobs marked so far are stored. */
-	stored(changed: Iterable<jobs.ActiveJob>): Promise<void> {
+	whenStored(changed: Iterable<jobs.ActiveJob>): Promise<void> {
 		const missing = new Map<jobs.ActiveJob, number>();
 		for (const job of changed) if (this.isUnstored(job)) missing.set(job, this.changes.get(job) ?? 0);
 		if (missing.size === 0) return Promise.resolve();
@@ -112,11 +112,11 @@
 	}
 
 	private isUnstored(job: jobs.ActiveJob): boolean {
-		return this.dirty.has(job) || this.inFlight.has(job) || this.aside.has(job);
+		return this.dirty.has(job) || this.inFlight.has(job) || this.postponed.has(job);
 	}
 
 	private addDirty(job: jobs.ActiveJob): void {
-		if (!this.dirty.has(job) && !this.aside.has(job)) this.dirty.set(job, this.opts.clock.now());
+		if (!this.dirty.has(job) && !this.postponed.has(job)) this.dirty.set(job, this.opts.clock.now());
 	}
 
 	/** Starts no more writes. */
@@ -126,10 +126,10 @@
 
 	/** Begins another write, unless those under way will do: at once for a whole batch, else after a while. */
 	private plan(): void {
-		if (this.isDue || this.closed || !this.needsWrite()) return;
-		this.isDue = true;
-		this.opts.clock.after(this.hasWholeBatch ? 0 : settings.saveBatchMs, () => {
-			this.isDue = false;
+		if (this.isWriteScheduled || this.closed || !this.needsWrite()) return;
+		this.isWriteScheduled = true;
+		this.opts.clock.after(this.hasFullBatch ? 0 : settings.saveBatchMs, () => {
+			this.isWriteScheduled = false;
 			if (this.closed) return;
 			if (this.needsWrite()) void this.saveBatch();
 			this.plan();
@@ -138,21 +138,21 @@
 
 	/** Whether a write should begin: the first one for any change, another for a whole batch. */
 	private needsWrite(): boolean {
-		return this.writes === 0 ? this.dirty.size > 0 : this.writes < this.writesAllowed && this.hasWholeBatch;
+		return this.writes === 0 ? this.dirty.size > 0 : this.writes < this.writesAllowed && this.hasFullBatch;
 	}
 
 	/** Writes that may be under way: as many as take all that waits in the time that is left, as long as they take now. */
 	private get writesAllowed(): number {
 		const now = this.opts.clock.now();
 		const [oldestAt = now] = this.dirty.values();
-		const leftMs = Math.max(1, oldestAt + longestWaitMs - now);
+		const leftMs = Math.max(1, oldestAt + maxWaitMs - now);
 		const batches = this.dirty.size / ledger.maxProgressPerWrite;
 		const needed = Math.ceil((batches * this.writeMs) / leftMs);
-		return Math.min(mostWritesBehind, Math.max(mostWrites, needed));
+		return Math.min(maxConcurrentWritesWhenBehind, Math.max(maxConcurrentWrites, needed));
 	}
 
-	private get hasWholeBatch(): boolean {
-		return this.dirty.size >= ledger.maxProgressPerWrite || this.halves.length > 0;
+	private get hasFullBatch(): boolean {
+		return this.dirty.size >= ledger.maxProgressPerWrite || this.splitBatches.length > 0;
 	}
 
 	/** Stores the next batch. */
@@ -178,7 +178,7 @@
 		if (outcome === 'committed') {
 			this.writeMs = this.opts.clock.now() - startedAt;
 			for (const job of chosen) this.noteSaved(job, records.get(job.id)?.state ?? 'pending');
-			this.settle(batch);
+			this.resolveWaiters(batch);
 		} else await this.noteFailure(outcome, waitingSince, urgent);
 		this.writes -= 1;
 		this.plan();
@@ -186,18 +186,22 @@
 
 	/** The jobs of the next write; a suspect whose turn has come stands alone. */
 	private nextBatch(urgent: ReadonlySet<jobs.ActiveJob>): jobs.ActiveJob[] {
-		for (let half = this.halves.shift(); half !== undefined; half = this.halves.shift()) {
-			const unstored = half.filter((job) => this.dirty.has(job));
+		for (
+			let jobsOfSplit = this.splitBatches.shift();
+			jobsOfSplit !== undefined;
+			jobsOfSplit = this.splitBatches.shift()
+		) {
+			const unstored = jobsOfSplit.filter((job) => this.dirty.has(job));
 			if (unstored.length > 0) return unstored;
 		}
 		const chosen = chooseBatch(this.dirty, urgent);
 		const [first] = chosen;
-		if (first !== undefined && this.suspects.has(first)) return [first];
-		return chosen.filter((job) => !this.suspects.has(job));
+		if (first !== undefined && this.lastRefused.has(first)) return [first];
+		return chosen.filter((job) => !this.lastRefused.has(job));
 	}
 
 	private noteSaved(job: jobs.ActiveJob, state: jobs.JobState): void {
-		this.suspects.delete(job);
+		this.lastRefused.delete(job);
 		this.opts.onSaved(job, state);
 	}
 
@@ -209,14 +213,14 @@
 	): Promise<void> {
 		const [only] = batch.keys();
 		if (outcome === 'refused' && batch.size === 1 && only !== undefined) {
-			this.setAside(only);
+			this.postpone(only);
 			return;
 		}
 		for (const [job, since] of batch) {
 			this.dirty.set(job, since);
 			this.mark(job, urgent.has(job));
 		}
-		if (outcome === 'refused') this.halve([...batch.keys()]);
+		if (outcome === 'refused') this.splitBatch([...batch.keys()]);
 		if (outcome === 'superseded') {
 			this.closed = true;
 			this.opts.onSuperseded();
@@ -227,35 +231,35 @@
 		if (outcome === 'failed') await clocks.sleep(this.opts.clock, retryMs);
 	}
 
-	private halve(batch: jobs.ActiveJob[]): void {
+	private splitBatch(batch: jobs.ActiveJob[]): void {
 		const middle = Math.ceil(batch.length / 2);
-		this.halves.push(batch.slice(0, middle), batch.slice(middle));
+		this.splitBatches.push(batch.slice(0, middle), batch.slice(middle));
 	}
 
 	/** One job's progress is refused, whatever it is written with: the others go on without it. */
-	private setAside(job: jobs.ActiveJob): void {
-		this.suspects.add(job);
+	private postpone(job: jobs.ActiveJob): void {
+		this.lastRefused.add(job);
 		this.dirty.delete(job);
-		this.aside.add(job);
+		this.postponed.add(job);
 		this.opts.onRefused(job);
-		this.opts.clock.after(asideMs, () => {
-			this.aside.delete(job);
+		this.opts.clock.after(refusedRetryMs, () => {
+			this.postponed.delete(job);
 			if (!this.closed) this.mark(job);
 		});
 	}
 
 	/** Answers those who waited for these jobs only. */
-	private settle(saved: Batch): void {
-		const open: Waiter[] = [];
+	private resolveWaiters(saved: Batch): void {
+		const stillWaiting: Waiter[] = [];
 		for (const waiter of this.waiters) {
 			for (const [job, change] of saved) {
 				// A change made while this write was under way waits for the next one.
 				if ((waiter.missing.get(job) ?? Infinity) <= change) waiter.missing.delete(job);
 			}
 			if (waiter.missing.size === 0) waiter.done();
-			else open.push(waiter);
+			else stillWaiting.push(waiter);
 		}
-		this.waiters = open;
+		this.waiters = stillWaiting;
 	}
 }
 
@@ -265,6 +269,8 @@
  */
 export function chooseBatch<T>(dirty: ReadonlyMap<T, number>, awaited: ReadonlySet<T>): T[] {
 	const others = [...dirty.keys()].filter((one) => !awaited.has(one));
-	const turnOf = (one: T): number => (dirty.get(one) ?? 0) + (awaited.has(one) ? 0 : patienceMs);
-	return [...awaited, ...others].sort((a, b) => turnOf(a) - turnOf(b)).slice(0, ledger.maxProgressPerWrite);
+	const sortKeyOf = (one: T): number => (dirty.get(one) ?? 0) + (awaited.has(one) ? 0 : awaitedHeadStartMs);
+	return [...awaited, ...others]
+		.sort((a, b) => sortKeyOf(a) - sortKeyOf(b))
+		.slice(0, ledger.maxProgressPerWrite);
 }
--- a/src/core/dispatch/relief-log.ts
+++ b/src/core/dispatch/relief-log.ts
@@ -10,7 +10,7 @@
 	/** How long it has been over its target, in milliseconds. */
 	overMs: number;
 	/** All that fills beside it has to stand still. */
-	isNearHarm: boolean;
+	isNearViolation: boolean;
 }
 
 /** Writes the lines of one owner. */
@@ -28,26 +28,35 @@
 	}
 
 	/** How a serving task stands beside what fills there, after a report of its worker. */
-	note(session: sessions.WorkerSession, overload: Overload, filling: readonly types.Placement[]): void {
+	logTransition(
+		session: sessions.WorkerSession,
+		overload: Overload,
+		preemptible: readonly types.Placement[],
+	): void {
 		const { served } = overload;
 		const state = this.open.get(served);
-		if (state === undefined && !overload.isNearHarm) return;
-		const working = filling.filter(neighbours.isAtWork).length;
+		if (state === undefined && !overload.isNearViolation) return;
+		const working = preemptible.filter(neighbours.isAtWork).length;
 		if (state === undefined)
 			this.log.emit('task.overloaded', { ...this.fieldsOf(session, overload), working });
-		const isUnder = served.overTargetSince === undefined;
-		const isRelieved = isUnder || working === 0;
+		const isUnderTarget = served.overTargetSince === undefined;
+		const isRelieved = isUnderTarget || working === 0;
 		if (isRelieved && state !== 'relieved') {
-			const reason = isUnder ? 'under-target' : 'neighbours-stand-still';
+			const reason = isUnderTarget ? 'under-target' : 'neighbours-stand-still';
 			this.log.emit('task.relieved', { ...this.fieldsOf(session, overload), reason });
 		}
-		if (isUnder) this.open.delete(served);
+		if (isUnderTarget) this.open.delete(served);
 		else this.open.set(served, isRelieved ? 'relieved' : (state ?? 'overloaded'));
 	}
 
 	/** An order on pace was left without an answer, or refused. */
-	unanswered(session: sessions.WorkerSession, place: types.Placement, percent: number, reason: string): void {
-		const { task } = place;
+	unanswered(
+		session: sessions.WorkerSession,
+		placement: types.Placement,
+		percent: number,
+		reason: string,
+	): void {
+		const { task } = placement;
 		this.log.emit('pace.unanswered', {
 			task: task.name,
 			worker: session.id,
@@ -58,8 +67,8 @@
 	}
 
 	/** A run's own reading says that it does not work at the pace that its worker was told. */
-	contradicted(session: sessions.WorkerSession, place: types.Placement, orderedMs: number): void {
-		const { task, pace, reading } = place;
+	contradicted(session: sessions.WorkerSession, placement: types.Placement, orderedMs: number): void {
+		const { task, pace, reading } = placement;
 		this.log.emit('pace.contradicted', {
 			task: task.name,
 			worker: session.id,
--- a/src/core/dispatch/round-timer.ts
+++ b/src/core/dispatch/round-timer.ts
@@ -65,7 +65,7 @@
 		const startedAt = clock.now();
 		runRound();
 		const tookMs = clock.now() - startedAt;
-		meter.round(tookMs);
+		meter.noteRound(tookMs);
 		return Math.max(settings.roundIntervalMs, tookMs * settings.roundIntervalFactor);
 	}
 }
--- a/src/core/dispatch/run-watch.ts
+++ b/src/core/dispatch/run-watch.ts
@@ -5,22 +5,22 @@
 import type * as starter from './starter.js';
 
 /** Looks at one worker. */
-export function watchRuns(session: sessions.WorkerSession, orders: starter.Starter, now: number): void {
-	leaveDraining(session, orders, now);
-	stopHanging(session, orders, now);
+export function watchRuns(session: sessions.WorkerSession, runStarter: starter.Starter, now: number): void {
+	stopOnDraining(session, runStarter, now);
+	stopHung(session, runStarter, now);
 }
 
 /** Moves work off a worker that is about to end. */
-function leaveDraining(session: sessions.WorkerSession, orders: starter.Starter, now: number): void {
-	for (const place of draining.leaving(session, now)) void orders.stop(session, place);
+function stopOnDraining(session: sessions.WorkerSession, runStarter: starter.Starter, now: number): void {
+	for (const placement of draining.leaving(session, now)) void runStarter.stop(session, placement);
 }
 
 /** A run that hangs is tried elsewhere, and counts against its worker. */
-function stopHanging(session: sessions.WorkerSession, orders: starter.Starter, now: number): void {
-	for (const place of hanging.findHungRuns(session, now)) {
-		const { task } = place;
+function stopHung(session: sessions.WorkerSession, runStarter: starter.Starter, now: number): void {
+	for (const placement of hanging.findHungRuns(session, now)) {
+		const { task } = placement;
 		task.failedOn.add(session.id);
 		session.health.noteFailure(task.step.job.id);
-		orders.stopFor('hangs', session, place, { percent: place.percent });
+		runStarter.stopFor('hangs', session, placement, { percent: placement.percent });
 	}
 }
--- a/src/core/dispatch/task-locations.ts
+++ b/src/core/dispatch/task-locations.ts
@@ -77,7 +77,7 @@
 		if (!isWorkerStored(place.task) && place.task.crashes === undefined) return undefined;
 		const { job } = place.task.step;
 		this.opts.progress.mark(job, true);
-		return this.opts.progress.stored([job]);
+		return this.opts.progress.whenStored([job]);
 	}
 }
 
--- a/src/core/dispatch/wave-fit.ts
+++ b/src/core/dispatch/wave-fit.ts
@@ -7,11 +7,11 @@
 type Coefficients = readonly [mean: number, sine: number, cosine: number];
 
 /** A sample's weight falls to a third in so long, in milliseconds: one to four periods of the loads that are known. */
-const fadeMs = 20_000;
+const decayMs = 20_000;
 
 /** Weight of the first guess of the mean, and of a wave of no height, in samples. */
-const firstMeanWeight = 0.3;
-const firstWaveWeight = 1;
+const initialMeanWeight = 0.3;
+const initialWaveWeight = 1;
 
 /** The sums of a fit, in a form that another owner can go on from. */
 export interface WaveSums {
@@ -38,9 +38,9 @@
 	/** `firstMean`: first guess of the constant. */
 	static create(periodMs: number, firstMean: number): WaveFit {
 		return new WaveFit(periodMs, firstMean, {
-			products: [firstMeanWeight, 0, 0, firstWaveWeight, 0, firstWaveWeight],
-			results: [firstMeanWeight * firstMean, 0, 0],
-			squares: firstMeanWeight * firstMean ** 2,
+			products: [initialMeanWeight, 0, 0, initialWaveWeight, 0, initialWaveWeight],
+			results: [initialMeanWeight * firstMean, 0, 0],
+			squares: initialMeanWeight * firstMean ** 2,
 		});
 	}
 
@@ -50,14 +50,14 @@
 	}
 
 	/** What was summed up so far; it stays in use here, so whoever goes on from it copies it. */
-	get learnt(): WaveSums {
+	get learned(): WaveSums {
 		return this.sums;
 	}
 
 	/** Takes in a sample. */
-	note(value: number, weight: number, at: number): void {
-		this.fadeTo(at);
-		const [sine, cosine] = phaseOf(at, this.periodMs);
+	addSample(value: number, weight: number, at: number): void {
+		this.decayTo(at);
+		const [sine, cosine] = sineAndCosineAt(at, this.periodMs);
 		const { products, results } = this.sums;
 		products[0] = (products[0] ?? 0) + weight;
 		products[1] = (products[1] ?? 0) + weight * sine;
@@ -75,7 +75,7 @@
 	/** The value at a time. */
 	at(time: number): number {
 		const [mean, sinePart, cosinePart] = this.solve();
-		const [sine, cosine] = phaseOf(time, this.periodMs);
+		const [sine, cosine] = sineAndCosineAt(time, this.periodMs);
 		return mean + sinePart * sine + cosinePart * cosine;
 	}
 
@@ -89,19 +89,19 @@
 	}
 
 	/** Lets old samples fade; what they lose, the first guess gains. */
-	private fadeTo(at: number): void {
+	private decayTo(at: number): void {
 		const { sums, firstMean } = this;
 		const { products, results } = sums;
-		const kept = Math.min(1, Math.exp(((sums.updatedAt ?? at) - at) / fadeMs));
+		const kept = Math.min(1, Math.exp(((sums.updatedAt ?? at) - at) / decayMs));
 		sums.updatedAt = at;
 		const gained = 1 - kept;
 		for (let i = 0; i < products.length; i += 1) products[i] = (products[i] ?? 0) * kept;
 		for (let i = 0; i < results.length; i += 1) results[i] = (results[i] ?? 0) * kept;
-		products[0] = (products[0] ?? 0) + firstMeanWeight * gained;
-		products[3] = (products[3] ?? 0) + firstWaveWeight * gained;
-		products[5] = (products[5] ?? 0) + firstWaveWeight * gained;
-		results[0] = (results[0] ?? 0) + firstMeanWeight * firstMean * gained;
-		sums.squares = sums.squares * kept + firstMeanWeight * firstMean ** 2 * gained;
+		products[0] = (products[0] ?? 0) + initialMeanWeight * gained;
+		products[3] = (products[3] ?? 0) + initialWaveWeight * gained;
+		products[5] = (products[5] ?? 0) + initialWaveWeight * gained;
+		results[0] = (results[0] ?? 0) + initialMeanWeight * firstMean * gained;
+		sums.squares = sums.squares * kept + initialMeanWeight * firstMean ** 2 * gained;
 	}
 
 	/** Solves the normal equations by Cholesky's method; the first guess keeps them regular. */
@@ -127,7 +127,7 @@
 }
 
 /** Sine and cosine at a time. */
-function phaseOf(time: number, periodMs: number): [number, number] {
+function sineAndCosineAt(time: number, periodMs: number): [number, number] {
 	const angle = (2 * Math.PI * time) / periodMs;
 	return [Math.sin(angle), Math.cos(angle)];
 }
--- a/test/filling.test.ts
+++ b/test/filling.test.ts
@@ -81,7 +81,7 @@
 
 test('few tasks are exempt at once: one of a step, one on a worker, a tenth of the workers, more with the wait', (t) => {
 	const clock = time.VirtualClock.create();
-	const owner = exemptions.HarmExemptions.create();
+	const owner = exemptions.InterferenceExemptions.create();
 	const steps = [1, 2, 3].map((number) => {
 		const record = world.job(`job${number}`, [world.step({ fills: true, count: 2 })]);
 		const start = { cancelled: false, inherited: false, workersStored: true, now: clock.now(), age: 0 };
@@ -93,20 +93,20 @@
 	const workers = 10;
 	const waitedMs = settings.starvedAfterMs;
 	const on = session(clock, 'w1');
-	t.true(owner.isFree(one.step, waitedMs, workers));
+	t.true(owner.mayGrant(one.step, waitedMs, workers));
 	const place = on.place(one, 1, 'running');
 	owner.grant(on, place);
 	t.true(place.exempt);
-	t.true(owner.isOn(on));
+	t.true(owner.hasExemption(on));
 	// A tenth of ten workers is taken; after twice the wait there is one more, but not for the same step.
-	t.false(owner.isFree(two.step, waitedMs, workers));
-	t.true(owner.isFree(two.step, 2 * waitedMs, workers));
-	t.false(owner.isFree(one.step, 2 * waitedMs, workers));
+	t.false(owner.mayGrant(two.step, waitedMs, workers));
+	t.true(owner.mayGrant(two.step, 2 * waitedMs, workers));
+	t.false(owner.mayGrant(one.step, 2 * waitedMs, workers));
 	// One that stands still harms nobody.
 	place.pace = 0;
-	t.true(owner.isFree(two.step, waitedMs, workers));
+	t.true(owner.mayGrant(two.step, waitedMs, workers));
 	on.free(place);
-	t.true(owner.isFree(one.step, waitedMs, workers));
+	t.true(owner.mayGrant(one.step, waitedMs, workers));
 	on.close();
 });
 
--- a/test/loads.test.ts
+++ b/test/loads.test.ts
@@ -26,7 +26,7 @@
 			const isDisturbed = Math.floor(now / 2_000) % tasks === task;
 			const noise = (next() - 0.5) * 0.06;
 			const load = loadAt(now - loadWave.readingAgeMs) + noise;
-			wave.note(task, Math.min(1, isDisturbed ? load * 1.5 : load), now);
+			wave.addReading(task, Math.min(1, isDisturbed ? load * 1.5 : load), now);
 		}
 	}
 }
@@ -49,10 +49,10 @@
 
 test('two tasks are too few to tell a load from a disturbance', (t) => {
 	const wave = loadWave.LoadPeriod.create(0).createWave();
-	wave.note(0, 0.5, 1_000);
-	wave.note(1, 0.5, 1_000);
+	wave.addReading(0, 0.5, 1_000);
+	wave.addReading(1, 0.5, 1_000);
 	t.false(wave.isComparable(1_000));
-	wave.note(2, 0.5, 1_000);
+	wave.addReading(2, 0.5, 1_000);
 	t.true(wave.isComparable(1_000));
 	t.false(wave.isComparable(3_000));
 });
@@ -61,8 +61,8 @@
 	const period = loadWave.LoadPeriod.create(0);
 	const wave = period.createWave();
 	report(wave, 0, 30_000, 2);
-	const sums = wave.learnt(30_000);
-	const next = loadWave.LoadPeriod.restore(period.index(30_000), 31_000).createWave(sums);
+	const sums = wave.learned(30_000);
+	const next = loadWave.LoadPeriod.restore(period.chosenIndex(30_000), 31_000).createWave(sums);
 	t.true(worstError(next, 31_000) < 0.1, `off by ${worstError(next, 31_000).toFixed(3)}`);
 	// A guess from nothing is off by the whole swing.
 	t.true(worstError(loadWave.LoadPeriod.create(31_000).createWave(), 31_000) > 0.19);
@@ -96,13 +96,13 @@
 
 test('an owner goes on from knowledge of its own form only', (t) => {
 	const clock = time.VirtualClock.create();
-	const empty = interference.Interference.create(clock).knowledge();
-	const learner = interference.Interference.create(clock);
-	t.true(learner.adopt({ ...empty, periods: { web: 7 } }));
-	t.deepEqual(learner.knowledge().periods, { web: 7 });
-	const other = interference.Interference.create(clock);
-	t.false(other.adopt({ ...empty, format: empty.format + 1, periods: { web: 7 } }));
-	t.deepEqual(other.knowledge().periods, {});
+	const empty = interference.InterferenceModel.create(clock).exportLearned();
+	const learner = interference.InterferenceModel.create(clock);
+	t.true(learner.restore({ ...empty, periods: { web: 7 } }));
+	t.deepEqual(learner.exportLearned().periods, { web: 7 });
+	const other = interference.InterferenceModel.create(clock);
+	t.false(other.restore({ ...empty, format: empty.format + 1, periods: { web: 7 } }));
+	t.deepEqual(other.exportLearned().periods, {});
 });
 
 test('what was learnt of a load is forgotten with its step, also when its tasks report once more', async (t) => {
@@ -118,12 +118,12 @@
 	await submit(owner, world.job('job1', [serving]));
 	await submit(owner, world.job('job2', [serving]));
 	await clock.pass(5_000);
-	t.deepEqual(Object.keys(owner.dispatcher.knowledge().loads), ['job1.0.0', 'job2.0.0']);
+	t.deepEqual(Object.keys(owner.dispatcher.exportLearnedModels().loads), ['job1.0.0', 'job2.0.0']);
 	owner.dispatcher.cancelJob('job1');
 	// The first task that has stopped brings a report that still lists the others.
 	await clock.pass(1_000);
 	t.false(fleet.workers.get('w1')?.running.has('job1.0.0.0'));
-	t.deepEqual(Object.keys(owner.dispatcher.knowledge().loads), ['job2.0.0']);
+	t.deepEqual(Object.keys(owner.dispatcher.exportLearnedModels().loads), ['job2.0.0']);
 	owner.dispatcher.close();
 });
 
@@ -141,12 +141,12 @@
 	);
 	await clock.pass(300);
 	t.is(w1.running.size, 3);
-	t.deepEqual(owner.dispatcher.knowledge().loads, {});
+	t.deepEqual(owner.dispatcher.exportLearnedModels().loads, {});
 	owner.dispatcher.cancelJob('job1');
 	await clock.pass(1_000);
 	t.is(w1.running.size, 0);
 	// The first task that has stopped brings a report that still lists the others, the first with readings.
-	t.deepEqual(Object.keys(owner.dispatcher.knowledge().periods), ['web']);
-	t.deepEqual(owner.dispatcher.knowledge().loads, {});
+	t.deepEqual(Object.keys(owner.dispatcher.exportLearnedModels().periods), ['web']);
+	t.deepEqual(owner.dispatcher.exportLearnedModels().loads, {});
 	owner.dispatcher.close();
 });
--- a/test/placer.test.ts
+++ b/test/placer.test.ts
@@ -39,7 +39,7 @@
 		},
 		mayHaveUnreportedRun: () => false,
 		policyOf: () => fixtures.queue,
-		estimates: interference.Interference.create(clock),
+		estimates: interference.InterferenceModel.create(clock),
 		askAdviser: undefined,
 		start: () => undefined,
 		probations: probation.Probations.create({
--- a/test/progress-saver.test.ts
+++ b/test/progress-saver.test.ts
@@ -90,7 +90,7 @@
 	for (const job of changed) progress.mark(job);
 	const beganAt = clock.now();
 	let storedAt = Infinity;
-	void progress.stored(changed).then(() => (storedAt = clock.now()));
+	void progress.whenStored(changed).then(() => (storedAt = clock.now()));
 	for (let round = 0; round < 100; round += 1) {
 		progress.mark(changed[round] ?? fixtures.createJob('none', 0));
 		await clock.pass(10);
@@ -113,7 +113,7 @@
 	job.state = 'completed';
 	progress.mark(job);
 	let isStored = false;
-	void progress.stored([job]).then(() => (isStored = true));
+	void progress.whenStored([job]).then(() => (isStored = true));
 	await clock.pass(100);
 	t.deepEqual([saved, isStored], [['job1 pending'], false]);
 	await clock.pass(150);
--- a/test/takeover.test.ts
+++ b/test/takeover.test.ts
@@ -122,7 +122,7 @@
 test('a successor waits for a silent worker no longer than its predecessor would have', async (t) => {
 	const { clock, fleet, takeOver, owner: first } = await silentWorld();
 	await clock.pass(4_000);
-	const ends = endsFrom(first.dispatcher.silentLeases(), clock.now());
+	const ends = endsFrom(first.dispatcher.unresponsiveLeases(), clock.now());
 	first.dispatcher.close();
 	const w2 = fleet.add('w2');
 	const second = await takeOver(undefined, undefined, ends);
@@ -138,7 +138,7 @@
 	let fault: 'none' | 'down' = 'none';
 	const { clock, owner, w1 } = await silentWorld(() => fault);
 	await clock.pass(3_300);
-	t.deepEqual(Object.keys(owner.dispatcher.silentLeases()), ['w1']);
+	t.deepEqual(Object.keys(owner.dispatcher.unresponsiveLeases()), ['w1']);
 	fault = 'down';
 	w1.fault = 'none';
 	await clock.pass(3_700);
@@ -149,7 +149,7 @@
 test('a worker whose lease was stated is renewed once the roster has changed', async (t) => {
 	const { clock, fleet, owner, w1 } = await silentWorld();
 	await clock.pass(3_300);
-	t.deepEqual(Object.keys(owner.dispatcher.silentLeases()), ['w1']);
+	t.deepEqual(Object.keys(owner.dispatcher.unresponsiveLeases()), ['w1']);
 	w1.fault = 'none';
 	await clock.pass(20_000);
 	t.is(w1.running.size, 1);
@@ -220,12 +220,12 @@
 test('owners that follow each other quickly do not begin the wait for a silent worker anew', async (t) => {
 	const { clock, fleet, takeOver, owner: first } = await silentWorld();
 	await clock.pass(3_500);
-	const ends = endsFrom(first.dispatcher.silentLeases(), clock.now());
+	const ends = endsFrom(first.dispatcher.unresponsiveLeases(), clock.now());
 	first.dispatcher.close();
 	const w2 = fleet.add('w2');
 	const second = await takeOver(undefined, undefined, ends);
 	await clock.pass(500);
-	const endsAgain = endsFrom(second.dispatcher.silentLeases(), clock.now());
+	const endsAgain = endsFrom(second.dispatcher.unresponsiveLeases(), clock.now());
 	second.dispatcher.close();
 	const third = await takeOver(undefined, undefined, endsAgain);
 	await clock.pass(3_000);
--- a/test/unstored-progress.test.ts
+++ b/test/unstored-progress.test.ts
@@ -62,7 +62,7 @@
 	progress.mark(job);
 	await clock.pass(200);
 	let isStored = false;
-	void progress.stored([job]).then(() => (isStored = true));
+	void progress.whenStored([job]).then(() => (isStored = true));
 	await clock.pass(asideMs / 2);
 	t.false(isStored);
 	isRefused = false;
@@ -93,7 +93,7 @@
 		const markedAt = clock.now();
 		progress.mark(running);
 		let storedAt = Infinity;
-		void progress.stored([running]).then(() => (storedAt = clock.now()));
+		void progress.whenStored([running]).then(() => (storedAt = clock.now()));
 		await endJobs(10_000);
 		const tookMs = storedAt - markedAt;
 		t.true(tookMs <= boundMs, `${String(tookMs)} ms`);
@@ -108,7 +108,7 @@
 	const mark = async (job: jobs.ActiveJob): Promise<void> => {
 		const markedAt = clock.now();
 		progress.mark(job);
-		await progress.stored([job]);
+		await progress.whenStored([job]);
 		longestMs = Math.max(longestMs, clock.now() - markedAt);
 	};
 	for (let round = 0; round < 20; round += 1) {
