--- a/src/cli/box/connections.ts
+++ b/src/cli/box/connections.ts
@@ -5,7 +5,7 @@
 /** What is known of one connection. */
 interface ConnectionUse {
 	/** Requests that are not answered. */
-	underWay: number;
+	pendingRequests: number;
 	/** Bytes that had been read when the last answer was complete. */
 	answeredBytes: number;
 }
@@ -21,7 +21,7 @@
 	static create(server: net.Server): ConnectionTracker {
 		const tracker = new ConnectionTracker();
 		server.on('connection', (socket) => {
-			tracker.opened(socket);
+			tracker.trackConnection(socket);
 		});
 		server.on('request', (req: http.IncomingMessage, res: http.ServerResponse) => {
 			tracker.asked(req.socket, res);
@@ -35,21 +35,21 @@
 	 */
 	unused(): net.Socket[] {
 		const isUnused = ([socket, use]: [net.Socket, ConnectionUse]): boolean =>
-			use.underWay === 0 && socket.bytesRead === use.answeredBytes;
+			use.pendingRequests === 0 && socket.bytesRead === use.answeredBytes;
 		return [...this.open].filter(isUnused).map(([socket]) => socket);
 	}
 
-	private opened(socket: net.Socket): void {
-		this.open.set(socket, { underWay: 0, answeredBytes: 0 });
+	private trackConnection(socket: net.Socket): void {
+		this.open.set(socket, { pendingRequests: 0, answeredBytes: 0 });
 		socket.once('close', () => this.open.delete(socket));
 	}
 
 	private asked(socket: net.Socket, res: http.ServerResponse): void {
 		const use = this.open.get(socket);
 		if (use === undefined) return;
-		use.underWay += 1;
+		use.pendingRequests += 1;
 		res.once('close', () => {
-			use.underWay -= 1;
+			use.pendingRequests -= 1;
 			use.answeredBytes = socket.bytesRead;
 		});
 	}
--- a/src/cli/box/figures.ts
+++ b/src/cli/box/figures.ts
@@ -5,10 +5,10 @@
 import type * as events from '../../core/events/index.js';
 
 /** Figures are served so long after the start, in milliseconds. */
-export const startAfterMs = 3_000;
+export const startDelayMs = 3_000;
 
 /** Fields of events that are times, and the histograms they go to. */
-const times: Record<string, string> = {
+const histogramsByEvent: Record<string, string> = {
 	'task.placed': 'task_wait',
 	'job.taken': 'job_age_at_owner',
 	'job.accepted': 'job_accept',
@@ -16,20 +16,20 @@
 };
 
 /** Serves the figures at `address` (`host:port`) under every path. */
-export async function serveFigures(box: boxes.Box, log: events.EventLog, address: string): Promise<void> {
+export async function serveMetrics(box: boxes.Box, log: events.EventLog, address: string): Promise<void> {
 	const metrics = await import('../../core/metrics/index.js');
-	const figures = metrics.Metrics.create();
+	const registry = metrics.Metrics.create();
 	box.recordTime = (name, ms) => {
-		figures.time(name, ms);
+		registry.time(name, ms);
 	};
 	log.observe((event) => {
-		figures.count(`event_${event.name.replace(/[.-]/g, '_')}`);
-		const name = times[event.name];
+		registry.count(`event_${event.name.replace(/[.-]/g, '_')}`);
+		const name = histogramsByEvent[event.name];
 		const ms = event.fields.waitedMs ?? event.fields.ageMs ?? event.fields.tookMs;
-		if (name !== undefined && typeof ms === 'number') figures.time(name, ms);
+		if (name !== undefined && typeof ms === 'number') registry.time(name, ms);
 	});
 	const server = http.createServer((_req, res) => {
-		res.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' }).end(figures.text(ownFigures(box)));
+		res.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' }).end(registry.text(boxGauges(box)));
 	});
 	server.on('error', (err) => {
 		log.emit('figures.unserved', { reason: err.message });
@@ -38,7 +38,7 @@
 }
 
 /** What is read off at the moment of a question. */
-function ownFigures(box: boxes.Box): Record<string, number> {
+function boxGauges(box: boxes.Box): Record<string, number> {
 	const { rss } = process.memoryUsage();
 	const { user, system } = process.cpuUsage();
 	return {
@@ -46,15 +46,15 @@
 		owner: Number(box.owning),
 		config_version: box.queues?.configuration.version ?? 0,
 		config_age_ms: box.configurationAgeMs,
-		store_lost_ms: Math.round(box.storeLostForMs),
+		store_lost_ms: Math.round(box.storeUnresponsiveMs),
 		memory_bytes: rss,
 		cpu_us: user + system,
-		...ownerFigures(box.ownerLoad),
+		...ownerGauges(box.ownerLoad),
 	};
 }
 
 /** The owner's last second, one figure a field. */
-function ownerFigures(load: boxes.Box['ownerLoad']): Record<string, number> {
+function ownerGauges(load: boxes.Box['ownerLoad']): Record<string, number> {
 	const fields: [string, number][] = Object.entries({ ...load });
 	return Object.fromEntries(fields.map(([field, value]) => [`owner_${toSnakeCase(field)}`, value]));
 }
--- a/src/cli/box/listening.ts
+++ b/src/cli/box/listening.ts
@@ -30,7 +30,12 @@
  * its way then would be left without any. It is not run: what arrives after the close has to be refused anyway. Callers
  * without a request take the text for the end that it is (RFC 9112, 9.2; RFC 9110, 15.5.9 has the same for 408).
  */
-export function finish(server: http.Server, quietMs: number, mostMs: number, lastAnswer = ''): Promise<void> {
+export function finish(
+	server: http.Server,
+	unusedCloseDelayMs: number,
+	timeoutMs: number,
+	lastAnswer = '',
+): Promise<void> {
 	return new Promise((resolve) => {
 		// Not the close of `http.Server`, which would end the idle connections at once: on some of them a request may have
 		// arrived that is not read yet, the more the busier this process is.
@@ -38,11 +43,11 @@
 			resolve();
 		});
 		setTimeout(() => {
-			reading.afterReading(() => {
+			reading.afterPendingReads(() => {
 				for (const socket of trackers.get(server)?.unused() ?? []) endUnused(socket, lastAnswer);
 			});
-		}, quietMs).unref();
-		setTimeout(resolve, mostMs).unref();
+		}, unusedCloseDelayMs).unref();
+		setTimeout(resolve, timeoutMs).unref();
 	});
 }
 
@@ -58,6 +63,6 @@
 
 /** Host and port of an address. */
 export function toListenOptions(address: string): { host: string; port: number } {
-	const cut = address.lastIndexOf(':');
-	return { host: address.slice(0, cut), port: Number(address.slice(cut + 1)) };
+	const colon = address.lastIndexOf(':');
+	return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
--- a/src/cli/box/signals.ts
+++ b/src/cli/box/signals.ts
@@ -5,10 +5,10 @@
 
 /** Set once settings can be read again. */
 let reload: (() => void) | undefined;
-let isReloadAsked = false;
+let isReloadRequested = false;
 
 /** Resolves once a planned stop is asked for, to the time of `performance.now()` at which it was. */
-export const stopAsked = new Promise<number>((resolve) => {
+export const stopRequested = new Promise<number>((resolve) => {
 	// Not only the first: another one must not end a stop that is under way.
 	process.on('SIGTERM', () => {
 		resolve(performance.now());
@@ -16,12 +16,12 @@
 });
 
 process.on('SIGHUP', () => {
-	if (reload === undefined) isReloadAsked = true;
+	if (reload === undefined) isReloadRequested = true;
 	else reload();
 });
 
 /** Calls `fn` whenever settings are to be read again, also if that was asked for before. */
 export function onReload(fn: () => void): void {
 	reload = fn;
-	if (isReloadAsked) fn();
+	if (isReloadRequested) fn();
 }
--- a/src/cli/box/stalls.ts
+++ b/src/cli/box/stalls.ts
@@ -6,22 +6,22 @@
 import type * as events from '../../core/events/index.js';
 
 /** How often it is looked, in milliseconds. */
-const lookGapMs = 500;
+const checkIntervalMs = 500;
 
 /** A look that comes so much later is logged, in milliseconds: half of the shortest time limit of a call. */
-const stallMs = 500;
+const minStallMs = 500;
 
 /** Watches until the process ends. */
 export function watchStalls(clock: clocks.Clock, log: events.EventLog): void {
 	let resumedAt = clock.resumedAt();
-	let dueAt = clock.now() + lookGapMs;
-	clocks.every(clock, lookGapMs, () => {
+	let dueAt = clock.now() + checkIntervalMs;
+	clocks.every(clock, checkIntervalMs, () => {
 		const now = clock.now();
 		const lateMs = Math.round(now - dueAt);
-		dueAt = now + lookGapMs;
+		dueAt = now + checkIntervalMs;
 		const resumed = clock.resumedAt();
 		if (resumed > resumedAt) log.emit('clock.jumped', { agoMs: Math.round(now - resumed) });
 		resumedAt = resumed;
-		if (lateMs >= stallMs) log.emit('process.stalled', { lateMs });
+		if (lateMs >= minStallMs) log.emit('process.stalled', { lateMs });
 	});
 }
--- a/src/core/accept-queue.ts
+++ b/src/core/accept-queue.ts
@@ -5,8 +5,8 @@
  * Connections arrive unseen from the moment at which the event loop asks the kernel for events to the end of that turn: a
  * turn counts as brief up to this many milliseconds, and up to this part of the time that a brief one has been waited for.
  */
-const briefTurnMs = 0.2;
-const briefTurnPart = 0.02;
+const maxBriefTurnMs = 0.2;
+const maxBriefTurnFraction = 0.02;
 
 /** What was found in the queue. */
 export interface AcceptedConnections {
@@ -21,7 +21,7 @@
  * after `mostMs` milliseconds at the latest. To be closed in that same turn: the kernel resets connections that are in the
  * queue of a listener when it is closed, with the requests that callers have written to them.
  */
-export function acceptQueued(server: net.Server, mostMs: number): Promise<AcceptedConnections> {
+export function acceptQueued(server: net.Server, timeoutMs: number): Promise<AcceptedConnections> {
 	return new Promise((resolve) => {
 		const startedAt = performance.now();
 		let accepted = 0;
@@ -29,19 +29,19 @@
 			accepted += 1;
 		};
 		server.on('connection', count);
-		const look = (turnStartedAt: number, acceptedBefore: number): void => {
+		const check = (turnStartedAt: number, acceptedBefore: number): void => {
 			const now = performance.now();
 			const waitedMs = now - startedAt;
-			const isBrief = now - turnStartedAt <= Math.max(briefTurnMs, waitedMs * briefTurnPart);
+			const isBrief = now - turnStartedAt <= Math.max(maxBriefTurnMs, waitedMs * maxBriefTurnFraction);
 			const emptied = isBrief && accepted === acceptedBefore;
-			if (!emptied && waitedMs < mostMs) {
-				setImmediate(look, now, accepted);
+			if (!emptied && waitedMs < timeoutMs) {
+				setImmediate(check, now, accepted);
 				return;
 			}
 			server.off('connection', count);
 			resolve({ accepted, emptied, tookMs: Math.round(waitedMs) });
 		};
 		// The first look begins a turn; what is queued now is accepted from then on.
-		setImmediate(look, -Infinity, accepted);
+		setImmediate(check, -Infinity, accepted);
 	});
 }
--- a/src/core/admission/backlog.ts
+++ b/src/core/admission/backlog.ts
@@ -5,16 +5,16 @@
 import type * as types from './types.js';
 
 /** Busy seconds that count, the newest: a fleet changes within half a minute. */
-const mostSamples = 15;
+const maxSamples = 15;
 
 /** So many busy seconds have to be seen before anything is told: the first ones still fill the workers. */
-const leastSamples = 4;
+const minSamples = 4;
 
 /** A second in which fewer tasks wait than finish in so many seconds is not busy. */
-const busyS = 1;
+const busyThresholdS = 1;
 
 /** Tasks that are owed, by priority. */
-export type OwedTasks = ReadonlyMap<number, number>;
+export type OutstandingTasks = ReadonlyMap<number, number>;
 
 /** The rate at which an owner's work is finished. */
 export class FinishRate {
@@ -29,33 +29,33 @@
 	}
 
 	/** A second has passed. */
-	note(finished: number, waiting: number): void {
-		if (waiting <= finished * busyS) {
+	addSecond(finished: number, waiting: number): void {
+		if (waiting <= finished * busyThresholdS) {
 			// What waited has found its place: the next backlog is another one.
 			if (waiting === 0) this.samples.length = 0;
 			return;
 		}
 		this.samples.push(finished);
-		if (this.samples.length > mostSamples) this.samples.shift();
+		if (this.samples.length > maxSamples) this.samples.shift();
 	}
 
 	/**
 	 * Tasks a second, of the better half of the seconds; undefined: not known. The others, in which workers fill up, an
 	 * owner has just started or the store is slow, tell less than what can be done, and jobs would be turned away for it.
 	 */
-	get perS(): number | undefined {
-		if (this.samples.length < leastSamples) return undefined;
+	get tasksPerS(): number | undefined {
+		if (this.samples.length < minSamples) return undefined;
 		const best = [...this.samples].sort((a, b) => b - a).slice(0, Math.ceil(this.samples.length / 2));
 		return best.reduce((sum, one) => sum + one, 0) / best.length;
 	}
 }
 
 /** How long what is owed takes; nothing is told without a rate. */
-export function backlogOf(owed: OwedTasks, perS: number | undefined): types.Backlog {
-	if (perS === undefined) return [];
-	const rate = Math.max(1, perS);
+export function estimateBacklog(outstanding: OutstandingTasks, tasksPerS: number | undefined): types.Backlog {
+	if (tasksPerS === undefined) return [];
+	const rate = Math.max(1, tasksPerS);
 	let tasks = 0;
-	return [...owed]
+	return [...outstanding]
 		.sort(([a], [b]) => a - b)
 		.map(([priority, count]) => {
 			tasks += count;
--- a/src/core/admission/decide.ts
+++ b/src/core/admission/decide.ts
@@ -13,18 +13,18 @@
  * No job is taken in that would wait longer than this, in milliseconds, however patient its caller is: operators expect
  * that 14 s after the last hand-in all that was accepted is under way, and estimates are rough.
  */
-export const mostWaitMs = 10_000;
+export const maxWaitMs = 10_000;
 
 /** How long what a job waits behind may take, in milliseconds: afterwards it is worth nothing to its caller. */
 export function waitLimitMs(record: Pick<jobs.JobRecord, 'queue' | 'steps'>): number {
 	const { chainMs, worthlessMs } = jobs.patienceOf(record);
-	return Math.min(mostWaitMs, Math.max(0, worthlessMs - chainMs));
+	return Math.min(maxWaitMs, Math.max(0, worthlessMs - chainMs));
 }
 
 /** What a job of this priority waits for, in milliseconds. */
-export function waitMsAt(priority: number, backlog: types.Backlog): number {
+export function estimatedWaitMs(priority: number, backlog: types.Backlog): number {
 	let waitMs = 0;
-	for (const owed of backlog) if (owed.priority <= priority) waitMs = Math.max(waitMs, owed.waitMs);
+	for (const work of backlog) if (work.priority <= priority) waitMs = Math.max(waitMs, work.waitMs);
 	return waitMs;
 }
 
@@ -33,7 +33,7 @@
 	record: Pick<jobs.JobRecord, 'queue' | 'steps'>,
 	backlog: types.Backlog,
 ): types.Verdict {
-	const waitMs = waitMsAt(record.queue.priority, backlog);
+	const waitMs = estimatedWaitMs(record.queue.priority, backlog);
 	const limitMs = waitLimitMs(record);
 	return waitMs <= limitMs ? { type: 'admit' } : { type: 'refuse', waitMs, limitMs };
 }
--- a/src/core/box/box.ts
+++ b/src/core/box/box.ts
@@ -62,8 +62,8 @@
 			processor,
 			now: () => clock.now(),
 			configuration: () => this.configuration.version,
-			onConfiguration: (told, askedAt, owner) => {
-				void this.configuration.hear(told, askedAt, () => this.readConfiguration(owner));
+			onConfiguration: (advertised, sentAt, owner) => {
+				void this.configuration.onAdvertised(advertised, sentAt, () => this.readConfiguration(owner));
 			},
 		});
 		this.heldPings = held.HeldPings.create(clock);
@@ -73,11 +73,11 @@
 			clock,
 			events,
 			dispatcher: () => this.role?.dispatcher,
-			askOwner: (req, timeoutMs) => this.askOwner(req, timeoutMs),
+			callOwner: (req, timeoutMs) => this.callOwner(req, timeoutMs),
 			ownerGeneration: () => this.ownership.owner?.generation ?? 0,
 			backlog: () => this.role?.backlog ?? this.pings.backlog,
 			random: () => Math.random(),
-			ownerHasStore: () => this.ownership.reachable && this.pings.storeReachable,
+			ownerReachesStore: () => this.ownership.reachable && this.pings.storeReachable,
 		});
 	}
 
@@ -99,7 +99,7 @@
 
 	/** Whether a newer configuration may be in force elsewhere by now. */
 	get isConfigurationInDoubt(): boolean {
-		return this.configuration.isInDoubt;
+		return this.configuration.mayBeStale;
 	}
 
 	/** How long ago the configuration was last confirmed, in milliseconds. */
@@ -108,7 +108,7 @@
 	}
 
 	/** How long the store has not answered this box, in milliseconds; 0: it does. */
-	get storeLostForMs(): number {
+	get storeUnresponsiveMs(): number {
 		return this.contact.lostForMs;
 	}
 
@@ -139,7 +139,7 @@
 	}
 
 	/** Planned stop: callers go elsewhere, and another box dispatches. */
-	async leave(): Promise<void> {
+	async prepareToStop(): Promise<void> {
 		this.stopping = true;
 		this.events.emit('process.stopping');
 		await this.ownership.release();
@@ -167,15 +167,15 @@
 			peer: this.server.address,
 			leaseMs: Math.max(ownership.settings.leaseMs, this.settings.minLeaseMs),
 			processor: this.settings.processor,
-			strongestKnown: () => this.pings.strongest,
+			highestKnownProcessor: () => this.pings.strongest,
 			strongerBox: () => this.candidates.stronger(this.settings.processor)?.box,
 			ping: (address) => this.pings.ping(address),
 			ownerLacksStore: () => !this.pings.storeReachable && this.contact.reachable,
-			onOwned: (owned, contents) => {
-				this.onOwned(owned, contents);
+			onAcquired: (owned, contents) => {
+				this.startOwnerRole(owned, contents);
 			},
 			onLost: () => {
-				this.onLost();
+				this.endOwnerRole();
 			},
 			random: (below) => Math.random() * below,
 		});
@@ -183,7 +183,7 @@
 
 	/** Listens for the other boxes on the first of our ports that is free. */
 	private async listen(): Promise<wire.PeerServer<protocol.BoxReq>> {
-		const [first, last] = this.settings.ownPorts;
+		const [first, last] = this.settings.peerPorts;
 		for (let port = first; ; port += 1) {
 			try {
 				return await wire.PeerServer.create(
@@ -191,7 +191,7 @@
 					port,
 					this.events,
 					protocol.parseBoxReq,
-					(req) => this.onPeer(req),
+					(req) => this.onPeerRequest(req),
 				);
 			} catch (err) {
 				if (port >= last) throw err;
@@ -200,7 +200,7 @@
 		}
 	}
 
-	private async askOwner<T>(
+	private async callOwner<T>(
 		req: protocol.BoxReq,
 		timeoutMs: number,
 	): Promise<results.Result<T, service.OwnerFailure>> {
@@ -219,7 +219,7 @@
 		return res.ok && res.value.ok ? res.value.value.value : undefined;
 	}
 
-	private onOwned(owned: ledger.OwnerLedger, contents: ledger.LedgerContents): void {
+	private startOwnerRole(owned: ledger.OwnerLedger, contents: ledger.LedgerContents): void {
 		this.role = ownerRole.OwnerRole.create(
 			{
 				settings: this.settings,
@@ -237,12 +237,12 @@
 			},
 			owned,
 			contents,
-			this.pings.leaseEnds.for(owned.generation, owned.rosterVersion),
+			this.pings.leaseExpiries.validFor(owned.generation, owned.rosterVersion),
 		);
 		for (const wave of this.waves.values()) this.role.addWave(wave);
 	}
 
-	private onLost(): void {
+	private endOwnerRole(): void {
 		// What this owner knows of the boxes serves the next race.
 		this.pings.strongest = this.candidates.strongest(this.settings.processor);
 		this.role?.close();
@@ -250,14 +250,14 @@
 		this.heldPings.release();
 	}
 
-	private async onPeer(req: protocol.BoxReq): Promise<results.Result<unknown, errors.Failure>> {
+	private async onPeerRequest(req: protocol.BoxReq): Promise<results.Result<unknown, errors.Failure>> {
 		const notOwner = results.fail(errors.failure('NotOwner', this.settings.box));
 		const dispatcher = this.role?.dispatcher;
 		if (dispatcher === undefined) return notOwner;
 		switch (req.type) {
 			case 'owner.ping':
-				this.candidates.heard(req.candidate);
-				this.configuration.seek(req.configuration ?? 0);
+				this.candidates.notePing(req.candidate);
+				this.configuration.listIfNewer(req.configuration ?? 0);
 				await this.heldPings.hold(req.waitMs);
 				return this.role === undefined ? notOwner : results.ok(this.pingReply(this.role));
 			case 'job.stored':
@@ -275,18 +275,18 @@
 			case 'queue.pending':
 				return results.ok(dispatcher.pendingOf(req.queue));
 			case 'configuration.read':
-				return results.ok({ value: this.configuration.give() });
+				return results.ok({ value: this.configuration.shareStored() });
 		}
 	}
 
 	private pingReply(role: ownerRole.OwnerRole): protocol.PingReply {
 		return {
-			generation: this.ownership.current?.generation ?? 0,
+			generation: this.ownership.currentLedger?.generation ?? 0,
 			strongest: this.candidates.strongest(this.settings.processor),
 			storeReachable: this.contact.reachable,
 			backlog: role.backlog,
-			silent: role.silentWorkers(),
-			configuration: this.configuration.told,
+			silent: role.unresponsiveWorkers(),
+			configuration: this.configuration.advertisedConfiguration,
 		};
 	}
 }
--- a/src/core/box/configuration.ts
+++ b/src/core/box/configuration.ts
@@ -11,21 +11,21 @@
 import type * as upkeep from '../upkeep/index.js';
 
 /** The operators' keys are asked for with no longer and no shorter wait, in milliseconds: each call has its price. */
-const longestWaitMs = 2_500;
-const shortestWaitMs = 250;
+const maxWaitMs = 2_500;
+const minWaitMs = 250;
 
 /**
  * Left for reading the list once a wait was given up, in milliseconds: a connection is opened anew, and the store answers
  * in 250 in its slow hours.
  */
-const rereadMs = 600;
+const relistAllowanceMs = 600;
 
 /** How often it is looked whether it is overdue, and after how long that is logged again, in milliseconds. */
-const lookGapMs = 500;
-const reminderMs = 5_000;
+const overdueCheckIntervalMs = 500;
+const overdueLogIntervalMs = 5_000;
 
 /** So many queues and pools of a version that can't be read are logged one by one. */
-const mostLeftOutLogged = 10;
+const maxSkippedLogged = 10;
 
 /** What following needs. */
 export interface ConfigurationOptions {
@@ -53,9 +53,9 @@
  * How long a question for the operators' keys waits, in milliseconds. Its connection may go silent as it begins: then the
  * wait, the time for a late answer and a list over another connection have to fit into `applyMs`.
  */
-export function waitFor(applyMs: number): number {
-	const left = applyMs - limits.lateAnswerMs - rereadMs;
-	return Math.min(longestWaitMs, Math.max(shortestWaitMs, left));
+export function longPollWaitMs(applyMs: number): number {
+	const left = applyMs - limits.lateAnswerMs - relistAllowanceMs;
+	return Math.min(maxWaitMs, Math.max(minWaitMs, left));
 }
 
 /** The operators' configuration as this box knows it. */
@@ -65,40 +65,40 @@
 	/** Clock time of the store's newest answer, or of the one that an owner with the same version told of. */
 	private confirmedAt: number;
 	/** The newest version that another box told of. */
-	private toldVersion = 0;
+	private highestAdvertisedVersion = 0;
 	/** The newest version for which the list was read as another box told of it. */
-	private soughtVersion = 0;
+	private listedForVersion = 0;
 	private readonly follower: followers.RecordFollower;
 	/** The configuration in force as it stands in the store. */
 	private stored: Uint8Array | undefined;
-	private isAskingOwner = false;
+	private isFetchingFromOwner = false;
 	/** Clock time of the newest line that says that it is overdue; undefined: it is not. */
-	private overdueToldAt: number | undefined;
-	private readonly sharing: sharing.ConfigurationSharing;
+	private overdueLoggedAt: number | undefined;
+	private readonly rateLimit: sharing.SharingRateLimit;
 
 	private constructor(private readonly opts: ConfigurationOptions) {
-		this.sharing = sharing.ConfigurationSharing.create(() => opts.clock.now());
+		this.rateLimit = sharing.SharingRateLimit.create(() => opts.clock.now());
 		this.confirmedAt = opts.clock.now();
 		this.follower = followers.RecordFollower.create({
 			store: opts.store,
 			clock: opts.clock,
 			prefix: opts.adapter.configurationPrefix,
-			waitMs: waitFor(opts.applyMs),
+			waitMs: longPollWaitMs(opts.applyMs),
 			gapMs: 0,
 			isShort: true,
-			onAnswered: (heldAt) => {
-				this.confirmed(heldAt);
+			onAnswered: (asOf) => {
+				this.confirmed(asOf);
 			},
 			onList: (items, revision) => {
-				for (const item of items) this.take(item.key, item.value, { source: 'list', revision });
+				for (const item of items) this.applyEntry(item.key, item.value, { source: 'list', revision });
 			},
 			onChanges: (changes, revision) => {
 				for (const one of changes)
-					if (one.value !== undefined) this.take(one.key, one.value, { source: 'change', revision });
+					if (one.value !== undefined) this.applyEntry(one.key, one.value, { source: 'change', revision });
 			},
 		});
-		clocks.every(opts.clock, lookGapMs, () => {
-			this.look();
+		clocks.every(opts.clock, overdueCheckIntervalMs, () => {
+			this.logIfOverdue();
 		});
 	}
 
@@ -119,19 +119,19 @@
 	/**
 	 * Whether a newer one may be in force elsewhere: another box told of it, or this one is overdue for being confirmed.
 	 */
-	get isInDoubt(): boolean {
-		return this.toldVersion > this.version || this.isOverdue;
+	get mayBeStale(): boolean {
+		return this.highestAdvertisedVersion > this.version || this.isOverdue;
 	}
 
 	/** What this box, as the owner, tells others; undefined: it has none. */
-	get told(): sharing.ToldConfiguration | undefined {
+	get advertisedConfiguration(): sharing.AdvertisedConfiguration | undefined {
 		const { version, ageMs } = this;
 		return this.table && { version, ageMs };
 	}
 
 	/** What this box, as the owner, gives to one that asks; undefined: not now. */
-	give(): Uint8Array | undefined {
-		return this.stored && this.sharing.give(this.stored);
+	shareStored(): Uint8Array | undefined {
+		return this.stored && this.rateLimit.tryShare(this.stored);
 	}
 
 	/**
@@ -139,30 +139,30 @@
 	 * is looked for in the store, which bears that better than the owner; without the store, or when that was no use, the
 	 * owner gives it by `read`.
 	 */
-	async hear(
-		told: sharing.ToldConfiguration,
-		askedAt: number,
-		read: () => Promise<Uint8Array | undefined>,
+	async onAdvertised(
+		advertised: sharing.AdvertisedConfiguration,
+		sentAt: number,
+		fetchFromOwner: () => Promise<Uint8Array | undefined>,
 	): Promise<void> {
-		this.toldVersion = Math.max(this.toldVersion, told.version);
-		if (told.version === this.version) this.confirmed(askedAt - told.ageMs);
-		const isSought = this.opts.contact.reachable && this.seek(told.version);
-		const isBehind = told.version > this.version;
-		if (isSought || !isBehind || this.isAskingOwner) return;
-		this.isAskingOwner = true;
-		const value = await read();
-		this.isAskingOwner = false;
-		if (value !== undefined) this.takeConfiguration(value, { source: 'owner' });
+		this.highestAdvertisedVersion = Math.max(this.highestAdvertisedVersion, advertised.version);
+		if (advertised.version === this.version) this.confirmed(sentAt - advertised.ageMs);
+		const isListing = this.opts.contact.reachable && this.listIfNewer(advertised.version);
+		const isBehind = advertised.version > this.version;
+		if (isListing || !isBehind || this.isFetchingFromOwner) return;
+		this.isFetchingFromOwner = true;
+		const value = await fetchFromOwner();
+		this.isFetchingFromOwner = false;
+		if (value !== undefined) this.applyConfiguration(value, { source: 'owner' });
 	}
 
 	/**
 	 * Another box has this version. If it is newer than this box's, the list is read, once a version: the wait for changes
 	 * may never bring it, over a connection that has gone silent or where the store's answer passed over a change.
 	 */
-	seek(version: number): boolean {
-		this.toldVersion = Math.max(this.toldVersion, version);
-		if (version <= Math.max(this.version, this.soughtVersion)) return false;
-		this.soughtVersion = version;
+	listIfNewer(version: number): boolean {
+		this.highestAdvertisedVersion = Math.max(this.highestAdvertisedVersion, version);
+		if (version <= Math.max(this.version, this.listedForVersion)) return false;
+		this.listedForVersion = version;
 		this.follower.listNow();
 		return true;
 	}
@@ -177,28 +177,28 @@
 		const { ageMs, version } = this;
 		if (at <= this.confirmedAt) return;
 		this.confirmedAt = at;
-		if (this.overdueToldAt === undefined) return;
-		this.overdueToldAt = undefined;
+		if (this.overdueLoggedAt === undefined) return;
+		this.overdueLoggedAt = undefined;
 		this.opts.events.emit('config.confirmed', { version, ageMs });
 	}
 
-	private look(): void {
+	private logIfOverdue(): void {
 		const { ageMs, version } = this;
 		if (!this.isOverdue) return;
 		const now = this.opts.clock.now();
-		if (now - (this.overdueToldAt ?? -Infinity) < reminderMs) return;
-		this.overdueToldAt = now;
+		if (now - (this.overdueLoggedAt ?? -Infinity) < overdueLogIntervalMs) return;
+		this.overdueLoggedAt = now;
 		this.opts.events.emit('config.unconfirmed', { version, ageMs });
 	}
 
-	private take(key: string, value: Uint8Array, from: Source): void {
+	private applyEntry(key: string, value: Uint8Array, from: Source): void {
 		const { adapter, onWave } = this.opts;
-		if (key === adapter.configurationKey) this.takeConfiguration(value, from);
+		if (key === adapter.configurationKey) this.applyConfiguration(value, from);
 		const wave = adapter.decodeWave(key, value);
 		if (wave !== undefined) onWave(wave);
 	}
 
-	private takeConfiguration(value: Uint8Array, from: Source): void {
+	private applyConfiguration(value: Uint8Array, from: Source): void {
 		const { adapter, events: log } = this.opts;
 		const decoded = adapter.decodeConfiguration(value);
 		if (!decoded.ok) {
@@ -210,7 +210,7 @@
 		if (this.table !== undefined && version <= this.version) return;
 		this.table = queues.QueueTable.create(decoded.value);
 		this.stored = value;
-		for (const reason of leftOut.slice(0, mostLeftOutLogged))
+		for (const reason of leftOut.slice(0, maxSkippedLogged))
 			log.emit('config.rejected', { version, reason, ...from });
 		log.emit('config.applied', { version, queues: routes.length, ...from });
 	}
--- a/src/core/box/evacuation-list.ts
+++ b/src/core/box/evacuation-list.ts
@@ -8,7 +8,7 @@
 import type * as stores from '../platform/types.js';
 
 /** How often the list is read, in milliseconds. */
-const readGapMs = 700;
+const readIntervalMs = 700;
 
 /** What reading needs. */
 export interface EvacuationListOptions {
@@ -19,7 +19,7 @@
 	/** Zones of the deployment. */
 	zones: readonly string[];
 	/** Told of each list: the zones, and the clock time at which it held at the latest. */
-	onRead: (zones: ReadonlySet<string>, heldAt: number) => void;
+	onRead: (zones: ReadonlySet<string>, asOf: number) => void;
 }
 
 /** The list, until it is closed. */
@@ -30,10 +30,10 @@
 	/** The zones of the newest list. */
 	private zones: ReadonlySet<string> = new Set();
 	/** Entries that were told of as unusable, by key, with their version. */
-	private readonly unusable = new Map<string, number>();
+	private readonly loggedVersions = new Map<string, number>();
 
 	private constructor(private readonly opts: EvacuationListOptions) {
-		this.timer = clocks.every(opts.clock, readGapMs, () => void this.read());
+		this.timer = clocks.every(opts.clock, readIntervalMs, () => void this.read());
 		void this.read();
 	}
 
@@ -50,26 +50,26 @@
 		if (this.isReading) return;
 		this.isReading = true;
 		const { store, clock, adapter, onRead } = this.opts;
-		const askedAt = clock.now();
+		const requestedAt = clock.now();
 		const res = await store.list(adapter.evacuationPrefix);
 		this.isReading = false;
 		// A store that does not answer is logged where it is watched.
 		if (!res.ok || this.isClosed()) return;
 		this.zones = new Set(res.value.items.flatMap((item) => this.zoneOf(item) ?? []));
-		onRead(this.zones, askedAt);
+		onRead(this.zones, requestedAt);
 	}
 
 	/** The zone that an entry evacuates; one that can't be read leaves its zone as it was. */
 	private zoneOf({ key, value, version }: stores.Stored): string | undefined {
 		const { zone, isReadable } = this.opts.adapter.decodeEvacuation(key, value);
-		if (!isReadable) this.tell(key, version, 'unreadable');
-		else if (!this.opts.zones.includes(zone)) this.tell(key, version, 'unknown zone');
+		if (!isReadable) this.logRejected(key, version, 'unreadable');
+		else if (!this.opts.zones.includes(zone)) this.logRejected(key, version, 'unknown zone');
 		return isReadable || this.zones.has(zone) ? zone : undefined;
 	}
 
-	private tell(key: string, version: number, reason: string): void {
-		if (this.unusable.get(key) === version) return;
-		this.unusable.set(key, version);
+	private logRejected(key: string, version: number, reason: string): void {
+		if (this.loggedVersions.get(key) === version) return;
+		this.loggedVersions.set(key, version);
 		this.opts.events.emit('evacuation.rejected', { key, version, reason });
 	}
 
--- a/src/core/box/job-service.ts
+++ b/src/core/box/job-service.ts
@@ -11,7 +11,7 @@
 import type * as results from '../result.js';
 
 /** A question to the owner is given up after this many milliseconds; peers are 3 ms away. */
-const stateTimeoutMs = 500;
+const ownerTimeoutMs = 500;
 
 /** A write through the owner is given up after this many milliseconds: the store's own limit and the way. */
 const relayTimeoutMs = 1_300;
@@ -20,7 +20,7 @@
 const storeTimeoutMs = 1_000;
 
 /** No answer takes longer, in milliseconds: a write of the box's own, then one through the owner. */
-export const longestAnswerMs = storeTimeoutMs + relayTimeoutMs;
+export const maxAnswerMs = storeTimeoutMs + relayTimeoutMs;
 
 /** An answer for a caller. `unavailable`: nothing was done. `unknown`: it may have been done. */
 export type Answer<T> =
@@ -41,7 +41,7 @@
 	/** The dispatcher, while this box owns it. */
 	dispatcher: () => dispatch.Dispatcher | undefined;
 	/** Asks the owner; undefined: none is known. */
-	askOwner: <T>(req: protocol.BoxReq, timeoutMs: number) => Promise<results.Result<T, OwnerFailure>>;
+	callOwner: <T>(req: protocol.BoxReq, timeoutMs: number) => Promise<results.Result<T, OwnerFailure>>;
 	/** Generation of the owner as this box knows it; 0: it knows none. */
 	ownerGeneration: () => number;
 	/** The work that is owed, as far as this box knows. */
@@ -49,7 +49,7 @@
 	/** A number from 0 to 1; seeded in tests. */
 	random: () => number;
 	/** Whether the owner said lately that the store answers it. */
-	ownerHasStore: () => boolean;
+	ownerReachesStore: () => boolean;
 }
 
 /** The owner gave no usable answer. */
@@ -78,32 +78,32 @@
 		const record: jobs.JobRecord = { id, queue, acceptedAt, acceptedUnder, ...request };
 		const { events: log, clock } = this.opts;
 		const startedAt = clock.now();
-		const refusal = await this.refusal(record);
+		const refusal = await this.refuseIfOverloaded(record);
 		if (refusal !== undefined) return refusal;
 		const outcome = await this.storeJob(record);
 		const tookMs = Math.round(clock.now() - startedAt);
 		if (ledger.isUnstored(outcome)) {
 			const { type, reason } = outcome;
 			log.emit('job.refused', { job: id, queue: queue.name, outcome: type, reason, tookMs });
-			return this.answerUnstored(outcome, queue.priority);
+			return this.answerWriteFailure(outcome, queue.priority);
 		}
 		log.emit('job.accepted', { job: id, queue: queue.name, outcome: outcome.type, tookMs });
 		// A known job's record is another one: it may name an earlier owner, who may have started the job.
 		if (outcome.type === 'accepted')
-			this.tell({ type: 'job.stored', record }, (own) => {
-				own.addJob(record);
+			this.notifyOwner({ type: 'job.stored', record }, (localDispatcher) => {
+				localDispatcher.addJob(record);
 			});
 		return { type: 'ok', value: 'accepted' };
 	}
 
 	/** How a job stands. */
 	async state(id: string): Promise<Answer<jobs.JobView>> {
-		const known = await this.ownersView(id);
+		const known = await this.viewFromOwner(id);
 		if (known !== undefined) {
 			this.opts.events.emit('job.state', { job: id, ...known, source: 'owner' });
 			return { type: 'ok', value: known };
 		}
-		if (!this.opts.contact.reachable && !this.opts.ownerHasStore())
+		if (!this.opts.contact.reachable && !this.opts.ownerReachesStore())
 			return this.unavailable('neither owner nor store answers');
 		const stored = await ledger.readJob(this.opts.store, id);
 		if (!stored.ok) return this.unavailable(stored.err.reason);
@@ -122,23 +122,23 @@
 			reason: 'reason' in outcome ? outcome.reason : undefined,
 		});
 		if (outcome.type === 'no-such-job') return { type: 'no-such-job' };
-		if (ledger.isUnstored(outcome)) return this.answerUnstored(outcome);
-		this.tell({ type: 'job.cancelled', job: id }, (own) => {
-			own.cancelJob(id);
+		if (ledger.isUnstored(outcome)) return this.answerWriteFailure(outcome);
+		this.notifyOwner({ type: 'job.cancelled', job: id }, (localDispatcher) => {
+			localDispatcher.cancelJob(id);
 		});
 		return { type: 'ok', value: 'cancelled' };
 	}
 
 	/** Accepted jobs of a queue of which no task has begun. */
 	async pending(queue: string): Promise<Answer<number>> {
-		const own = this.opts.dispatcher();
-		if (own !== undefined) return { type: 'ok', value: own.pendingOf(queue) };
-		const res = await this.opts.askOwner<number>({ type: 'queue.pending', queue }, stateTimeoutMs);
+		const localDispatcher = this.opts.dispatcher();
+		if (localDispatcher !== undefined) return { type: 'ok', value: localDispatcher.pendingOf(queue) };
+		const res = await this.opts.callOwner<number>({ type: 'queue.pending', queue }, ownerTimeoutMs);
 		return res.ok ? { type: 'ok', value: res.value } : this.unavailable(res.err.reason);
 	}
 
 	/** Why a job is not taken in; undefined: it is, or has been already. */
-	private async refusal(record: jobs.JobRecord): Promise<Answer<never> | undefined> {
+	private async refuseIfOverloaded(record: jobs.JobRecord): Promise<Answer<never> | undefined> {
 		const verdict = admission.decide(record, this.opts.backlog());
 		if (verdict.type === 'admit') return undefined;
 		// A job that was taken in before, and whose answer was lost, must not be called refused. Where the store does not tell,
@@ -163,60 +163,63 @@
 		};
 	}
 
-	private retryAfterS(obstruction: admission.Obstruction, priority: number): number {
-		return admission.retryAfterS(obstruction, priority, this.opts.random());
+	private retryAfterS(cause: admission.RefusalCause, priority: number): number {
+		return admission.retryAfterS(cause, priority, this.opts.random());
 	}
 
 	/** What a caller is told of a write that failed. */
-	private answerUnstored(outcome: ledger.Unstored, priority = 0): Answer<never> {
+	private answerWriteFailure(outcome: ledger.Unstored, priority = 0): Answer<never> {
 		const { type, reason } = outcome;
 		return type === 'unknown' ? { type, reason } : this.unavailable(reason, priority);
 	}
 
 	private storeJob(record: jobs.JobRecord): Promise<ledger.AcceptOutcome> {
-		const own = (): Promise<ledger.AcceptOutcome> => ledger.accept(this.opts.store, record);
-		return this.write(own, { type: 'job.accept', record });
+		const writeDirectly = (): Promise<ledger.AcceptOutcome> => ledger.accept(this.opts.store, record);
+		return this.write(writeDirectly, { type: 'job.accept', record });
 	}
 
 	private storeCancel(id: string): Promise<ledger.CancelOutcome> {
-		const own = (): Promise<ledger.CancelOutcome> => ledger.cancel(this.opts.store, id);
-		return this.write(own, { type: 'job.cancel', job: id });
+		const writeDirectly = (): Promise<ledger.CancelOutcome> => ledger.cancel(this.opts.store, id);
+		return this.write(writeDirectly, { type: 'job.cancel', job: id });
 	}
 
 	/** A write of this box, or through the owner (`relay`) if the store turns this box away. */
 	private async write<T extends { type: string }>(
-		own: () => Promise<T | ledger.Unstored>,
+		writeDirectly: () => Promise<T | ledger.Unstored>,
 		relay: protocol.BoxReq,
 	): Promise<T | ledger.Unstored> {
 		let unknown = false;
 		let reason = 'the store does not answer';
 		if (this.opts.contact.reachable) {
-			const outcome = await own();
+			const outcome = await writeDirectly();
 			if (!ledger.isUnstored(outcome)) return outcome;
 			unknown = outcome.type === 'unknown';
 			reason = outcome.reason;
 		}
-		if (this.opts.dispatcher() === undefined && this.opts.ownerHasStore()) {
-			const relayed = await this.opts.askOwner<T | ledger.Unstored>(relay, relayTimeoutMs);
+		if (this.opts.dispatcher() === undefined && this.opts.ownerReachesStore()) {
+			const relayed = await this.opts.callOwner<T | ledger.Unstored>(relay, relayTimeoutMs);
 			if (relayed.ok && !ledger.isUnstored(relayed.value)) return relayed.value;
 			unknown ||= relayed.ok ? relayed.value.type === 'unknown' : relayed.err.sent;
 		}
 		return { type: unknown ? 'unknown' : 'not-stored', reason };
 	}
 
-	private async ownersView(id: string): Promise<jobs.JobView | undefined> {
-		const own = this.opts.dispatcher();
-		if (own !== undefined) return own.viewOf(id);
+	private async viewFromOwner(id: string): Promise<jobs.JobView | undefined> {
+		const localDispatcher = this.opts.dispatcher();
+		if (localDispatcher !== undefined) return localDispatcher.viewOf(id);
 		const req = { type: 'job.state' as const, job: id };
-		const res = await this.opts.askOwner<protocol.StateReply>(req, stateTimeoutMs);
+		const res = await this.opts.callOwner<protocol.StateReply>(req, ownerTimeoutMs);
 		if (!res.ok || res.value.state === undefined) return undefined;
 		return { ...res.value, state: res.value.state };
 	}
 
 	/** Tells the owner what was stored, to save it the wait until it reads it; no harm if that fails. */
-	private tell(req: protocol.BoxReq, local: (own: dispatch.Dispatcher) => void): void {
-		const own = this.opts.dispatcher();
-		if (own !== undefined) local(own);
-		else void this.opts.askOwner(req, stateTimeoutMs);
+	private notifyOwner(
+		req: protocol.BoxReq,
+		applyLocally: (localDispatcher: dispatch.Dispatcher) => void,
+	): void {
+		const localDispatcher = this.opts.dispatcher();
+		if (localDispatcher !== undefined) applyLocally(localDispatcher);
+		else void this.opts.callOwner(req, ownerTimeoutMs);
 	}
 }
--- a/src/core/box/lease-ends.ts
+++ b/src/core/box/lease-ends.ts
@@ -13,25 +13,25 @@
 const clockDrift = dispatch.settings.maxClockDrift;
 
 /** What the newest answer of an owner said. */
-interface Statement {
+interface ReportedExpiries {
 	generation: number;
 	rosterVersion: number;
 	/** Clock time of this box by which all leases at a worker are over. */
-	endsAt: Map<string, number>;
+	expiresAt: Map<string, number>;
 }
 
 /** The ends of leases as the owner last told them. */
-export class LeaseEnds {
-	private newest: Statement | undefined;
+export class LeaseExpiries {
+	private newest: ReportedExpiries | undefined;
 
 	private constructor(private readonly now: () => number) {}
 
-	static create(now: () => number): LeaseEnds {
-		return new LeaseEnds(now);
+	static create(now: () => number): LeaseExpiries {
+		return new LeaseExpiries(now);
 	}
 
 	/** Takes in an answer of the owner; what it said before is void. */
-	take(reply: protocol.PingReply): void {
+	update(reply: protocol.PingReply): void {
 		const { generation, silent } = reply;
 		if (silent === undefined) {
 			this.newest = undefined;
@@ -41,13 +41,13 @@
 		const base = this.now() + marginMs;
 		const ends = Object.entries(silent.leftMs);
 		const endsAt = new Map(ends.map(([worker, leftMs]) => [worker, base + leftMs * (1 + clockDrift)]));
-		this.newest = { generation, rosterVersion: silent.rosterVersion, endsAt };
+		this.newest = { generation, rosterVersion: silent.rosterVersion, expiresAt: endsAt };
 	}
 
 	/** What an owner of this generation, which read the roster in this version, may rely on. */
-	for(generation: number, rosterVersion: number): ReadonlyMap<string, number> {
+	validFor(generation: number, rosterVersion: number): ReadonlyMap<string, number> {
 		const { newest } = this;
-		const holds = newest?.generation === generation - 1 && newest.rosterVersion === rosterVersion;
-		return holds ? newest.endsAt : new Map();
+		const isValid = newest?.generation === generation - 1 && newest.rosterVersion === rosterVersion;
+		return isValid ? newest.expiresAt : new Map();
 	}
 }
--- a/src/core/box/owner-pings.ts
+++ b/src/core/box/owner-pings.ts
@@ -1,6 +1,6 @@
 /** Questions to the owner whether it still is, and what it told with its answers. */
 import * as ownership from '../owner/index.js';
-import * as leaseEnds from './lease-ends.js';
+import * as leaseExpiries from './lease-ends.js';
 import type * as admission from '../admission/index.js';
 import type * as contacts from '../platform/contact.js';
 import type * as protocol from './peer-protocol.js';
@@ -11,7 +11,7 @@
  * What the owner told of its backlog counts for so long, in milliseconds: it answers twice a second, and a box that has
  * lost it for longer had better take work in than turn it away for a backlog that may be gone.
  */
-const backlogCountsMs = 5_000;
+const backlogMaxAgeMs = 5_000;
 
 /** What the questions need. */
 export interface OwnerPingsOptions {
@@ -25,7 +25,7 @@
 	/** Version of the configuration in force here; 0: none is known. */
 	configuration: () => number;
 	/** The owner at an address told of its configuration; `askedAt`: clock time of the question. */
-	onConfiguration: (told: sharing.ToldConfiguration, askedAt: number, address: string) => void;
+	onConfiguration: (advertised: sharing.AdvertisedConfiguration, sentAt: number, address: string) => void;
 }
 
 /** This box's questions to the owner. */
@@ -35,11 +35,11 @@
 	/** The strongest processor among all boxes, as the owner last told. */
 	strongest: number | undefined;
 	/** What the owner last told of silent workers. */
-	readonly leaseEnds: leaseEnds.LeaseEnds;
-	private told: { backlog: admission.Backlog; at: number } | undefined;
+	readonly leaseExpiries: leaseExpiries.LeaseExpiries;
+	private reportedBacklog: { backlog: admission.Backlog; at: number } | undefined;
 
 	private constructor(private readonly opts: OwnerPingsOptions) {
-		this.leaseEnds = leaseEnds.LeaseEnds.create(opts.now);
+		this.leaseExpiries = leaseExpiries.LeaseExpiries.create(opts.now);
 	}
 
 	static create(opts: OwnerPingsOptions): OwnerPings {
@@ -48,36 +48,36 @@
 
 	/** The work that is owed, as the owner told lately. */
 	get backlog(): admission.Backlog {
-		const { told } = this;
-		const isFresh = told !== undefined && this.opts.now() - told.at < backlogCountsMs;
-		return isFresh ? told.backlog : [];
+		const { reportedBacklog: reportedBacklog } = this;
+		const isFresh = reportedBacklog !== undefined && this.opts.now() - reportedBacklog.at < backlogMaxAgeMs;
+		return isFresh ? reportedBacklog.backlog : [];
 	}
 
 	/** Asks the owner at an address; answered late while it is. */
 	async ping(address: string): Promise<ownership.PingOutcome> {
-		const { pingWaitMs, pingTimeoutMs } = ownership.settings;
-		const req = this.request(pingWaitMs);
+		const { pingHoldMs: pingHoldMs, pingTimeoutMs } = ownership.settings;
+		const req = this.request(pingHoldMs);
 		const askedAt = this.opts.now();
 		const res = await this.opts.peers.call<protocol.PingReply>(address, req, pingTimeoutMs);
 		if (!res.ok) {
 			// A connection that broke: whether the process is gone shows when it is opened anew.
-			return res.err.cause === 'broken' ? this.pingAgain(address) : res.err.cause;
+			return res.err.cause === 'broken' ? this.pingOnNewConnection(address) : res.err.cause;
 		}
 		if (!res.value.ok) return 'not-owner';
 		const reply = res.value.value;
-		this.take(reply);
+		this.applyReply(reply);
 		if (reply.configuration !== undefined) this.opts.onConfiguration(reply.configuration, askedAt, address);
 		return 'alive';
 	}
 
-	private take(reply: protocol.PingReply): void {
+	private applyReply(reply: protocol.PingReply): void {
 		this.storeReachable = reply.storeReachable;
 		this.strongest = reply.strongest;
-		this.told = { backlog: reply.backlog ?? [], at: this.opts.now() };
-		this.leaseEnds.take(reply);
+		this.reportedBacklog = { backlog: reply.backlog ?? [], at: this.opts.now() };
+		this.leaseExpiries.update(reply);
 	}
 
-	private async pingAgain(address: string): Promise<ownership.PingOutcome> {
+	private async pingOnNewConnection(address: string): Promise<ownership.PingOutcome> {
 		const req = this.request(0);
 		const { pingTimeoutMs } = ownership.settings;
 		const res = await this.opts.peers.call<protocol.PingReply>(address, req, pingTimeoutMs);
--- a/src/core/box/owner-role.ts
+++ b/src/core/box/owner-role.ts
@@ -17,19 +17,19 @@
 import type * as stores from '../platform/types.js';
 
 /** Jobs that other boxes stored are read this often at most, in milliseconds; the boxes also tell them at once. */
-const requestGapMs = 250;
+const requestReadIntervalMs = 250;
 
 /** What was learnt is stored this often, in milliseconds: loads move little in that time, and each call is paid for. */
-const learntGapMs = 3_000;
+const learnedStoreIntervalMs = 3_000;
 
 /** The owner logs its load this often, in milliseconds. */
-const loadGapMs = 1_000;
+const loadLogIntervalMs = 1_000;
 
 /**
  * A start may be on its way to its worker for so long after the last look at what is evacuated, in milliseconds: an order
  * without an answer is given up by then.
  */
-const startOnItsWayMs = 1_500;
+const maxStartInFlightMs = 1_500;
 
 /** What the role uses of its box. */
 export interface OwnerRoleDeps {
@@ -62,35 +62,39 @@
 	private readonly requests: followers.RecordFollower;
 	/** Undefined where zones are not evacuated. */
 	private readonly evacuations: evacuationList.EvacuationList | undefined;
-	private readonly learntTimer: clocks.Timer;
+	private readonly learnedModelsTimer: clocks.Timer;
 	private readonly loadTimer: clocks.Timer;
 	private readonly finishRate = admission.FinishRate.create();
 	/** The work that is owed, as of the last second. */
 	backlog: admission.Backlog = [];
-	private cpuBefore = process.cpuUsage();
+	private lastCpuUsage = process.cpuUsage();
 	/** The last second; undefined: the first has not passed. */
 	load: OwnerLoad | undefined;
 
 	private constructor(
 		private readonly deps: OwnerRoleDeps,
-		private readonly owned: ledger.OwnerLedger,
+		private readonly ownerLedger: ledger.OwnerLedger,
 		contents: ledger.LedgerContents,
-		leaseEnds: ReadonlyMap<string, number>,
+		leaseExpiries: ReadonlyMap<string, number>,
 	) {
-		this.dispatcher = this.createDispatcher(contents, leaseEnds);
-		this.learntTimer = clocks.every(deps.clock, learntGapMs, () => void this.storeLearnt());
-		this.loadTimer = clocks.every(deps.clock, loadGapMs, () => {
-			this.noteLoad();
+		this.dispatcher = this.createDispatcher(contents, leaseExpiries);
+		this.learnedModelsTimer = clocks.every(
+			deps.clock,
+			learnedStoreIntervalMs,
+			() => void this.storeLearnedModels(),
+		);
+		this.loadTimer = clocks.every(deps.clock, loadLogIntervalMs, () => {
+			this.updateLoad();
 		});
 		this.upkeep = this.createUpkeep();
 		const { dispatcher } = this;
 		this.workerList = workerList.followWorkers({
 			...deps,
-			setWorkers: (entries, removed, whole) => {
-				dispatcher.setWorkers(entries, removed, whole);
+			setWorkers: (entries, removed, isFullList) => {
+				dispatcher.setWorkers(entries, removed, isFullList);
 			},
-			onRead: (heldAt) => {
-				dispatcher.noteListRead(heldAt);
+			onRead: (asOf) => {
+				dispatcher.noteListRead(asOf);
 			},
 		});
 		this.requests = this.followRequests(contents.revision);
@@ -102,16 +106,16 @@
 		deps: OwnerRoleDeps,
 		owned: ledger.OwnerLedger,
 		contents: ledger.LedgerContents,
-		leaseEnds: ReadonlyMap<string, number>,
+		leaseExpiries: ReadonlyMap<string, number>,
 	): OwnerRole {
-		return new OwnerRole(deps, owned, contents, leaseEnds);
+		return new OwnerRole(deps, owned, contents, leaseExpiries);
 	}
 
 	/** What the next owner may rely on about workers that do not answer this one. */
-	silentWorkers(): protocol.SilentWorkers | undefined {
+	unresponsiveWorkers(): protocol.UnresponsiveWorkers | undefined {
 		const leftMs = this.dispatcher.unresponsiveLeases();
 		if (Object.keys(leftMs).length === 0) return undefined;
-		return { rosterVersion: this.owned.rosterVersion, leftMs };
+		return { rosterVersion: this.ownerLedger.rosterVersion, leftMs };
 	}
 
 	/** Takes in a wave of upkeep, unless an earlier owner saw it through. */
@@ -123,7 +127,7 @@
 	close(): void {
 		this.workerList.close();
 		this.requests.close();
-		this.learntTimer.cancel();
+		this.learnedModelsTimer.cancel();
 		this.loadTimer.cancel();
 		this.upkeep?.close();
 		this.evacuations?.close();
@@ -131,12 +135,12 @@
 	}
 
 	/** Works out what is owed, and logs a line a second while anything is done or waits. */
-	private noteLoad(): void {
+	private updateLoad(): void {
 		const { roundMs, longestRoundMs, reportMs, ...load } = this.dispatcher.load();
-		this.finishRate.note(load.finished, load.waitingShort);
-		this.backlog = admission.backlogOf(this.dispatcher.outstandingTasks(), this.finishRate.perS);
-		const { user, system } = process.cpuUsage(this.cpuBefore);
-		this.cpuBefore = process.cpuUsage();
+		this.finishRate.addSecond(load.finished, load.waitingShort);
+		this.backlog = admission.estimateBacklog(this.dispatcher.outstandingTasks(), this.finishRate.tasksPerS);
+		const { user, system } = process.cpuUsage(this.lastCpuUsage);
+		this.lastCpuUsage = process.cpuUsage();
 		this.load = {
 			...load,
 			roundMs: Math.round(roundMs),
@@ -146,26 +150,26 @@
 			backlogMs: this.backlog.at(-1)?.waitMs ?? 0,
 		};
 		if (load.reports === 0 && load.waiting === 0) return;
-		this.deps.events.emit('owner.load', { epoch: this.owned.generation, ...this.load });
+		this.deps.events.emit('owner.load', { epoch: this.ownerLedger.generation, ...this.load });
 	}
 
 	/** Stores what was learnt, for the next owner; a write that fails is made good by the next one. */
-	private async storeLearnt(): Promise<void> {
-		const outcome = await this.owned.publish(
+	private async storeLearnedModels(): Promise<void> {
+		const outcome = await this.ownerLedger.publish(
 			ledger.keys.learntKey,
 			wire.encodeValue(this.dispatcher.exportLearnedModels()),
 		);
 		if (outcome === 'superseded') this.deps.onFenced('the store names a newer generation');
 		else if (outcome !== 'committed')
-			this.deps.events.emit('learnt.unstored', { epoch: this.owned.generation, reason: outcome });
+			this.deps.events.emit('learnt.unstored', { epoch: this.ownerLedger.generation, reason: outcome });
 	}
 
 	private createDispatcher(
 		contents: ledger.LedgerContents,
-		leaseEnds: ReadonlyMap<string, number>,
+		leaseExpiries: ReadonlyMap<string, number>,
 	): dispatch.Dispatcher {
 		const { clock, events: log, settings, adapter, table, onFenced } = this.deps;
-		const { owned } = this;
+		const { ownerLedger: owned } = this;
 		return dispatch.Dispatcher.create(
 			{
 				clock,
@@ -188,12 +192,12 @@
 				clearJobs: (ids) => owned.clear(ids),
 				table,
 				askAdviser: adapter.askAdviser,
-				keepStateMs: settings.bounds.keepStateMs,
-				maxSloViolationMs: settings.bounds.harmMs,
+				keepStateMs: settings.bounds.stateRetentionMs,
+				maxSloViolationMs: settings.bounds.maxSloViolationMs,
 				restoreMs: settings.bounds.restoreMs,
-				maxEvacuationAgeMs: evacuationAge(settings.bounds.evacuateMs),
+				maxEvacuationAgeMs: maxEvacuationListAgeMs(settings.bounds.evacuateMs),
 				recordTime: this.deps.recordTime,
-				leaseEnds,
+				leaseEnds: leaseExpiries,
 			},
 			contents,
 			contents.learnt as dispatch.LearnedModels | undefined,
@@ -202,7 +206,7 @@
 
 	/** Whether the epoch was shown in force lately, and not before the machine was last suspended. */
 	private mayAct(): boolean {
-		return clocks.isFresh(this.deps.clock, this.owned.confirmedAt, dispatch.settings.renewalHorizonMs);
+		return clocks.isFresh(this.deps.clock, this.ownerLedger.confirmedAt, dispatch.settings.renewalHorizonMs);
 	}
 
 	private createEvacuations(): evacuationList.EvacuationList | undefined {
@@ -226,7 +230,7 @@
 			events: log,
 			machines: adapter.machines,
 			holder: settings.box,
-			epoch: this.owned.generation,
+			epoch: this.ownerLedger.generation,
 			mayAct: () => this.mayAct(),
 			vacate: (worker) => this.dispatcher.vacate(worker),
 			reopen: (worker) => {
@@ -234,7 +238,7 @@
 			},
 			report: async (wave, state) => {
 				const { key, value } = adapter.encodeWaveState(wave, state);
-				return (await this.owned.publish(key, value)) === 'committed';
+				return (await this.ownerLedger.publish(key, value)) === 'committed';
 			},
 			onFenced: () => {
 				onFenced('a machine has seen a newer generation');
@@ -242,16 +246,21 @@
 		});
 	}
 
-	private async resumeWave(wave: upkeep.Wave, started: upkeep.Upkeep): Promise<void> {
-		const done = this.deps.adapter.encodeWaveState(wave.number, 'completed');
-		const known = await this.deps.store.get(done.key);
-		if (known.ok && known.value !== undefined && Buffer.compare(known.value.value, done.value) === 0) return;
-		started.add(wave);
+	private async resumeWave(wave: upkeep.Wave, runner: upkeep.Upkeep): Promise<void> {
+		const completedState = this.deps.adapter.encodeWaveState(wave.number, 'completed');
+		const known = await this.deps.store.get(completedState.key);
+		if (
+			known.ok &&
+			known.value !== undefined &&
+			Buffer.compare(known.value.value, completedState.value) === 0
+		)
+			return;
+		runner.add(wave);
 	}
 
 	/** Jobs and cancellations that the boxes stored. */
 	private followRequests(from: number): followers.RecordFollower {
-		const take = (key: string, value: Uint8Array): void => {
+		const applyRequest = (key: string, value: Uint8Array): void => {
 			const parsed = ledger.keys.parseKey(key);
 			if (parsed?.kind === 'cancel') this.dispatcher.cancelJob(parsed.id);
 			if (parsed?.kind !== 'job') return;
@@ -264,22 +273,23 @@
 			clock: this.deps.clock,
 			prefix: ledger.keys.requestPrefix,
 			waitMs: limits.ownerWaitMs,
-			gapMs: requestGapMs,
+			gapMs: requestReadIntervalMs,
 			isShort: false,
 			from,
 			onList: (items) => {
 				// Jobs first: a cancellation of an unknown job is passed over.
 				const rank = (key: string): number => (ledger.keys.parseKey(key)?.kind === 'job' ? 0 : 1);
-				for (const item of items.sort((a, b) => rank(a.key) - rank(b.key))) take(item.key, item.value);
+				for (const item of items.sort((a, b) => rank(a.key) - rank(b.key)))
+					applyRequest(item.key, item.value);
 			},
 			onChanges: (changes) => {
-				for (const one of changes) if (one.value !== undefined) take(one.key, one.value);
+				for (const one of changes) if (one.value !== undefined) applyRequest(one.key, one.value);
 			},
 		});
 	}
 }
 
 /** How old the list of evacuated zones may be at a start, in milliseconds; undefined: zones are not evacuated. */
-function evacuationAge(evacuateMs: number | undefined): number | undefined {
-	return evacuateMs === undefined ? undefined : Math.max(evacuateMs / 2, evacuateMs - startOnItsWayMs);
+function maxEvacuationListAgeMs(evacuateMs: number | undefined): number | undefined {
+	return evacuateMs === undefined ? undefined : Math.max(evacuateMs / 2, evacuateMs - maxStartInFlightMs);
 }
--- a/src/core/box/peer-protocol.ts
+++ b/src/core/box/peer-protocol.ts
@@ -47,9 +47,9 @@
 	/** The work that is owed; absent: the owner is of an older version. */
 	backlog?: admission.Backlog;
 	/** What the owner says of silent workers; absent: none is. */
-	silent?: SilentWorkers;
+	silent?: UnresponsiveWorkers;
 	/** The configuration in force at the owner; absent: it has none, or is of an older version. */
-	configuration?: sharing.ToldConfiguration;
+	configuration?: sharing.AdvertisedConfiguration;
 }
 
 /** The answer to `configuration.read`; absent: the owner gives it to others just now. */
@@ -62,7 +62,7 @@
  * What an owner says of workers that do not answer it. Until its next roster write it gives none of them a lease, so the
  * next owner need not wait for them from its own takeover on.
  */
-export interface SilentWorkers {
+export interface UnresponsiveWorkers {
 	/** Version of the roster in the store, as the owner knows it: a later write of it voids what is said here. */
 	rosterVersion: number;
 	/** By worker: how long until every lease there is over, in milliseconds. */
--- a/src/core/box/settings.ts
+++ b/src/core/box/settings.ts
@@ -12,7 +12,7 @@
 	/** Where the platform asks whether the box takes callers, `host:port`. */
 	readiness: string;
 	/** Ports free for our own connections: first and last. */
-	ownPorts: [number, number];
+	peerPorts: [number, number];
 	storeAddress: string;
 	/** Lowest lifetime that the store grants a lease, in milliseconds. */
 	minLeaseMs: number;
@@ -34,9 +34,9 @@
 	/** A stopped process is killed after this. */
 	graceMs: number;
 	/** A finished job's state is answered for at least this long. */
-	keepStateMs: number;
+	stateRetentionMs: number;
 	/** A lasting task over its target for this long because of what fills beside it breaks its promise. */
-	harmMs: number;
+	maxSloViolationMs: number;
 	/** Going on from a checkpoint takes a task so long; absent: it is not stated. */
 	restoreMs?: number;
 	/** A zone's workers are sent nothing more so long after its evacuation was stored; absent: zones are not evacuated. */
--- a/src/core/box/worker-list.ts
+++ b/src/core/box/worker-list.ts
@@ -17,7 +17,7 @@
 	/** Told what the list says, in part or whole. */
 	setWorkers: dispatch.Dispatcher['setWorkers'];
 	/** Told of each answer: what the list said held at that clock time. */
-	onRead: (heldAt: number) => void;
+	onRead: (asOf: number) => void;
 }
 
 /** What the list says of a worker. */
@@ -30,22 +30,22 @@
 export function followWorkers(opts: WorkerListOptions): followers.RecordFollower {
 	const { workerPrefix, decodeWorker } = opts.adapter;
 	/** Version of the entry that was last found unreadable, by key: each is told of once, however often it is read. */
-	const unreadable = new Map<string, number>();
-	const read = (key: string, value: Uint8Array | undefined, version: number): ListedWorker => {
+	const unreadableVersions = new Map<string, number>();
+	const decodeEntry = (key: string, value: Uint8Array | undefined, version: number): ListedWorker => {
 		const entry = value && decodeWorker(key, value);
 		if (entry !== undefined) return { type: 'listed', entry };
-		if (value === undefined) unreadable.delete(key);
-		else if (unreadable.get(key) !== version) {
-			unreadable.set(key, version);
+		if (value === undefined) unreadableVersions.delete(key);
+		else if (unreadableVersions.get(key) !== version) {
+			unreadableVersions.set(key, version);
 			opts.events.emit('wire.rejected', { reason: `worker entry ${key}`, version });
 		}
 		return { type: 'absent', name: key.slice(workerPrefix.length) };
 	};
-	const tell = (found: ListedWorker[], whole: boolean): void => {
+	const notify = (found: ListedWorker[], isFullList: boolean): void => {
 		opts.setWorkers(
 			found.flatMap((one) => (one.type === 'listed' ? [one.entry] : [])),
 			found.flatMap((one) => (one.type === 'absent' ? [one.name] : [])),
-			whole,
+			isFullList,
 		);
 	};
 	return followers.RecordFollower.create({
@@ -57,14 +57,14 @@
 		isShort: false,
 		onAnswered: opts.onRead,
 		onList: (items) => {
-			tell(
-				items.map((item) => read(item.key, item.value, item.version)),
+			notify(
+				items.map((item) => decodeEntry(item.key, item.value, item.version)),
 				true,
 			);
 		},
 		onChanges: (changes) => {
-			tell(
-				changes.map((one) => read(one.key, one.value, one.version)),
+			notify(
+				changes.map((one) => decodeEntry(one.key, one.value, one.version)),
 				false,
 			);
 		},
--- a/src/core/clock.ts
+++ b/src/core/clock.ts
@@ -18,10 +18,10 @@
 }
 
 /** The wall clock is taken to have jumped if it runs ahead of the monotonic one by more than this between two looks, in milliseconds. */
-const jumpMs = 100;
+const minJumpMs = 100;
 
 /** Tells when a machine may have been suspended. */
-export class SuspensionWatch {
+export class SuspensionDetector {
 	private offset: number;
 	private resumedAt = -Infinity;
 
@@ -32,8 +32,8 @@
 		this.offset = wall() - now();
 	}
 
-	static create(now: () => number, wall: () => number): SuspensionWatch {
-		return new SuspensionWatch(now, wall);
+	static create(now: () => number, wall: () => number): SuspensionDetector {
+		return new SuspensionDetector(now, wall);
 	}
 
 	/**
@@ -41,10 +41,10 @@
 	 * then what is known is asked for once more, and nothing is lost. Waiting for leases of others to run out does not rest on
 	 * this, as a jump proves no time to have passed.
 	 */
-	look(): number {
+	lastResumedAt(): number {
 		const now = this.now();
 		const offset = this.wall() - now;
-		if (offset - this.offset > jumpMs) this.resumedAt = now;
+		if (offset - this.offset > minJumpMs) this.resumedAt = now;
 		this.offset = offset;
 		return this.resumedAt;
 	}
@@ -55,7 +55,7 @@
 	return clock.now() - at < maxAgeMs && at > clock.resumedAt();
 }
 
-const suspensions = SuspensionWatch.create(
+const suspensions = SuspensionDetector.create(
 	() => performance.now(),
 	() => Date.now(),
 );
@@ -63,7 +63,7 @@
 /** The machine's own clock. */
 export const systemClock: Clock = {
 	now: () => performance.now(),
-	resumedAt: () => suspensions.look(),
+	resumedAt: () => suspensions.lastResumedAt(),
 	wall: () => Date.now(),
 	after(ms, fn) {
 		const handle = setTimeout(fn, ms);
@@ -86,11 +86,11 @@
 export function every(clock: Clock, ms: number, fn: () => void | Promise<void>): Timer {
 	let stopped = false;
 	let timer: Timer | undefined;
-	const turn = async (): Promise<void> => {
+	const tick = async (): Promise<void> => {
 		await fn();
-		if (!stopped) timer = clock.after(ms, () => void turn());
+		if (!stopped) timer = clock.after(ms, () => void tick());
 	};
-	timer = clock.after(ms, () => void turn());
+	timer = clock.after(ms, () => void tick());
 	return {
 		cancel: () => {
 			stopped = true;
--- a/src/core/owner/candidates.ts
+++ b/src/core/owner/candidates.ts
@@ -11,16 +11,16 @@
 	storeReachable: boolean;
 }
 
-interface Seen extends Candidate {
+interface TrackedCandidate extends Candidate {
 	/** Clock time since which it has asked without a gap. */
-	since: number;
+	pingingSince: number;
 	/** Clock time of its newest question. */
 	at: number;
 }
 
 /** Boxes heard of lately. */
 export class Candidates {
-	private readonly seen = new Map<string, Seen>();
+	private readonly seen = new Map<string, TrackedCandidate>();
 
 	private constructor(private readonly now: () => number) {}
 
@@ -29,11 +29,11 @@
 	}
 
 	/** A box asked. */
-	heard(candidate: Candidate): void {
+	notePing(candidate: Candidate): void {
 		const at = this.now();
 		const before = this.seen.get(candidate.box);
-		const goesOn = before !== undefined && isRecent(before, at);
-		this.seen.set(candidate.box, { ...candidate, since: goesOn ? before.since : at, at });
+		const isContinuous = before !== undefined && isRecent(before, at);
+		this.seen.set(candidate.box, { ...candidate, pingingSince: isContinuous ? before.pingingSince : at, at });
 	}
 
 	/** The strongest processor among the boxes heard of lately, and `own`. */
@@ -47,18 +47,18 @@
 		const proven = this.recent().filter(
 			(one) =>
 				one.storeReachable &&
-				at - one.since >= settings.provenAfterMs &&
+				at - one.pingingSince >= settings.minCandidateUptimeMs &&
 				strength.isWeaker(own, one.processor),
 		);
 		return proven.sort((a, b) => b.processor - a.processor)[0];
 	}
 
-	private recent(): Seen[] {
+	private recent(): TrackedCandidate[] {
 		const at = this.now();
 		return [...this.seen.values()].filter((one) => isRecent(one, at));
 	}
 }
 
-function isRecent(one: Seen, at: number): boolean {
-	return at - one.at < settings.askedWithinMs;
+function isRecent(one: TrackedCandidate, at: number): boolean {
+	return at - one.at < settings.candidateTimeoutMs;
 }
--- a/src/core/owner/lease-keeper.ts
+++ b/src/core/owner/lease-keeper.ts
@@ -15,13 +15,13 @@
 	clock: clocks.Clock;
 	lease: string;
 	/** The store says that the lease is over; resolves to the one to keep from now on, if there is one. */
-	onGone: () => Promise<string | undefined>;
+	onExpired: () => Promise<string | undefined>;
 }
 
 /** The renewals of one owner. */
 export class LeaseKeeper {
 	private lease: string;
-	private replacing = false;
+	private isReplacing = false;
 	private closed = false;
 	private timer: clocks.Timer;
 
@@ -41,7 +41,7 @@
 	}
 
 	private schedule(): clocks.Timer {
-		return this.opts.clock.after(settings.keepGapMs, () => {
+		return this.opts.clock.after(settings.renewalIntervalMs, () => {
 			this.timer = this.schedule();
 			void this.keep();
 		});
@@ -51,11 +51,11 @@
 		const { lease } = this;
 		const kept = await this.opts.store.keepLease(lease);
 		// Without an answer the next beat tries again.
-		const isAnswered = kept.ok && !kept.value && lease === this.lease;
-		if (!isAnswered || this.replacing || this.closed) return;
-		this.replacing = true;
-		const next = await this.opts.onGone();
-		this.replacing = false;
-		if (next !== undefined) this.lease = next;
+		const isExpired = kept.ok && !kept.value && lease === this.lease;
+		if (!isExpired || this.isReplacing || this.closed) return;
+		this.isReplacing = true;
+		const newLease = await this.opts.onExpired();
+		this.isReplacing = false;
+		if (newLease !== undefined) this.lease = newLease;
 	}
 }
--- a/src/core/owner/owner-name.ts
+++ b/src/core/owner/owner-name.ts
@@ -5,7 +5,7 @@
 import type * as platform from '../platform/types.js';
 
 /** The name as it was read. */
-export interface OwnerName {
+export interface OwnerRead {
 	/** Undefined: nobody is named. */
 	owner: ledger.OwnerRecord | undefined;
 	/** The store's revision at which it was read: watching from here on misses nothing. */
@@ -16,9 +16,9 @@
  * Reads who is named, and the revision to watch from. Not the version of the name: an owner outlasts the store's history,
  * and a watch from before it tells nothing, so that the loss of the name was noticed half a second late.
  */
-export async function read(
+export async function readOwner(
 	store: platform.RecordStore,
-): Promise<results.Result<OwnerName, platform.StoreFailure>> {
+): Promise<results.Result<OwnerRead, platform.StoreFailure>> {
 	const found = await store.list(ledger.keys.ownerKey);
 	if (!found.ok) return found;
 	const { items, revision } = found.value;
--- a/src/core/owner/ownership.ts
+++ b/src/core/owner/ownership.ts
@@ -4,9 +4,9 @@
  * epoch does it, in the store and on every worker.
  */
 import * as clocks from '../clock.js';
-import * as keeping from './lease-keeper.js';
+import * as leaseKeepers from './lease-keeper.js';
 import * as ledger from '../ledger/index.js';
-import * as names from './owner-name.js';
+import * as ownerRecords from './owner-name.js';
 import * as results from '../result.js';
 import * as settings from './settings.js';
 import * as strength from './strength.js';
@@ -28,7 +28,7 @@
 	/** Cores' worth of processor that this box may use. */
 	processor: number;
 	/** The strongest processor of all boxes, as the owner last told; undefined: not told yet. */
-	strongestKnown: () => number | undefined;
+	highestKnownProcessor: () => number | undefined;
 	/** A stronger box that could dispatch in this one's place; asked while this box owns. */
 	strongerBox: () => string | undefined;
 	/** Asks the owner at an address whether it still is; answers late if it is. */
@@ -36,7 +36,7 @@
 	/** Whether the owner, asked last, was without the store while this box has it. */
 	ownerLacksStore: () => boolean;
 	/** This box owns the dispatching now. */
-	onOwned: (owned: ledger.OwnerLedger, contents: ledger.LedgerContents) => void;
+	onAcquired: (owned: ledger.OwnerLedger, contents: ledger.LedgerContents) => void;
 	/** It no longer does. */
 	onLost: () => void;
 	/** A delay in milliseconds between 0 and the argument; seeded in tests. */
@@ -55,16 +55,16 @@
 	owner: ledger.OwnerRecord | undefined;
 	/** Whether the owner answered its last question. */
 	reachable = false;
-	private owned: ledger.OwnerLedger | undefined;
+	private ownerLedger: ledger.OwnerLedger | undefined;
 	private lease: string | undefined;
-	private keeper: keeping.LeaseKeeper | undefined;
+	private keeper: leaseKeepers.LeaseKeeper | undefined;
 	private stopping = false;
 	/** Generation of the owner last logged as found. */
-	private lastFound = 0;
+	private lastFoundGeneration = 0;
 	/** The store's revision when the owner's name was last read; 0: not read. */
-	private nameRevision = 0;
+	private ownerRecordRevision = 0;
 	/** The owner before fell silent: its loss shows to each box at another moment. */
-	private wasSilent = false;
+	private wasUnresponsive = false;
 	/** Clock time at which this box last became owner. */
 	private ownedSince = -Infinity;
 
@@ -77,16 +77,16 @@
 	}
 
 	/** The ledger, while this box owns. */
-	get current(): ledger.OwnerLedger | undefined {
-		return this.owned;
+	get currentLedger(): ledger.OwnerLedger | undefined {
+		return this.ownerLedger;
 	}
 
 	/** Steps down: a newer epoch was seen. */
 	lose(reason: string): void {
-		if (this.owned === undefined) return;
-		const { generation } = this.owned;
+		if (this.ownerLedger === undefined) return;
+		const { generation } = this.ownerLedger;
 		this.opts.events.emit('owner.lost', { generation, reason });
-		this.owned = undefined;
+		this.ownerLedger = undefined;
 		this.keeper?.close();
 		this.owner = undefined;
 		this.reachable = false;
@@ -96,104 +96,106 @@
 	/** Planned stop: gives the name back at once, so that another box goes on. */
 	async release(): Promise<void> {
 		this.stopping = true;
-		if (this.owned === undefined) return;
-		const { generation } = this.owned;
-		await this.giveBack();
+		if (this.ownerLedger === undefined) return;
+		const { generation } = this.ownerLedger;
+		await this.releaseOwnership();
 		this.opts.events.emit('owner.released', { generation });
 	}
 
 	private async run(): Promise<void> {
 		while (!this.stopping) {
-			const wait = this.owned === undefined ? await this.follow() : await this.keep(this.owned);
+			const wait =
+				this.ownerLedger === undefined ? await this.followOwner() : await this.keep(this.ownerLedger);
 			if (wait > 0) await clocks.sleep(this.opts.clock, wait);
 		}
 	}
 
 	/** One turn of a box that does not own; returns how long to wait. */
-	private async follow(): Promise<number> {
+	private async followOwner(): Promise<number> {
 		if (this.owner === undefined) return this.findOwner();
-		const outcome = await this.askOwner(this.owner);
-		this.wasSilent = outcome === 'silent' || outcome === 'name-gone';
+		const outcome = await this.pingOwner(this.owner);
+		this.wasUnresponsive = outcome === 'silent' || outcome === 'name-gone';
 		if (outcome === 'name-gone') return this.findOwner();
 		if (outcome === 'alive') {
 			this.reachable = true;
 			// An owner that the store turns away can neither store ends nor renew leases for long.
 			return this.opts.ownerLacksStore() ? this.findOwner() : 0;
 		}
-		if (this.isSettledMeanwhile()) return 0;
+		if (this.isPingObsolete()) return 0;
 		this.reachable = false;
 		this.opts.events.emit('owner.missed', { box: this.owner.box, reason: outcome });
 		// A refused connection: its process is gone, and its lease need not be waited out.
-		const dead = outcome === 'refused' ? this.owner : undefined;
+		const deadOwner = outcome === 'refused' ? this.owner : undefined;
 		this.owner = undefined;
-		return this.findOwner(dead);
+		return this.findOwner(deadOwner);
 	}
 
 	/** Asks the owner. Once it was silent, its name is watched meanwhile: it goes away with its lease. */
-	private async askOwner(owner: ledger.OwnerRecord): Promise<PingOutcome | 'name-gone'> {
-		const asked = this.opts.ping(owner.peer);
-		if (this.reachable || this.nameRevision === 0) return asked;
-		return Promise.race([asked, this.nameGone(asked)]);
+	private async pingOwner(owner: ledger.OwnerRecord): Promise<PingOutcome | 'name-gone'> {
+		const pinged = this.opts.ping(owner.peer);
+		if (this.reachable || this.ownerRecordRevision === 0) return pinged;
+		return Promise.race([pinged, this.ownerRecordChanged(pinged)]);
 	}
 
 	/** Resolves when the owner's name changes in the store; else as `asked` does. */
-	private async nameGone(asked: Promise<PingOutcome>): Promise<PingOutcome | 'name-gone'> {
-		return (await names.changes(this.opts.store, this.nameRevision)) ? 'name-gone' : asked;
+	private async ownerRecordChanged(pinged: Promise<PingOutcome>): Promise<PingOutcome | 'name-gone'> {
+		return (await ownerRecords.changes(this.opts.store, this.ownerRecordRevision)) ? 'name-gone' : pinged;
 	}
 
 	/** Whether this box stopped, or learnt of another owner, during an `await`. */
-	private isSettledMeanwhile(): boolean {
+	private isPingObsolete(): boolean {
 		return this.owner === undefined || this.stopping;
 	}
 
 	/** Reads who owns; takes over if nobody does, or if only `dead` does. */
-	private async findOwner(dead?: ledger.OwnerRecord): Promise<number> {
-		const name = await names.read(this.opts.store);
-		if (!name.ok) return settings.findRetryMs;
-		const { owner, revision } = name.value;
-		const free = owner === undefined || owner.generation === dead?.generation;
-		if (free) return this.take(dead?.generation);
-		if (owner.generation !== this.lastFound) {
-			this.lastFound = owner.generation;
+	private async findOwner(deadOwner?: ledger.OwnerRecord): Promise<number> {
+		const ownerRead = await ownerRecords.readOwner(this.opts.store);
+		if (!ownerRead.ok) return settings.findRetryMs;
+		const { owner, revision } = ownerRead.value;
+		const isVacant = owner === undefined || owner.generation === deadOwner?.generation;
+		if (isVacant) return this.takeOver(deadOwner?.generation);
+		if (owner.generation !== this.lastFoundGeneration) {
+			this.lastFoundGeneration = owner.generation;
 			this.opts.events.emit('owner.found', { box: owner.box, generation: owner.generation });
 		}
 		this.owner = owner;
-		this.nameRevision = revision;
-		return dead === undefined && !this.reachable ? settings.findRetryMs : 0;
+		this.ownerRecordRevision = revision;
+		return deadOwner === undefined && !this.reachable ? settings.findRetryMs : 0;
 	}
 
 	/** Leaves stronger boxes the time to be first; true: one was. */
-	private async waitTurn(replaces: number | undefined): Promise<boolean> {
+	private async yieldToStronger(replacedGeneration: number | undefined): Promise<boolean> {
 		const { clock, random } = this.opts;
 		const isWeaker = await this.isWeaker();
-		const noticeMs = this.wasSilent ? settings.pingTimeoutMs : 0;
-		const headStartMs = isWeaker ? settings.weakerWaitMs + noticeMs : 0;
-		await clocks.sleep(clock, random(settings.raceSpreadMs) + headStartMs);
+		const detectionMs = this.wasUnresponsive ? settings.pingTimeoutMs : 0;
+		const headStartMs = isWeaker ? settings.weakerBoxDelayMs + detectionMs : 0;
+		await clocks.sleep(clock, random(settings.raceJitterMs) + headStartMs);
 		if (!isWeaker) return false;
-		const name = await names.read(this.opts.store);
-		const owner = name.ok ? name.value.owner : undefined;
-		if (owner === undefined || owner.generation === replaces) return false;
+		const ownerRead = await ownerRecords.readOwner(this.opts.store);
+		const owner = ownerRead.ok ? ownerRead.value.owner : undefined;
+		if (owner === undefined || owner.generation === replacedGeneration) return false;
 		this.owner = owner;
-		this.nameRevision = 0;
+		this.ownerRecordRevision = 0;
 		return true;
 	}
 
 	/** Whether a clearly stronger box is known; a box that no owner has told yet asks the store. */
 	private async isWeaker(): Promise<boolean> {
-		const strongest = this.opts.strongestKnown() ?? (await strength.readStrongest(this.opts.store));
+		const strongest =
+			this.opts.highestKnownProcessor() ?? (await strength.readHighestProcessor(this.opts.store));
 		return strength.isWeaker(this.opts.processor, strongest);
 	}
 
 	/** Runs in the race; `replaces`: generation of an owner whose process is gone though it is still named. */
-	private async take(replaces: number | undefined): Promise<number> {
-		if (await this.waitTurn(replaces)) return 0;
+	private async takeOver(replacedGeneration: number | undefined): Promise<number> {
+		if (await this.yieldToStronger(replacedGeneration)) return 0;
 		const lease = await this.opts.store.grantLease(this.opts.leaseMs);
 		if (!lease.ok) return settings.findRetryMs;
 		// From now on, as reading what is kept of many jobs may take longer than the lease.
 		this.keeper = this.createKeeper(lease.value);
-		const taken = await this.takeUnder(lease.value, replaces);
+		const taken = await this.publishAndLoad(lease.value, replacedGeneration);
 		if (taken.ok && !this.isStopping()) {
-			this.begin(lease.value, taken.value);
+			this.becomeOwner(lease.value, taken.value);
 			return 0;
 		}
 		const reason = taken.ok ? 'this box stops' : taken.err;
@@ -209,26 +211,26 @@
 	}
 
 	/** Names this box in the store and reads what is kept there; fails if another box was first. */
-	private async takeUnder(
+	private async publishAndLoad(
 		lease: string,
-		replaces: number | undefined,
+		replacedGeneration: number | undefined,
 	): Promise<results.Result<Takeover, string>> {
 		const { store, clock, box, peer, processor } = this.opts;
-		const strongest = Math.max(processor, this.opts.strongestKnown() ?? 0);
+		const strongest = Math.max(processor, this.opts.highestKnownProcessor() ?? 0);
 		const owner = { box, peer, lease, strongest };
-		const owned = await ledger.OwnerLedger.take(store, () => clock.now(), owner, replaces);
+		const owned = await ledger.OwnerLedger.take(store, () => clock.now(), owner, replacedGeneration);
 		if (!owned.ok) return owned;
 		const contents = await owned.value.load();
 		return contents.ok ? results.ok({ owned: owned.value, contents: contents.value }) : contents;
 	}
 
 	/** This box owns from now on. */
-	private begin(lease: string, taken: Takeover): void {
-		const { box, peer, clock, events, onOwned } = this.opts;
+	private becomeOwner(lease: string, taken: Takeover): void {
+		const { box, peer, clock, events, onAcquired: onAcquired } = this.opts;
 		const { owned, contents } = taken;
 		const { generation } = owned;
 		this.lease = lease;
-		this.owned = owned;
+		this.ownerLedger = owned;
 		this.ownedSince = clock.now();
 		this.owner = { generation, box, peer };
 		this.reachable = true;
@@ -237,18 +239,19 @@
 			jobs: contents.jobs.size,
 			workers: contents.roster.length,
 		});
-		onOwned(owned, contents);
+		onAcquired(owned, contents);
 	}
 
-	private createKeeper(lease: string): keeping.LeaseKeeper {
+	private createKeeper(lease: string): leaseKeepers.LeaseKeeper {
 		const { store, clock } = this.opts;
-		const onGone = async (): Promise<string | undefined> => this.owned && this.renew(this.owned);
-		return keeping.LeaseKeeper.create({ store, clock, lease, onGone });
+		const onExpired = async (): Promise<string | undefined> =>
+			this.ownerLedger && this.renew(this.ownerLedger);
+		return leaseKeepers.LeaseKeeper.create({ store, clock, lease, onExpired: onExpired });
 	}
 
 	/** One turn of the owner: asks the store whether it still owns. */
 	private async keep(owned: ledger.OwnerLedger): Promise<number> {
-		const stronger = this.strongerInTurn();
+		const stronger = this.handoverTarget();
 		if (stronger !== undefined) {
 			await this.handOver(owned, stronger);
 			return 0;
@@ -260,26 +263,26 @@
 				return 0;
 			}
 		}
-		return settings.keepGapMs;
+		return settings.renewalIntervalMs;
 	}
 
 	/** The stronger box to hand over to now. */
-	private strongerInTurn(): string | undefined {
-		if (this.opts.clock.now() - this.ownedSince < settings.handoverGapMs) return undefined;
+	private handoverTarget(): string | undefined {
+		if (this.opts.clock.now() - this.ownedSince < settings.minHandoverIntervalMs) return undefined;
 		return this.opts.strongerBox();
 	}
 
 	/** Gives the name back while this box goes on serving callers: the stronger box is first in the race that follows. */
 	private async handOver(owned: ledger.OwnerLedger, to: string): Promise<void> {
 		this.opts.events.emit('owner.handed-over', { generation: owned.generation, box: to });
-		await this.giveBack();
+		await this.releaseOwnership();
 		this.owner = undefined;
 		this.reachable = false;
 	}
 
 	/** Stops owning and lets the name go away, so that another box can be first at once. */
-	private async giveBack(): Promise<void> {
-		this.owned = undefined;
+	private async releaseOwnership(): Promise<void> {
+		this.ownerLedger = undefined;
 		this.keeper?.close();
 		this.opts.onLost();
 		if (this.lease !== undefined) await this.opts.store.endLease(this.lease);
@@ -288,10 +291,10 @@
 	/** The lease lapsed while the store was away: names this box again, under the lease returned, unless another has taken over. */
 	private async renew(owned: ledger.OwnerLedger): Promise<string | undefined> {
 		const lease = await this.opts.store.grantLease(this.opts.leaseMs);
-		if (!lease.ok || this.owned !== owned) return undefined;
+		if (!lease.ok || this.ownerLedger !== owned) return undefined;
 		const { box, peer } = this.opts;
 		const outcome = await owned.rename({ box, peer, lease: lease.value });
-		if (this.owned !== owned) return undefined;
+		if (this.ownerLedger !== owned) return undefined;
 		if (outcome === 'superseded') this.lose('another box took over after the lease lapsed');
 		if (outcome !== 'committed') return undefined;
 		this.lease = lease.value;
--- a/src/core/owner/strength.ts
+++ b/src/core/owner/strength.ts
@@ -5,11 +5,11 @@
 
 /** Whether a box with `own` cores' worth of processor is clearly weaker than one with `other`. */
 export function isWeaker(own: number, other: number): boolean {
-	return own < other * settings.weakerPart;
+	return own < other * settings.weakerFraction;
 }
 
 /** The strongest processor of all boxes, as the newest owner knew it when it took over; 0: not stored, or not read. */
-export async function readStrongest(store: platform.RecordStore): Promise<number> {
+export async function readHighestProcessor(store: platform.RecordStore): Promise<number> {
 	const epoch = await store.get(ledger.keys.epochKey);
 	if (!epoch.ok || epoch.value === undefined) return 0;
 	return ledger.decodeEpoch(epoch.value.value).strongest ?? 0;
--- a/src/core/upkeep/upkeep.ts
+++ b/src/core/upkeep/upkeep.ts
@@ -9,10 +9,10 @@
 import type * as types from './types.js';
 
 /** How often open waves are looked at, in milliseconds: each look reads the list of machines. */
-const lookMs = 700;
+const checkIntervalMs = 700;
 
 /** What runs on a machine gets so long to move before it goes down, in milliseconds: a stop and the way. */
-const moveMs = 2_500;
+const maxMigrationMs = 2_500;
 
 /** What the upkeep uses. */
 export interface UpkeepOptions {
@@ -34,7 +34,7 @@
 }
 
 /** A machine on its way down. */
-interface Leaving {
+interface DrainingMachine {
 	worker: string;
 	since: number;
 }
@@ -44,7 +44,7 @@
 	wave: types.Wave;
 	/** Machines whose upkeep has begun. */
 	begun: Set<string>;
-	leaving: Map<string, Leaving>;
+	leaving: Map<string, DrainingMachine>;
 	/** The state that operators were last told. */
 	reported: types.WaveState | undefined;
 }
@@ -55,7 +55,7 @@
 	private readonly timer: clocks.Timer;
 
 	private constructor(private readonly opts: UpkeepOptions) {
-		this.timer = clocks.every(opts.clock, lookMs, () => this.look());
+		this.timer = clocks.every(opts.clock, checkIntervalMs, () => this.checkWaves());
 	}
 
 	static create(opts: UpkeepOptions): Upkeep {
@@ -73,7 +73,7 @@
 		this.timer.cancel();
 	}
 
-	private async look(): Promise<void> {
+	private async checkWaves(): Promise<void> {
 		const open = [...this.waves.values()].filter((one) => one.reported !== 'completed');
 		if (open.length === 0) return;
 		const list = await this.opts.machines.list();
@@ -88,10 +88,10 @@
 	/** Lets further machines leave, and takes those down that are ready. */
 	private async advance(open: OpenWave, machines: Map<string, fleet.Machine>): Promise<void> {
 		const { wave, begun, leaving } = open;
-		await this.tell(open, 'running');
+		await this.reportState(open, 'running');
 		// A machine that has left needs nothing any more.
-		const present = wave.machines.filter((name) => machines.has(name));
-		this.startLeaving(open, present, machines);
+		const listed = wave.machines.filter((name) => machines.has(name));
+		this.startDraining(open, listed, machines);
 		for (const [name, one] of [...leaving]) {
 			const machine = machines.get(name);
 			if (machine === undefined) {
@@ -102,30 +102,30 @@
 			one.worker = machine.worker;
 			const state = one.worker === '' ? 'empty' : this.opts.vacate(one.worker);
 			if (state === 'protected') continue;
-			if (state === 'moving' && this.opts.clock.now() - one.since < moveMs) continue;
-			await this.takeDown(open, name, one);
+			if (state === 'moving' && this.opts.clock.now() - one.since < maxMigrationMs) continue;
+			await this.startUpkeep(open, name, one);
 		}
-		if (present.every((name) => begun.has(name))) await this.tell(open, 'completed');
+		if (listed.every((name) => begun.has(name))) await this.reportState(open, 'completed');
 	}
 
 	/** As many machines leave at once as may be down. */
-	private startLeaving(open: OpenWave, present: string[], machines: Map<string, fleet.Machine>): void {
+	private startDraining(open: OpenWave, present: string[], machines: Map<string, fleet.Machine>): void {
 		const { wave, begun, leaving } = open;
 		// Also those that an earlier owner took down.
 		const isDown = (name: string): boolean => !leaving.has(name) && machines.get(name)?.state !== 'up';
 		const down = present.filter(isDown).length;
-		let free = wave.maximum - down - leaving.size;
+		let slots = wave.maximum - down - leaving.size;
 		for (const name of present) {
-			if (free <= 0) return;
+			if (slots <= 0) return;
 			const machine = machines.get(name);
 			if (machine?.state !== 'up' || begun.has(name) || leaving.has(name)) continue;
 			leaving.set(name, { worker: machine.worker, since: this.opts.clock.now() });
-			free -= 1;
+			slots -= 1;
 		}
 	}
 
 	/** Orders a machine's upkeep. */
-	private async takeDown(open: OpenWave, name: string, one: Leaving): Promise<void> {
+	private async startUpkeep(open: OpenWave, name: string, one: DrainingMachine): Promise<void> {
 		const { machines, holder, epoch, mayAct } = this.opts;
 		// Not every platform turns the orders of a replaced owner away.
 		if (!mayAct()) return;
@@ -144,7 +144,7 @@
 		this.opts.reopen(one.worker);
 	}
 
-	private async tell(open: OpenWave, state: types.WaveState): Promise<void> {
+	private async reportState(open: OpenWave, state: types.WaveState): Promise<void> {
 		if (open.reported === state) return;
 		if (await this.opts.report(open.wave.number, state)) open.reported = state;
 	}
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -37,17 +37,17 @@
 		clock,
 		events: log,
 		dispatcher: () => undefined,
-		askOwner: () => Promise.resolve(results.fail({ sent: false, reason: 'no owner is known' })),
+		callOwner: () => Promise.resolve(results.fail({ sent: false, reason: 'no owner is known' })),
 		ownerGeneration: () => 1,
 		backlog,
 		random: () => 0,
-		ownerHasStore: () => false,
+		ownerReachesStore: () => false,
 	});
 	return { box, log };
 }
 
 test('a job waits behind its own priority and those before, and no longer than it is of use', (t) => {
-	const backlog = admission.backlogOf(
+	const backlog = admission.estimateBacklog(
 		new Map([
 			[2, 3_000],
 			[0, 400],
@@ -63,7 +63,7 @@
 	t.deepEqual(admission.decide({ queue: wide, steps: wideSteps }, backlog), {
 		type: 'refuse',
 		waitMs: 17_000,
-		limitMs: admission.mostWaitMs,
+		limitMs: admission.maxWaitMs,
 	});
 	// 3 x (1.5 x 600 + 250) ms after its acceptance it is worth nothing, and it takes 600 ms.
 	t.is(admission.waitLimitMs({ queue: urgent, steps: short }), 2_850);
@@ -71,18 +71,18 @@
 
 test('without a rate nothing is known of the backlog, and all is taken in', (t) => {
 	const rate = admission.FinishRate.create();
-	t.is(rate.perS, undefined);
+	t.is(rate.tasksPerS, undefined);
 	// The first seconds of a burst: much waits, little has finished yet.
-	for (const finished of [0, 20, 90]) rate.note(finished, 2_000);
-	t.is(rate.perS, undefined);
-	rate.note(90, 2_000);
-	t.is(rate.perS, 90);
+	for (const finished of [0, 20, 90]) rate.addSecond(finished, 2_000);
+	t.is(rate.tasksPerS, undefined);
+	rate.addSecond(90, 2_000);
+	t.is(rate.tasksPerS, 90);
 	// A second with little to wait for tells how much there was to do, not how much can be done.
-	rate.note(5, 3);
-	t.is(rate.perS, 90);
-	rate.note(5, 0);
-	t.is(rate.perS, undefined);
-	t.deepEqual(admission.backlogOf(new Map([[0, 10_000]]), rate.perS), []);
+	rate.addSecond(5, 3);
+	t.is(rate.tasksPerS, 90);
+	rate.addSecond(5, 0);
+	t.is(rate.tasksPerS, undefined);
+	t.deepEqual(admission.estimateBacklog(new Map([[0, 10_000]]), rate.tasksPerS), []);
 });
 
 test('a load that goes on above what can be started: the backlog stays bounded, urgent work is never refused', (t) => {
@@ -95,7 +95,7 @@
 	const refused = { urgent: 0, wide: 0 };
 	let longest = 0;
 	for (let second = 0; second < 60; second += 1) {
-		const backlog = admission.backlogOf(owed, rate.perS);
+		const backlog = admission.estimateBacklog(owed, rate.tasksPerS);
 		// Each second 24 urgent tasks and four wide jobs of 80 tasks: three times what is finished.
 		const takes = (queue: jobs.QueuePolicy, steps: jobs.StepSpec[]): boolean =>
 			admission.decide({ queue, steps }, backlog).type === 'admit';
@@ -107,7 +107,7 @@
 		const first = Math.min(perS, owed.get(0) ?? 0);
 		owed.set(0, (owed.get(0) ?? 0) - first);
 		owed.set(2, Math.max(0, (owed.get(2) ?? 0) - (perS - first)));
-		rate.note(perS, (owed.get(0) ?? 0) + (owed.get(2) ?? 0));
+		rate.addSecond(perS, (owed.get(0) ?? 0) + (owed.get(2) ?? 0));
 		longest = Math.max(longest, (owed.get(2) ?? 0) / perS);
 	}
 	t.is(refused.urgent, 0);
--- a/test/beliefs.test.ts
+++ b/test/beliefs.test.ts
@@ -43,14 +43,14 @@
 		clock,
 		events: log,
 		dispatcher: () => undefined,
-		askOwner: (req) => {
+		callOwner: (req) => {
 			tell(req);
 			return Promise.resolve(results.fail({ sent: true, reason: 'not awaited' }));
 		},
 		ownerGeneration: generation,
 		backlog: () => [],
 		random: () => 0,
-		ownerHasStore: () => true,
+		ownerReachesStore: () => true,
 	});
 }
 
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -128,8 +128,8 @@
 test('a change that no wait brought is found as soon as another box tells of it', async (t) => {
 	for (const tell of [
 		(followed: Followed) =>
-			void followed.follower.hear({ version: 2, ageMs: 0 }, followed.clock.now(), never),
-		(followed: Followed) => void followed.follower.seek(2),
+			void followed.follower.onAdvertised({ version: 2, ageMs: 0 }, followed.clock.now(), never),
+		(followed: Followed) => void followed.follower.listIfNewer(2),
 	]) {
 		const followed = Followed.create(2_000);
 		await followed.clock.pass(500);
@@ -137,12 +137,12 @@
 		followed.write(2);
 		await followed.clock.pass(3_000);
 		t.is(followed.follower.version, 1);
-		t.false(followed.follower.isInDoubt, 'the store answers, so nothing tells this box');
+		t.false(followed.follower.mayBeStale, 'the store answers, so nothing tells this box');
 		tell(followed);
-		t.true(followed.follower.isInDoubt);
+		t.true(followed.follower.mayBeStale);
 		await followed.clock.pass(2 * slowAnswerMs);
 		t.is(followed.follower.version, 2);
-		t.false(followed.follower.isInDoubt);
+		t.false(followed.follower.mayBeStale);
 	}
 });
 
@@ -151,7 +151,9 @@
 	await followed.clock.pass(500);
 	const { follower, clock } = followed;
 	const tell = (): Promise<void> =>
-		follower.hear({ version: 2, ageMs: 0 }, clock.now(), () => Promise.resolve(configurations.stored(2)));
+		follower.onAdvertised({ version: 2, ageMs: 0 }, clock.now(), () =>
+			Promise.resolve(configurations.stored(2)),
+		);
 	await tell();
 	await clock.pass(2 * slowAnswerMs);
 	t.is(followed.follower.version, 1, 'the list is read first');
@@ -165,21 +167,21 @@
 	followed.isDown = true;
 	followed.contact.reachable = false;
 	await followed.clock.pass(3_000);
-	t.true(followed.follower.isInDoubt);
+	t.true(followed.follower.mayBeStale);
 	const { follower, clock } = followed;
-	await follower.hear({ version: 1, ageMs: 300 }, clock.now() - 500, () =>
+	await follower.onAdvertised({ version: 1, ageMs: 300 }, clock.now() - 500, () =>
 		Promise.resolve(configurations.stored(9)),
 	);
 	t.is(follower.ageMs, 800, 'as old as the owner says, and as the answer may be');
-	t.false(follower.isInDoubt);
-	await follower.hear({ version: 2, ageMs: 300 }, clock.now(), () => Promise.resolve(undefined));
-	t.true(follower.isInDoubt, 'the owner gave nothing');
-	await follower.hear({ version: 2, ageMs: 300 }, clock.now(), () =>
+	t.false(follower.mayBeStale);
+	await follower.onAdvertised({ version: 2, ageMs: 300 }, clock.now(), () => Promise.resolve(undefined));
+	t.true(follower.mayBeStale, 'the owner gave nothing');
+	await follower.onAdvertised({ version: 2, ageMs: 300 }, clock.now(), () =>
 		Promise.resolve(configurations.stored(2)),
 	);
 	t.is(followed.follower.version, 2);
-	t.false(follower.isInDoubt);
-	await follower.hear({ version: 3, ageMs: 300 }, clock.now(), () =>
+	t.false(follower.mayBeStale);
+	await follower.onAdvertised({ version: 3, ageMs: 300 }, clock.now(), () =>
 		Promise.resolve(configurations.stored(1)),
 	);
 	t.is(followed.follower.version, 2, 'never back');
@@ -187,13 +189,13 @@
 
 test('an owner gives a large configuration to one box after another', (t) => {
 	let now = 0;
-	const shared = sharing.ConfigurationSharing.create(() => now);
+	const shared = sharing.SharingRateLimit.create(() => now);
 	const large = Buffer.alloc(350_000);
-	t.truthy(shared.give(large));
+	t.truthy(shared.tryShare(large));
 	now = 3_900;
-	t.is(shared.give(large), undefined);
+	t.is(shared.tryShare(large), undefined);
 	now = 4_100;
-	t.truthy(shared.give(large));
+	t.truthy(shared.tryShare(large));
 });
 
 test('a wait of the owner that goes silent is repeated before its box counts as in touch again', (t) => {
@@ -204,10 +206,10 @@
 test('a box that was suspended is in doubt of its configuration until that is confirmed', async (t) => {
 	const followed = Followed.create(2_000);
 	await followed.clock.pass(1_000);
-	t.false(followed.follower.isInDoubt);
+	t.false(followed.follower.mayBeStale);
 	followed.clock.resume();
-	t.true(followed.follower.isInDoubt);
+	t.true(followed.follower.mayBeStale);
 	// The answer to the wait that was under way may have been given before.
 	await followed.clock.pass(4_000);
-	t.false(followed.follower.isInDoubt);
+	t.false(followed.follower.mayBeStale);
 });
--- a/test/job-service.test.ts
+++ b/test/job-service.test.ts
@@ -31,11 +31,11 @@
 		clock,
 		events: log,
 		dispatcher: () => undefined,
-		askOwner: () => Promise.resolve(results.fail({ sent: false, reason: 'no owner is known' })),
+		callOwner: () => Promise.resolve(results.fail({ sent: false, reason: 'no owner is known' })),
 		ownerGeneration: () => 1,
 		backlog: () => [],
 		random: () => 0,
-		ownerHasStore: () => false,
+		ownerReachesStore: () => false,
 	});
 	const set = (next: memory.StoreFault): void => {
 		fault = next;
--- a/test/lease-ends.test.ts
+++ b/test/lease-ends.test.ts
@@ -7,28 +7,28 @@
 const generation = 3;
 const rosterVersion = 70;
 
-function reply(silent?: protocol.SilentWorkers): protocol.PingReply {
+function reply(silent?: protocol.UnresponsiveWorkers): protocol.PingReply {
 	return { generation, storeReachable: true, strongest: 1, silent };
 }
 
 test('an end counts from the arrival of the answer, for the next owner and the same roster only', async (t) => {
 	const clock = time.VirtualClock.create();
-	const ends = leaseEnds.LeaseEnds.create(() => clock.now());
-	ends.take(reply({ rosterVersion, leftMs: { w1: 4_000 } }));
+	const ends = leaseEnds.LeaseExpiries.create(() => clock.now());
+	ends.update(reply({ rosterVersion, leftMs: { w1: 4_000 } }));
 	const arrivedAt = clock.now();
 	await clock.pass(1_000);
-	const end = ends.for(generation + 1, rosterVersion).get('w1') ?? 0;
+	const end = ends.validFor(generation + 1, rosterVersion).get('w1') ?? 0;
 	t.true(end >= arrivedAt + 4_000 && end < arrivedAt + 5_000);
-	t.is(ends.for(generation + 2, rosterVersion).size, 0);
-	t.is(ends.for(generation, rosterVersion).size, 0);
-	t.is(ends.for(generation + 1, rosterVersion + 1).size, 0);
+	t.is(ends.validFor(generation + 2, rosterVersion).size, 0);
+	t.is(ends.validFor(generation, rosterVersion).size, 0);
+	t.is(ends.validFor(generation + 1, rosterVersion + 1).size, 0);
 });
 
 test('each answer replaces the one before, also one without silent workers', (t) => {
-	const ends = leaseEnds.LeaseEnds.create(() => 0);
-	ends.take(reply({ rosterVersion, leftMs: { w1: 4_000 } }));
-	ends.take(reply({ rosterVersion, leftMs: { w2: 1_000 } }));
-	t.deepEqual([...ends.for(generation + 1, rosterVersion).keys()], ['w2']);
-	ends.take(reply());
-	t.is(ends.for(generation + 1, rosterVersion).size, 0);
+	const ends = leaseEnds.LeaseExpiries.create(() => 0);
+	ends.update(reply({ rosterVersion, leftMs: { w1: 4_000 } }));
+	ends.update(reply({ rosterVersion, leftMs: { w2: 1_000 } }));
+	t.deepEqual([...ends.validFor(generation + 1, rosterVersion).keys()], ['w2']);
+	ends.update(reply());
+	t.is(ends.validFor(generation + 1, rosterVersion).size, 0);
 });
--- a/test/listening.test.ts
+++ b/test/listening.test.ts
@@ -154,7 +154,7 @@
 	const finished = listening.finish(server, longMs, longMs);
 	// Whatever a close ends at once is ended by then.
 	await new Promise<void>((resolve) => {
-		reading.afterReading(resolve);
+		reading.afterPendingReads(resolve);
 	});
 	caller.write(question);
 	t.regex(
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -96,7 +96,7 @@
 		await clock.pass(10);
 	}
 	// A renewal waits behind what is asked of the processor; after a gap between two of them it comes still in time.
-	t.true(longestMs <= ownership.settings.keepGapMs, `${String(longestMs)} ms`);
+	t.true(longestMs <= ownership.settings.renewalIntervalMs, `${String(longestMs)} ms`);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	owner.dispatcher.close();
 });
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -72,7 +72,7 @@
 			peer: name,
 			leaseMs: 2_000,
 			processor,
-			strongestKnown: () => strongest,
+			highestKnownProcessor: () => strongest,
 			strongerBox: () => candidates.stronger(processor)?.box,
 			ping: async (peer) => {
 				const reply = await this.ask(peer, { box: name, processor, storeReachable: true });
@@ -80,7 +80,7 @@
 				return typeof reply === 'number' ? 'alive' : reply;
 			},
 			ownerLacksStore: () => false,
-			onOwned: () => {
+			onAcquired: () => {
 				box.owns = true;
 				this.owners.push(name);
 			},
@@ -116,8 +116,8 @@
 		if (owner === undefined || heard === undefined) return 'refused';
 		const giveUpAt = this.clock.now() + ownership.settings.pingTimeoutMs;
 		const isSilent = (): boolean => owner.isCut || owner.silentTo.has(by.box);
-		if (!isSilent()) heard.heard(by);
-		for (let waited = 0; waited < ownership.settings.pingWaitMs; waited += 20) {
+		if (!isSilent()) heard.notePing(by);
+		for (let waited = 0; waited < ownership.settings.pingHoldMs; waited += 20) {
 			await this.sleep(20);
 			if (isSilent()) {
 				await this.sleep(giveUpAt - this.clock.now());
@@ -210,7 +210,7 @@
 	// Busy with other things, it renews its lease no more, and answers one box for longer than the other.
 	first.lacksStore = true;
 	first.silentTo.add('weak-1');
-	await boxes.clock.pass(ownership.settings.leaseMs - ownership.settings.keepGapMs);
+	await boxes.clock.pass(ownership.settings.leaseMs - ownership.settings.renewalIntervalMs);
 	first.isCut = true;
 	await boxes.clock.pass(4_000);
 	t.deepEqual(boxes.owners, ['strong-1', 'strong-2']);
--- a/test/suspended.test.ts
+++ b/test/suspended.test.ts
@@ -11,7 +11,7 @@
 function watched(): { pass: (steadyMs: number, wallMs: number) => void; look: () => number } {
 	let now = 1_000;
 	let wall = 5_000_000;
-	const watch = clocks.SuspensionWatch.create(
+	const watch = clocks.SuspensionDetector.create(
 		() => now,
 		() => wall,
 	);
@@ -20,7 +20,7 @@
 			now += steadyMs;
 			wall += wallMs;
 		},
-		look: () => watch.look(),
+		look: () => watch.lastResumedAt(),
 	};
 }
 
--- a/test/two-beliefs.test.ts
+++ b/test/two-beliefs.test.ts
@@ -130,11 +130,11 @@
 		clock: made.clock,
 		events: second.events,
 		dispatcher: () => second.dispatcher,
-		askOwner: () => Promise.resolve(results.fail({ sent: false, reason: 'this box owns' })),
+		callOwner: () => Promise.resolve(results.fail({ sent: false, reason: 'this box owns' })),
 		ownerGeneration: () => second.ledger.generation,
 		backlog: () => [],
 		random: () => 0,
-		ownerHasStore: () => true,
+		ownerReachesStore: () => true,
 	});
 	for (const id of ids) void jobs.submit(world.queue, id, { text: `text of ${id}`, steps });
 	await watchRuns(t, made, 3_000);
