--- a/src/cli/box/listening.ts
+++ b/src/cli/box/listening.ts
@@ -2,7 +2,7 @@
 import type * as http from 'node:http';
 import * as net from 'node:net';
 import * as connections from './connections.js';
-import * as reading from '../../core/after-reading.js';
+import * as reading from '../../core/after-pending-reads.js';
 
 /** A connection that was ended is read for so long until its caller has ended it too, in milliseconds. */
 const lingerMs = 500;
--- a/src/cli/box/main.ts
+++ b/src/cli/box/main.ts
@@ -7,7 +7,7 @@
 import * as boxes from '../../core/box/box.js';
 import * as clock from '../../core/clock.js';
 import * as events from '../../core/events/index.js';
-import * as metrics from './figures.js';
+import * as metrics from './metrics.js';
 import * as ingress from '../../../platform/ingress.js';
 import * as listening from './listening.js';
 import * as platformSettings from '../../../platform/settings.js';
--- a/src/core/box/owner-pings.ts
+++ b/src/core/box/owner-pings.ts
@@ -1,6 +1,6 @@
 /** Questions to the owner whether it still is, and what it told with its answers. */
 import * as ownership from '../owner/index.js';
-import * as leaseExpiries from './lease-ends.js';
+import * as leaseExpiries from './lease-expiries.js';
 import type * as admission from '../admission/index.js';
 import type * as contacts from '../platform/contact.js';
 import type * as protocol from './peer-protocol.js';
--- a/src/core/dispatch/choices.ts
+++ b/src/core/dispatch/eligible-workers.ts
@@ -1,6 +1,6 @@
 /** Which workers a step may go to, by its queue's pool and the adviser, and whom the adviser is asked about. */
 import * as advice from './advice.js';
-import * as freeCapacity from './room.js';
+import * as freeCapacity from './free-capacity.js';
 import type * as interference from './interference.js';
 import type * as jobs from '../jobs/index.js';
 import type * as placement from './placement.js';
--- a/src/core/dispatch/pressure.ts
+++ b/src/core/dispatch/interference-control.ts
@@ -4,7 +4,7 @@
  * the ones expected to disturb it, in the end all.
  */
 import * as neighbours from './neighbours.js';
-import * as commands from './pace-orders.js';
+import * as commands from './pace-commands.js';
 import * as placements from './placements.js';
 import * as reliefLog from './relief-log.js';
 import type * as interference from './interference.js';
--- a/src/core/dispatch/interference.ts
+++ b/src/core/dispatch/interference.ts
@@ -7,7 +7,7 @@
  * cautious first guess. docs/decisions/0011-interference.md has the measurements behind the form.
  */
 import * as imageModel from './image-model.js';
-import * as learnedModels from './knowledge.js';
+import * as learnedModels from './learned-models.js';
 import * as loadWave from './load-wave.js';
 import * as neighbours from './neighbours.js';
 import * as placements from './placements.js';
--- a/src/core/dispatch/options.ts
+++ b/src/core/dispatch/options.ts
@@ -4,7 +4,7 @@
 import type * as meters from './load-meter.js';
 import type * as queues from '../queues/index.js';
 import type * as saver from './progress-saver.js';
-import type * as unknownJobs from './strangers.js';
+import type * as unknownJobs from './unknown-jobs.js';
 import type * as types from './types.js';
 
 /** What a dispatcher needs beyond its calls to workers. */
--- a/src/core/dispatch/outcomes.ts
+++ b/src/core/dispatch/outcomes.ts
@@ -2,12 +2,12 @@
 import * as jobs from '../jobs/index.js';
 import * as locations from './task-locations.js';
 import * as settings from './settings.js';
-import type * as crashAttribution from './crash-blame.js';
+import type * as crashAttribution from './crash-attribution.js';
 import type * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 import type * as fleet from '../fleet/types.js';
 import type * as interference from './interference.js';
-import type * as jobRegistry from './job-book.js';
+import type * as jobRegistry from './job-registry.js';
 import type * as placer from './placer.js';
 import type * as probation from './probation.js';
 import type * as saver from './progress-saver.js';
--- a/src/core/dispatch/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -1,6 +1,6 @@
 /** Chooses workers for tasks: rates those with room by what stands there already. */
 import * as waitingOrder from './waiting-order.js';
-import * as freeCapacity from './room.js';
+import * as freeCapacity from './free-capacity.js';
 import type * as interference from './interference.js';
 import type * as jobs from '../jobs/index.js';
 import type * as sessions from './worker-session.js';
--- a/src/core/dispatch/placer.ts
+++ b/src/core/dispatch/placer.ts
@@ -1,7 +1,7 @@
 /** Places tasks that may start: which comes first, where it goes, and who makes room for it. */
-import * as backlogs from './fill-backlog.js';
-import * as eligible from './choices.js';
-import * as exemptions from './harm-exemptions.js';
+import * as backlogs from './preemptible-backlog.js';
+import * as eligible from './eligible-workers.js';
+import * as exemptions from './interference-exemptions.js';
 import * as gangs from './gangs.js';
 import * as waitingOrder from './waiting-order.js';
 import * as placement from './placement.js';
@@ -11,7 +11,7 @@
 import * as timers from './round-timer.js';
 import * as settings from './settings.js';
 import * as reasons from './waiting-reason.js';
-import * as migration from './slowed.js';
+import * as migration from './migration.js';
 import * as stalled from './stalled-log.js';
 import * as waiting from './waiting-log.js';
 import * as waitingSteps from './waiting-steps.js';
--- a/src/core/dispatch/placing-round.ts
+++ b/src/core/dispatch/placing-round.ts
@@ -1,7 +1,7 @@
 /** One round of placing: the open workers as they were at its beginning, without those kept for overdue tasks. */
 import * as candidates from './step-candidates.js';
 import * as waitingOrder from './waiting-order.js';
-import * as freeCapacity from './room.js';
+import * as freeCapacity from './free-capacity.js';
 import * as settings from './settings.js';
 import type * as placement from './placement.js';
 import type * as jobs from '../jobs/index.js';
--- a/src/core/dispatch/run-watch.ts
+++ b/src/core/dispatch/run-watch.ts
@@ -1,6 +1,6 @@
 /** Looks at the runs of a worker now and then: those that hang, and those that have to leave it, are stopped. */
 import * as draining from './draining.js';
-import * as hanging from './hanging.js';
+import * as hanging from './hung-runs.js';
 import type * as sessions from './worker-session.js';
 import type * as starter from './starter.js';
 
--- a/src/core/dispatch/starter.ts
+++ b/src/core/dispatch/starter.ts
@@ -1,6 +1,6 @@
 /** Sends starts and stops, and follows each until it is known what became of it. */
 import * as clocks from '../clock.js';
-import * as freeCapacity from './room.js';
+import * as freeCapacity from './free-capacity.js';
 import * as settings from './settings.js';
 import * as windows from './start-window.js';
 import type * as meters from './load-meter.js';
--- a/src/core/dispatch/types.ts
+++ b/src/core/dispatch/types.ts
@@ -2,10 +2,10 @@
 import type * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 import type * as fencing from './fencing-tokens.js';
-import type * as firstReportTurns from './first-questions.js';
+import type * as firstReportTurns from './first-report-turns.js';
 import type * as fleet from '../fleet/types.js';
 import type * as jobs from '../jobs/index.js';
-import type * as exits from './listed-ends.js';
+import type * as exits from './unacknowledged-exits.js';
 import type * as sessions from './worker-session.js';
 
 /** A run of a task on a worker. */
--- a/src/core/dispatch/worker-pool.ts
+++ b/src/core/dispatch/worker-pool.ts
@@ -1,9 +1,9 @@
 /** The workers that the owner deals with: one session each, the roster in the store, and who was heard of. */
 import * as clocks from '../clock.js';
-import * as incarnations from '../fleet/lives.js';
+import * as incarnations from '../fleet/incarnations.js';
 import * as sessions from './worker-session.js';
 import * as settings from './settings.js';
-import type * as unconfirmed from './runs-in-doubt.js';
+import type * as unconfirmed from './unconfirmed-runs.js';
 import type * as fleet from '../fleet/types.js';
 import type * as ledger from '../ledger/index.js';
 import type * as types from './types.js';
--- a/src/core/dispatch/worker-session.ts
+++ b/src/core/dispatch/worker-session.ts
@@ -5,16 +5,16 @@
  */
 import * as availability from './worker-availability.js';
 import * as clocks from '../clock.js';
-import * as unconfirmed from './runs-in-doubt.js';
+import * as unconfirmed from './unconfirmed-runs.js';
 import * as failures from '../fleet/failures.js';
 import * as fencing from './fencing-tokens.js';
 import * as health from './worker-health.js';
 import * as leases from './worker-lease.js';
-import * as exits from './listed-ends.js';
-import * as incarnations from '../fleet/lives.js';
+import * as exits from './unacknowledged-exits.js';
+import * as incarnations from '../fleet/incarnations.js';
 import * as placements from './placements.js';
 import * as settings from './settings.js';
-import * as responsiveness from './worker-silence.js';
+import * as responsiveness from './worker-responsiveness.js';
 import type * as fleet from '../fleet/types.js';
 import type * as jobs from '../jobs/index.js';
 import type * as types from './types.js';
--- a/src/core/owner/ownership.ts
+++ b/src/core/owner/ownership.ts
@@ -6,7 +6,7 @@
 import * as clocks from '../clock.js';
 import * as leaseKeepers from './lease-keeper.js';
 import * as ledger from '../ledger/index.js';
-import * as ownerRecords from './owner-name.js';
+import * as ownerRecords from './owner-record.js';
 import * as results from '../result.js';
 import * as settings from './settings.js';
 import * as strength from './strength.js';
--- a/stand-ins/fleet/workers.ts
+++ b/stand-ins/fleet/workers.ts
@@ -1,6 +1,6 @@
 /** Workers in memory: leases on their own clocks, epochs, run numbers, and unanswered or late orders as switches. */
 import * as fencing from '../../src/core/dispatch/fencing-tokens.js';
-import * as lives from '../../src/core/fleet/lives.js';
+import * as lives from '../../src/core/fleet/incarnations.js';
 import * as results from '../../src/core/result.js';
 import type * as clocks from '../../src/core/clock.js';
 import type * as fleet from '../../src/core/fleet/types.js';
--- a/test/filling.test.ts
+++ b/test/filling.test.ts
@@ -2,8 +2,8 @@
 import test from 'ava';
 import * as events from '../src/core/events/index.js';
 import * as fencing from '../src/core/dispatch/fencing-tokens.js';
-import * as firstQuestions from '../src/core/dispatch/first-questions.js';
-import * as exemptions from '../src/core/dispatch/harm-exemptions.js';
+import * as firstQuestions from '../src/core/dispatch/first-report-turns.js';
+import * as exemptions from '../src/core/dispatch/interference-exemptions.js';
 import * as jobs from '../src/core/jobs/index.js';
 import * as sessions from '../src/core/dispatch/worker-session.js';
 import * as settings from '../src/core/dispatch/settings.js';
--- a/test/lease-ends.test.ts
+++ b/test/lease-ends.test.ts
@@ -1,6 +1,6 @@
 /** What a box takes from the owner's answers about silent workers, and when it is void. */
 import test from 'ava';
-import * as leaseEnds from '../src/core/box/lease-ends.js';
+import * as leaseEnds from '../src/core/box/lease-expiries.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
 import type * as protocol from '../src/core/box/peer-protocol.js';
 
--- a/test/listed-ends.test.ts
+++ b/test/listed-ends.test.ts
@@ -1,6 +1,6 @@
 /** What is recorded of ends that workers list: when they are stored, when they are forgotten, and which still wait. */
 import test from 'ava';
-import * as listedEnds from '../src/core/dispatch/listed-ends.js';
+import * as listedEnds from '../src/core/dispatch/unacknowledged-exits.js';
 import * as world from './fixtures/dispatching.js';
 import type * as fleet from '../src/core/fleet/types.js';
 
--- a/test/listening.test.ts
+++ b/test/listening.test.ts
@@ -5,7 +5,7 @@
 import * as acceptQueues from '../src/core/accept-queue.js';
 import * as ingress from '../platform/ingress.js';
 import * as listening from '../src/cli/box/listening.js';
-import * as reading from '../src/core/after-reading.js';
+import * as reading from '../src/core/after-pending-reads.js';
 import type * as service from '../src/core/box/job-service.js';
 
 /** A whole request. */
--- a/test/roster.test.ts
+++ b/test/roster.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import * as events from '../src/core/events/index.js';
 import * as fencing from '../src/core/dispatch/fencing-tokens.js';
-import * as firstQuestions from '../src/core/dispatch/first-questions.js';
+import * as firstQuestions from '../src/core/dispatch/first-report-turns.js';
 import * as fixtures from './fixtures/dispatching.js';
 import * as jobs from '../src/core/jobs/index.js';
 import * as ledgers from '../src/core/ledger/index.js';
--- a/test/worker-entries.test.ts
+++ b/test/worker-entries.test.ts
@@ -1,7 +1,7 @@
 /** Entries of the platform's list of workers that others have written: unreadable, incomplete, or of something else. */
 import test from 'ava';
 import * as events from '../src/core/events/index.js';
-import * as lives from '../src/core/fleet/lives.js';
+import * as lives from '../src/core/fleet/incarnations.js';
 import * as memory from '../stand-ins/fleet/memory-store.js';
 import * as real from './fixtures/real-boxes.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
--- a/test/worker-silence.test.ts
+++ b/test/worker-silence.test.ts
@@ -7,7 +7,7 @@
 import * as client from '../platform/http-client.js';
 import * as results from '../src/core/result.js';
 import * as settings from '../src/core/dispatch/settings.js';
-import * as silences from '../src/core/dispatch/worker-silence.js';
+import * as silences from '../src/core/dispatch/worker-responsiveness.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
 import * as workerCalls from '../platform/worker-calls.js';
 import * as world from './fixtures/dispatching.js';
