--- a/src/core/dispatch/worker-availability.ts
+++ b/src/core/dispatch/worker-availability.ts
@@ -2,9 +2,9 @@
 import type * as sessions from './worker-session.js';
 
 /**
- * `superseded`: another life has answered in its place. `unheard`: it has not reported to this owner under its newest
- * token. `unrostered`: a successor would not ask it. `in-doubt`: starts of lost runs may still be under way. `strays`: what
- * it runs unasked is being stopped.
+ * `superseded`: another incarnation has answered in its place. `unheard`: it has not reported to this owner under its newest
+ * token. `unrostered`: its roster entry is not open, so a successor would not query it. `in-doubt`: starts of lost runs may
+ * still be in flight. `strays`: its orphaned runs are being stopped.
  */
 export type ClosedReason =
 	| 'gone'
--- a/src/core/dispatch/worker-health.ts
+++ b/src/core/dispatch/worker-health.ts
@@ -1,22 +1,21 @@
-/** How sound a worker seems: failures in a row mark it as broken for a while. */
+/** The health of a worker: repeated failures put it in quarantine for a while. */
 import * as settings from './settings.js';
 import type * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 
-/** What a health is kept with. */
 export interface WorkerHealthOptions {
 	clock: clocks.Clock;
 	events: events.EventLog;
 	worker: string;
 }
 
-/** The health of one life of a worker. */
+/** The health of one incarnation of a worker. */
 export class WorkerHealth {
 	/** Runs that failed here since one last finished. */
 	failuresInRow = 0;
-	/** The jobs of these runs. */
+	/** Ids of the jobs that these runs belong to. */
 	private readonly failedJobs = new Set<string>();
-	/** No new work until then. */
+	/** Clock time until which it gets no new work; `-Infinity`: it never had to wait. */
 	private pausedUntil = -Infinity;
 
 	private constructor(private readonly opts: WorkerHealthOptions) {}
@@ -25,12 +24,12 @@
 		return new WorkerHealth(opts);
 	}
 
-	/** Whether it takes no new work for now. */
+	/** Whether it gets no new work for the moment. */
 	get paused(): boolean {
 		return this.opts.clock.now() < this.pausedUntil;
 	}
 
-	/** A run failed here; several in a row, of several jobs, mark the worker as broken for a while. */
+	/** Notes that a run failed here. Several consecutive failures, of several jobs, put the worker in quarantine. */
 	noteFailure(job: string): void {
 		this.failuresInRow += 1;
 		this.failedJobs.add(job);
@@ -42,13 +41,13 @@
 		});
 	}
 
-	/** A run finished here: the worker is sound. */
+	/** Notes that a run finished here, which ends the sequence of failures. */
 	noteSuccess(): void {
 		this.failuresInRow = 0;
 		this.failedJobs.clear();
 	}
 
-	/** Takes no new work for so many milliseconds. */
+	/** Gives the worker no new work for `ms` milliseconds. */
 	pause(ms: number): void {
 		this.pausedUntil = this.opts.clock.now() + ms;
 	}
--- a/src/core/dispatch/worker-lease.ts
+++ b/src/core/dispatch/worker-lease.ts
@@ -1,23 +1,23 @@
 /**
- * The lease of everything on one worker, as its owner gives it. It is worked out on the worker's clock, so that an order
- * that arrives late brings no longer one, and its end is known on ours, so that a silent worker's tasks can be taken for
- * ended.
+ * The lease on everything that runs on one worker, as its owner grants it. The expiry is computed on the worker's clock, so
+ * that a command that arrives late extends nothing. A bound for it is kept on the owner's clock, so that the tasks of an
+ * unresponsive worker can be presumed ended.
  */
 import * as settings from './settings.js';
 import type * as fleet from '../fleet/types.js';
 import type * as types from './types.js';
 
-/** What leases are given by. */
+/** What granting leases depends on. */
 export type LeaseDeps = Pick<types.DispatchDeps, 'clock' | 'maxLeaseMs' | 'mayAct'>;
 
-/** Why no lease can be given: the worker's clock is not known, or the owner's epoch was not shown in force lately. */
+/** Why no lease can be granted: the worker's clock is not known, or the owner's epoch was not confirmed recently. */
 export type Denial = 'no-clock' | 'may-not-act';
 
-/** The lease of one life of a worker. */
+/** The lease of one incarnation of a worker. */
 export class WorkerLease {
-	/** Its clock as last read, and when that was on ours. */
+	/** The worker's clock as last read, and the owner's clock at that time; undefined: it has not been read. */
 	private reading: { clockMs: number; at: number } | undefined;
-	/** Clock time at which the newest lease was given. */
+	/** Clock time at which the newest lease was granted; `-Infinity`: none was. */
 	grantedAt = -Infinity;
 
 	private constructor(
@@ -25,49 +25,55 @@
 		private endsBy: number,
 	) {}
 
-	/** `inheritedUntil`: clock time by which leases given by earlier owners have run out; `-Infinity`: there are none. */
+	/**
+	 * `inheritedLeasesEndAt`: clock time by which leases granted by earlier owners have expired; `-Infinity`: there are
+	 * none.
+	 */
 	static create(deps: LeaseDeps, inheritedUntil: number): WorkerLease {
 		return new WorkerLease(deps, inheritedUntil);
 	}
 
-	/** Clock time by which every lease has run out; `-Infinity`: none was ever given. */
+	/** Clock time by which every lease has expired; `-Infinity`: none was ever granted. */
 	get overAt(): number {
 		return this.endsBy;
 	}
 
-	/** How long it takes until every lease has run out, in milliseconds. */
+	/** Time until every lease has expired, in milliseconds. */
 	get leftMs(): number {
 		return Math.max(0, this.endsBy - this.deps.clock.now());
 	}
 
-	/** Whether its clock is known, without which none can be given. */
+	/** Whether the worker's clock is known. Without it no lease can be granted. */
 	get hasClock(): boolean {
 		return this.reading !== undefined;
 	}
 
-	/** Takes in the worker's clock from an answer. */
+	/** Notes the worker's clock from an answer. */
 	heard(reading: fleet.ClockReading): void {
 		this.reading = { clockMs: reading.clockMs, at: this.deps.clock.now() };
 	}
 
-	/** Why none can be given now; undefined: one can. */
+	/** Why no lease can be granted; undefined: one can. */
 	get denial(): Denial | undefined {
 		if (!this.hasClock) return 'no-clock';
 		return this.deps.mayAct() ? undefined : 'may-not-act';
 	}
 
-	/** Lease end to send with an order, on the worker's clock; undefined: none can or may be given. */
+	/**
+	 * Grants a lease. Returns its expiry to send with a command, on the worker's clock; undefined: none can or may be
+	 * granted.
+	 */
 	grant(): number | undefined {
 		if (this.reading === undefined || this.denial !== undefined) return undefined;
 		const now = this.deps.clock.now();
 		this.grantedAt = now;
-		// The slowest rate its clock may have: the lease never reaches further than its limit.
+		// Assumes the slowest rate that the worker's clock may have, so that the lease never exceeds its limit.
 		const clockMs = this.reading.clockMs + (now - this.reading.at) * (1 - settings.clockSlowness);
 		this.assumeLongest();
 		return clockMs + this.deps.maxLeaseMs;
 	}
 
-	/** An order that was not meant for this life may have given it the longest lease by now. */
+	/** Assumes that the longest lease was granted just now: a command for another incarnation may have done so. */
 	assumeLongest(): void {
 		const longest = this.deps.maxLeaseMs / (1 - settings.clockSlowness) + settings.leaseMarginMs;
 		this.endsBy = Math.max(this.endsBy, this.deps.clock.now() + longest);
--- a/src/core/dispatch/worker-pool.ts
+++ b/src/core/dispatch/worker-pool.ts
@@ -1,4 +1,7 @@
-/** The workers that the owner deals with: one session each, the roster in the store, and who was heard of. */
+/**
+ * The workers of one owner: a session for each incarnation, the roster in the store, and which workers of earlier owners
+ * have reported.
+ */
 import * as clocks from '../clock.js';
 import * as lives from '../fleet/lives.js';
 import * as sessions from './worker-session.js';
@@ -8,42 +11,45 @@
 import type * as ledger from '../ledger/index.js';
 import type * as types from './types.js';
 
-/** A takeover that waits for workers is told of no more often than this, in milliseconds. */
+/** Minimum interval between log lines about a takeover that waits for workers, in milliseconds. */
 const waitingLogGapMs = 1_000;
 
-/** Workers named in one line, at most. */
+/** Maximum number of workers named in one log line. */
 const mostNamed = 5;
 
-/** Lives whose runs in doubt are remembered, at most: some hundred bytes each; each has died with a start under way. */
+/**
+ * Maximum number of unlisted incarnations whose unconfirmed runs are remembered: a few hundred bytes each. Each of them
+ * disappeared while a start to it was in flight.
+ */
 const mostDoubtful = 10_000;
 
 /** Settings of a pool. */
 export interface WorkerPoolOptions extends types.SessionDeps {
 	saveRoster: (roster: ledger.RosterEntry[]) => Promise<ledger.WriteOutcome>;
 	handlers: types.ReportHandlers;
-	/** More workers may take work. */
+	/** Called when more workers may take work. */
 	onOpened: () => void;
-	/** Clock time by which all leases at a worker are over, where the owner before said so. */
+	/** Clock time by which all leases at a worker have expired, by worker, where the previous owner published it. */
 	leaseEnds: ReadonlyMap<string, number>;
 }
 
 /** All workers under one owner. */
 export class WorkerPool {
 	private readonly workers = new Map<string, sessions.WorkerSession>();
-	/** The lives of each name that may not be over, by name. */
+	/** The incarnations that have not been proved to have ended, by worker name. */
 	private readonly byName = new Map<string, readonly sessions.WorkerSession[]>();
 	private readonly handlers: types.SessionHandlers;
-	/** Workers that may still run what an earlier owner started. */
+	/** Workers that may still run what an earlier owner started, unknown to this one. */
 	private readonly unsettled = new Set<sessions.WorkerSession>();
-	/** Workers of earlier owners that have told what they run. */
+	/** Ids of workers of earlier owners that have reported what they run. */
 	private readonly answered = new Set<string>();
-	/** Runs in doubt on lives that left the list and may come back, by worker. */
+	/** Unconfirmed runs on incarnations that left the list and may come back, by worker id. */
 	private readonly doubtful = new Map<string, readonly doubts.RunInDoubt[]>();
 	private rosterDirty = false;
 	private rosterSaving = false;
 	private confirming = false;
 	private closed = false;
-	/** Clock time from which the next line about unsettled workers may be written. */
+	/** Clock time from which the next log line about unreconciled workers may be written. */
 	private nextWaitingLogAt: number;
 
 	private constructor(private readonly opts: WorkerPoolOptions) {
@@ -78,23 +84,25 @@
 		return this.workers.get(id);
 	}
 
-	/** The lives of a worker that may not be over, by its name. */
+	/** The incarnations of a worker name that have not been proved to have ended. */
 	named(name: string): readonly sessions.WorkerSession[] {
 		return this.byName.get(name) ?? [];
 	}
 
-	/** All sessions. */
 	all(): sessions.WorkerSession[] {
 		return [...this.workers.values()];
 	}
 
-	/** How many workers are listed in a zone, and how many runs are placed there. */
+	/** Number of workers listed in a zone, and number of runs placed there. */
 	inZone(zone: string): { workers: number; runs: number } {
 		const there = this.listedIn(zone);
 		return { workers: there.length, runs: there.reduce((sum, one) => sum + one.placements.size, 0) };
 	}
 
-	/** Ends that workers list and have not been let forget, and how long ago the oldest was first listed, in milliseconds. */
+	/**
+	 * Number of exits that workers list and that have not been acknowledged, and time since the oldest was first listed, in
+	 * milliseconds.
+	 */
 	listedEnds(): { listedEnds: number; oldestEndMs: number } {
 		const now = this.opts.clock.now();
 		let listedEnds = 0;
@@ -106,7 +114,10 @@
 		return { listedEnds, oldestEndMs: Math.round(oldestEndMs) };
 	}
 
-	/** Whether nothing runs in a zone; what an earlier owner started at a worker that has not answered yet may. */
+	/**
+	 * Whether nothing runs in a zone. False while a worker there may run what an earlier owner started and has not reported
+	 * it.
+	 */
 	isEmpty(zone: string): boolean {
 		return this.listedIn(zone).every((one) => one.settled && one.placements.size === 0 && one.strays === 0);
 	}
@@ -115,18 +126,20 @@
 		return this.all().filter((one) => one.entry?.zone === zone && !one.isOver);
 	}
 
-	/** Whether every worker of earlier owners was heard of, or is proved to run nothing. */
+	/** Whether every worker of earlier owners has reported, or is proved to run nothing. */
 	get settled(): boolean {
 		return this.unsettled.size === 0;
 	}
 
-	/** Whether a run that an earlier owner started may be on any worker, unknown to this owner. */
+	/** Whether a run of the task that an earlier owner started may be on any worker, unknown to this owner. */
 	mayHide(task: string): boolean {
 		for (const session of this.unsettled) if (session.mayHide(task)) return true;
 		return false;
 	}
 
-	/** The platform's list of workers, in part or whole; `removed`: names. */
+	/**
+	 * Takes in the platform's list of workers, in part or `whole`; `removed`: names of workers that are not listed any more.
+	 */
 	setWorkers(entries: Iterable<fleet.WorkerEntry>, removed: Iterable<string>, whole: boolean): void {
 		const listed = new Set<sessions.WorkerSession>();
 		for (const entry of entries) listed.add(this.setWorker(entry));
@@ -135,14 +148,17 @@
 		if (this.rosterDirty) void this.saveRoster();
 	}
 
-	/** What went down with a dead worker is stored, or is nothing: no successor has to hear of that worker. */
+	/**
+	 * Drops an incarnation that has ended. The losses that it caused are stored, or there were none, so no successor has to
+	 * know of it.
+	 */
 	forget(session: sessions.WorkerSession): void {
 		if (!session.gone || this.workers.get(session.id) !== session) return;
 		this.workers.delete(session.id);
 		this.rosterDirty = true;
 	}
 
-	/** A life is proved over. */
+	/** Removes an incarnation that is proved to have ended from those of its name. */
 	private bury(session: sessions.WorkerSession): void {
 		const name = lives.nameOf(session.id);
 		const others = this.named(name).filter((one) => one !== session);
@@ -150,7 +166,7 @@
 		else this.byName.delete(name);
 	}
 
-	/** A worker reported, or is proved to run nothing. */
+	/** Notes that a worker has reported, or is proved to run nothing. */
 	heard(session: sessions.WorkerSession): void {
 		if (session.gone) this.bury(session);
 		if (!this.unsettled.delete(session)) return;
@@ -158,24 +174,27 @@
 		if (this.unsettled.size === 0) this.opts.events.emit('takeover.settled', { epoch: this.opts.epoch });
 	}
 
-	/** Whether a worker of earlier owners has told what it runs. */
+	/** Whether a worker of earlier owners has reported what it runs. */
 	hasAnswered(worker: string): boolean {
 		return this.answered.has(worker);
 	}
 
-	/** By worker that is silent, or has not answered yet: how long until every lease there is over, in milliseconds. None is given meanwhile. */
+	/**
+	 * For each worker that is unresponsive or has not reported yet: time until every lease there has expired, in
+	 * milliseconds, by worker id. None is granted from then on.
+	 */
 	withholdSilent(): Record<string, number> {
 		const stated = this.all().filter((one) => one.isLeaseStated);
 		return Object.fromEntries(stated.map((one) => [one.id, one.withholdLease()]));
 	}
 
-	/** To be called now and then: silent workers lose what they held once their leases are over. */
+	/** Called periodically. Unresponsive workers lose what they held once their leases have expired. */
 	tick(): void {
-		// After a suspension nothing is started until the epoch is shown in force, and the next question is due late.
+		// After a suspension nothing is started until the epoch is confirmed, and the next regular confirmation is far off.
 		if (this.opts.confirmedAt() <= this.opts.clock.resumedAt()) this.confirm();
 		for (const session of this.all()) {
 			if (session.checkLease()) this.confirm();
-			// What it holds is asked last: it has to be gathered.
+			// `tasksForSuccessor` is checked last, as it is costly to compute.
 			const hasLeft = session.unlisted && !session.answering && session.settled;
 			if (hasLeft && session.concerned.length === 0) this.dismiss(session);
 		}
@@ -189,15 +208,18 @@
 		for (const session of this.workers.values()) session.close();
 	}
 
-	/** A life left the list and holds nothing. The list may be wrong, so what is in doubt there is kept for its return. */
+	/**
+	 * Ends the session with an incarnation that left the list and holds nothing. The list may be wrong, so its unconfirmed
+	 * runs are kept for its return.
+	 */
 	private dismiss(session: sessions.WorkerSession): void {
 		if (session.inDoubt.any) this.doubtful.set(session.id, session.inDoubt.all());
 		const [oldest] = this.doubtful.keys();
 		if (oldest !== undefined && this.doubtful.size > mostDoubtful) this.doubtful.delete(oldest);
-		session.end('it left the list and holds nothing');
+		session.end('it is no longer listed and holds nothing');
 	}
 
-	/** Asks the store whether the epoch is in force, one question at a time. */
+	/** Asks the store whether the epoch is still in force, one call at a time. */
 	private confirm(): void {
 		if (this.confirming) return;
 		this.confirming = true;
@@ -206,7 +228,7 @@
 		});
 	}
 
-	/** Names the workers that hold up what was inherited. */
+	/** Logs the workers that delay the reconciliation of inherited tasks. */
 	private logUnsettled(): void {
 		const { clock, events, epoch } = this.opts;
 		const now = clock.now();
@@ -222,7 +244,7 @@
 		});
 	}
 
-	/** The platform lists a worker so; returns the life that it lists. */
+	/** Takes in one entry of the platform's list. Returns the session with the incarnation that it lists. */
 	private setWorker(entry: fleet.WorkerEntry): sessions.WorkerSession {
 		const known = this.lifeOf(entry);
 		if (known !== undefined) {
@@ -231,7 +253,7 @@
 			known.list({ ...entry, id: known.id });
 			return known;
 		}
-		// A name has one entry: the lives before are listed no more, and only an answer tells that they are over.
+		// A name has one entry, so earlier incarnations are not listed any more. Only an answer proves that they have ended.
 		for (const other of this.livesOf(entry.id)) other.unlisted = true;
 		this.checkAddress(entry);
 		const session = this.open(entry, entry, -Infinity);
@@ -240,7 +262,7 @@
 		return session;
 	}
 
-	/** The known life that an entry lists; one that does not tell its start lists whichever life answers. */
+	/** The known incarnation that an entry lists. An entry without a start time lists whichever incarnation answers. */
 	private lifeOf(entry: fleet.WorkerEntry): sessions.WorkerSession | undefined {
 		const known = this.workers.get(entry.id);
 		if (known?.gone === false) return known;
@@ -248,8 +270,9 @@
 	}
 
 	/**
-	 * Addresses are used again before the entry of the life that ended there lapses: the list may name either of them last,
-	 * and taking the living one for gone would start its tasks a second time. Only an answer tells.
+	 * Checks the other workers known at the address of an entry. An address may be reused before the entry of the
+	 * incarnation that ended there expires, so the list may name either of them last. To presume that the living one has
+	 * ended would start its tasks a second time, so only an answer counts as proof.
 	 */
 	private checkAddress(entry: fleet.WorkerEntry): void {
 		const name = lives.nameOf(entry.id);
@@ -262,8 +285,9 @@
 	}
 
 	/**
-	 * A life answered in place of another that was known before, so it is the later one. Its token has to be above the
-	 * other's, which it may have seen. What it is like the list tells, unless lists don't tell lives apart.
+	 * Handles an answer from another incarnation than the one known before, so the one that answers is the later. Its token
+	 * has to be above the earlier one's, which it may have seen. The list describes it, unless lists do not tell
+	 * incarnations apart: then the earlier one's entry applies.
 	 */
 	private meet(before: sessions.WorkerSession, id: string): void {
 		const known = this.workers.get(id);
@@ -332,8 +356,8 @@
 }
 
 /**
- * A worker's entry for the roster. One that gets no new work is closed: it names what may run there, so that a successor
- * has to wait for nothing else. From now on nothing is started there until the entry is open again.
+ * A worker's entry for the roster. The entry of a worker that gets no new work is closed: it names what may run there, so
+ * that a successor has to wait for nothing else. From then on nothing is started there until the entry is open again.
  */
 function toRosterEntry(session: sessions.WorkerSession): ledger.RosterEntry {
 	if (session.gone) return { ...session.target, tasks: session.lostTasks };
@@ -341,15 +365,15 @@
 		session.rostered = false;
 		return { ...session.target, tasks: session.concerned };
 	}
-	// Nothing new is known of a worker that has not answered yet.
+	// Nothing new is known of a worker that has not reported yet.
 	if (!session.settled && session.rosteredTasks !== undefined)
 		return { ...session.target, tasks: [...session.rosteredTasks] };
 	return session.target;
 }
 
 /**
- * Whether a worker's stored entry should be closed, or opened again, or names many tasks that are not there any more; or
- * the roster has to change for the worker to get leases again.
+ * Whether a worker's stored entry has to be closed or opened, or names many tasks that are not there any more, or has to be
+ * written for the worker to get leases again.
  */
 function isRosterOutdated(session: sessions.WorkerSession): boolean {
 	const { rosteredTasks } = session;
@@ -357,6 +381,6 @@
 	if (session.lacksLease) return true;
 	if (!session.settled) return false;
 	if (session.withdrawn !== (rosteredTasks !== undefined)) return true;
-	// Not for each task that leaves it: as often as their number has halved.
+	// Rewritten when the number of its tasks has halved, not for each task that leaves.
 	return rosteredTasks !== undefined && session.concerned.length < rosteredTasks.size / 2;
 }
--- a/src/core/dispatch/worker-session.ts
+++ b/src/core/dispatch/worker-session.ts
@@ -1,7 +1,7 @@
 /**
- * One life of a worker: the task that asks it for reports and keeps its lease, and the account of what is placed
- * there. A place is freed only on a proof that its run has ended: the worker lists the end, another life answers
- * in its place, or the lease of everything there has run out.
+ * The session with one incarnation of a worker. It polls the worker for reports, renews its lease, and accounts for the
+ * placements there. A placement is freed only on proof that its run has exited: the worker lists the exit, another
+ * incarnation answers in its place, or the lease on everything there has expired.
  */
 import * as availability from './worker-availability.js';
 import * as clocks from '../clock.js';
@@ -23,80 +23,103 @@
 export class WorkerSession {
 	readonly placements = new Map<string, types.Placement>();
 	readonly used: fleet.Capacity = { milliCores: 0, memoryMb: 0, accelerators: 0 };
-	/** Thousandths of a core asked for by tasks that fill. */
+	/** Millicores requested by preemptible tasks. */
 	fillMilliCores = 0;
-	/** Thousandths of a core reserved by lasting tasks. */
+	/** Millicores reserved by long-running tasks that are not preemptible. */
 	lastingMilliCores = 0;
-	/** The worker's entry in the stored roster is open, so a successor would take any task to be there. */
+	/**
+	 * Whether the worker's entry in the stored roster is open: it names no tasks, so a successor assumes that any task may
+	 * be there.
+	 */
 	rostered = false;
 	/** The tasks that its entry in the stored roster names; undefined: the entry is open, or there is none. */
 	rosteredTasks: ReadonlySet<string> | undefined;
-	/** No earlier owner used it, or it has answered this epoch, or is proved to run nothing. */
+	/**
+	 * Whether no run of an earlier owner can be there unknown to this one: no earlier owner used the worker, it has reported
+	 * under this epoch, or it is proved to run nothing.
+	 */
 	settled: boolean;
-	/** It went down, or its leases ran out, before it had answered this epoch: what earlier owners started there is unknown. */
+	/**
+	 * Whether it ended, or its leases expired, before it had reported under this epoch: what earlier owners started there is
+	 * unknown.
+	 */
 	lostUnheard = false;
-	/** Tasks that went down with it. */
+	/** Names of the tasks whose runs ended with it. */
 	lostTasks: string[] = [];
-	/** This life has ended. */
+	/** Whether this incarnation is proved to have ended. */
 	gone = false;
-	/** Its machine is to go down: it gets no new work. */
+	/** Whether its machine is about to go down: it gets no new work. */
 	vacated = false;
-	/** Missing from a list of workers that is known to be fresh. */
+	/** Whether the newest list of workers no longer has it. */
 	unlisted = false;
-	/** Clock time of the last answer. */
+	/** Clock time of the last answer; `-Infinity`: it has not answered this owner. */
 	answeredAt = -Infinity;
 	readonly health: health.WorkerHealth;
-	/** Ends that it lists and has not been let forget. */
+	/** Exits that it lists and that have not been acknowledged to it. */
 	readonly listed: listedEnds.ListedEnds;
-	/** Ends up to here have been taken in. */
+	/** Sequence number of the newest exit that has been processed; 0: none. */
 	seenUpTo = 0;
-	/** Runs in the newest report that are being stopped and have no place: what they take is not counted. */
+	/**
+	 * Number of runs in the newest report that have no placement and are being stopped; the resources that they use are not
+	 * accounted for.
+	 */
 	strays = 0;
-	/** Clock time from which this worker's drain leaves no time to finish; undefined: it does not drain. */
+	/** Clock time at which the worker's drain period ends; undefined: it does not drain. */
 	endsAt: number | undefined;
-	/** Clock time at which a start was last sent there. */
+	/** Clock time at which a start was last sent there; `-Infinity`: none was. */
 	newestStartAt = -Infinity;
-	/** A run under suspicion of crashing workers, beside which nothing is started until it is cleared; undefined: none. */
+	/** A run suspected of crashing workers. Nothing is started beside it until it is cleared; undefined: there is none. */
 	probation: types.Placement | undefined;
-	/** Counts changes of what is placed there, and at which pace. */
+	/** Incremented whenever a placement there is added or removed, or its pace changes. */
 	revision = 0;
-	/** All that fills has to stand still for a task that serves there, as of the newest report. */
+	/** Whether all preemptible tasks there have to be paused for a serving task, as of the newest report. */
 	mustStandStill = false;
-	/** Clock time at which a task that fills last ended here or was slowed. */
+	/** Clock time at which a preemptible task there last exited or was throttled; `-Infinity`: none has. */
 	relievedAt = -Infinity;
-	/** Clock time at which a neighbour of what serves there last came, went or changed its pace. */
+	/** Clock time at which a run there last started, exited or changed its pace; `-Infinity`: none has. */
 	neighboursChangedAt = -Infinity;
 	private readonly lease: leases.WorkerLease;
 	private readonly silence: silences.WorkerSilence;
 	private closed = false;
-	/** Another life has answered in its place; what is there of its runs is known once that one's report is taken. */
+	/**
+	 * Whether another incarnation has answered in its place. Which of its runs are still there is known once the report of
+	 * that incarnation is processed.
+	 */
 	private superseded = false;
-	/** Orders to it carry this token. */
+	/** The fencing token of commands to it. */
 	private token: number;
 	private readonly createdAt: number;
-	/** A report of it was taken in, under a token that nothing has been seen above. */
+	/** Whether a report was processed under the current token, and no higher token had been seen there. */
 	isHeard = false;
-	/** The newest report, also one that was put off; undefined: none, or all that it tells of is over. */
+	/**
+	 * The newest report, also one whose processing was deferred; undefined: there is none, or everything that it lists is
+	 * over.
+	 */
 	private reported: fleet.WorkerReport | undefined;
-	/** Clock time at which it came. */
+	/** Clock time at which the newest report arrived; `-Infinity`: none has. */
 	reportedAt = -Infinity;
-	/** How much longer than it was to wait the newest report took, in milliseconds. */
+	/** How late the newest report came, in milliseconds: the time that it took beyond the wait that was requested. */
 	reportDelayMs = 0;
-	/** How long questions had no answer before the newest report was asked for, in milliseconds. */
+	/** How long the worker had left polls unanswered before the poll that brought the newest report, in milliseconds. */
 	unheardMs = 0;
-	/** Clock time at which the last report had been dealt with, and the next question was due. */
+	/**
+	 * Clock time at which the last report had been processed and the next poll was due; `-Infinity`: there was no report.
+	 */
 	private heardUntil = -Infinity;
-	/** Runs taken for lost whose start may still be under way. */
+	/** Runs that are presumed lost while their start may still be in flight. */
 	readonly inDoubt: doubts.RunsInDoubt;
-	/** They are being stopped. */
+	/** Whether the unconfirmed runs are being stopped. */
 	private isSettling = false;
-	/** The other boxes were told when the leases here end: none is given until a roster write voids that. */
+	/**
+	 * Whether no lease may be granted because its expiry was published to the other boxes. A roster write voids what was
+	 * published.
+	 */
 	private withheld = false;
-	/** The last question was not answered; a lease sent with the next would never be known to run out. */
+	/** Whether the last poll was not answered. A lease sent with the next one could never be proved to have expired. */
 	private unanswered = false;
 
 	private constructor(
-		/** Where it is reached. */
+		/** Where commands to it are sent. */
 		public target: fleet.WorkerTarget,
 		public entry: fleet.WorkerEntry | undefined,
 		private readonly deps: types.SessionDeps,
@@ -115,8 +138,8 @@
 	}
 
 	/**
-	 * `inheritedUntil`: clock time by which leases given by earlier owners have run out; `inDoubt`: what an earlier session
-	 * with this life left in doubt.
+	 * `inheritedLeasesEndAt`: clock time by which leases granted by earlier owners have expired, `-Infinity` if there are
+	 * none; `unconfirmedRuns`: those that an earlier session with this incarnation left behind.
 	 */
 	static create(
 		target: fleet.WorkerTarget,
@@ -135,82 +158,91 @@
 		return this.target.id;
 	}
 
-	/** What an order to it is sent under now. */
+	/** The token for a command that is sent at this moment, and whether it is the newest. */
 	stamp(): fencing.Stamp {
 		return this.deps.tokens.stamp(this.token);
 	}
 
-	/** Takes a token above all that were given out. */
+	/** Takes a token above all that were issued. */
 	renewToken(): void {
 		this.token = this.deps.tokens.next();
 	}
 
 	/**
-	 * Orders to another life of the name were seen there, so this one may be over: nothing is started before it has answered
-	 * under a token above theirs.
+	 * Handles that commands to another incarnation of the same worker name were seen there, so this one may have ended.
+	 * Nothing is started before it has reported under a token above theirs.
 	 */
 	private startOver(): void {
 		this.renewToken();
 		this.isHeard = false;
 	}
 
-	/** Whether orders to it carry a lower token than those to another session. */
+	/** Whether commands to it carry a lower token than those to another session. */
 	isBelow(other: WorkerSession): boolean {
 		return this.token < other.token;
 	}
 
-	/** How long it takes until every lease there has run out, in milliseconds. */
+	/** Time until every lease there has expired, in milliseconds. */
 	get leaseLeftMs(): number {
 		return this.lease.leftMs;
 	}
 
-	/** Clock time of the first call since the last answer that failed; undefined: none has. */
+	/** Clock time of the first failed call since the last answer; undefined: none has failed. */
 	get failedAt(): number | undefined {
 		return this.silence.failedAt;
 	}
 
-	/** Whether it went on accepting connections after it had ceased to answer, so it did not go down at that moment. */
+	/** Whether it still accepted connections after it had ceased to answer, so it did not crash at that moment. */
 	get isHanging(): boolean {
 		return this.silence.isHanging;
 	}
 
-	/** Whether it answers, as far as is known. */
+	/** Whether it has answered recently. */
 	get answering(): boolean {
 		return this.deps.clock.now() - this.answeredAt < settings.silentAfterMs;
 	}
 
-	/** How long since its last answer, in whole milliseconds; undefined: it has not answered this owner. */
+	/** Time since its last answer, in whole milliseconds; undefined: it has not answered this owner. */
 	get silentMs(): number | undefined {
 		if (this.answeredAt === -Infinity) return undefined;
 		return Math.round(this.deps.clock.now() - this.answeredAt);
 	}
 
-	/** When something was last seen there, later by the time since in which questions had no answer. */
+	/**
+	 * Shifts the clock time at which something was last observed there by the time in which polls were left unanswered
+	 * since, so that this time does not count. `-Infinity` stays as it is.
+	 */
 	withoutUnheard(seenAt: number): number {
 		return seenAt === -Infinity ? seenAt : Math.min(this.deps.clock.now(), seenAt + this.unheardMs);
 	}
 
-	/** Whether it has been given the time to answer and does not. */
+	/** Whether it has had the time to answer and does not. */
 	get silent(): boolean {
 		return !this.answering && this.deps.clock.now() - this.createdAt >= settings.silentAfterMs;
 	}
 
-	/** Whether it gets no new work for a while, or never again: what may run there is known and grows no more. */
+	/**
+	 * Whether its roster entry should be closed: it gets no new work for a while, or never again, so the set of tasks that
+	 * may run there is known and cannot grow.
+	 */
 	get withdrawn(): boolean {
 		return this.settled && (this.leaving || this.silent);
 	}
 
-	/** Whether it is to get no more work: it drains, left the list, or its machine is to go down. */
+	/** Whether it gets no more work: it drains, has left the list, or its machine is about to go down. */
 	get leaving(): boolean {
 		return this.entry?.draining === true || this.unlisted || this.vacated;
 	}
 
-	/** Whether its end is planned: it drains, or its machine is to go down at our order. */
+	/** Whether its end is planned: it drains, or the owner is about to take its machine down. */
 	get endsAsPlanned(): boolean {
 		return this.entry?.draining === true || this.vacated;
 	}
 
-	/** Tasks that a successor has to ask this worker about: placed or reported there, or ended there and not stored. */
+	/**
+	 * Tasks that a successor has to query this worker about: placed or reported there, or exited there with the exit not yet
+	 * stored.
+	 */
 	get concerned(): string[] {
 		const { running = [], ended = [] } = this.reported ?? {};
 		const unstored = ended.filter((end) => end.seq > this.storedUpTo);
@@ -218,32 +250,32 @@
 		return [...new Set([...this.placements.keys(), ...listed])];
 	}
 
-	/** Whether a run that an earlier owner started may be there, unknown to this one. */
+	/** Whether a run of the task that an earlier owner started may be there, unknown to this owner. */
 	mayHide(task: string): boolean {
 		return !this.settled && (this.rosteredTasks?.has(task) ?? true);
 	}
 
-	/** Whether its zone is evacuated: it gets no new work until that is taken back, and what runs there runs on. */
+	/** Whether its zone is evacuated: it gets no new work until the evacuation is revoked, and its runs continue. */
 	get isInEvacuatedZone(): boolean {
 		return this.entry !== undefined && this.deps.isEvacuated(this.entry.zone);
 	}
 
-	/** Whether it may get new work now. */
+	/** Whether it may get new work. */
 	get open(): boolean {
 		return this.closedBecause === undefined;
 	}
 
-	/** Why it gets no new work now; undefined: it does. */
+	/** Why it gets no new work; undefined: it may get some. */
 	get closedBecause(): availability.ClosedReason | undefined {
 		return availability.closedBecause(this);
 	}
 
-	/** Whether another life answered in its place, and nothing else has ended it. */
+	/** Whether another incarnation has answered in its place, and nothing else has ended the session. */
 	get isSuperseded(): boolean {
 		return this.superseded && !this.gone && !this.closed;
 	}
 
-	/** Takes a place for a task. */
+	/** Creates a placement for a task and reserves its resources. */
 	place(task: jobs.Task, run: number, phase: types.Placement['phase']): types.Placement {
 		const placement = placements.create(task, run, phase, this.deps.clock.now());
 		this.placements.set(task.name, placement);
@@ -251,106 +283,111 @@
 		return placement;
 	}
 
-	/** Gives a place back; the run there is proved to have ended, or never to start. */
+	/** Frees a placement whose run is proved to have exited, or never to start. */
 	free(placement: types.Placement): void {
 		if (this.placements.get(placement.task.name) !== placement) return;
 		this.placements.delete(placement.task.name);
 		if (this.probation === placement) this.probation = undefined;
-		// Proved to be nowhere: a successor has to wait for no worker.
+		// The task is proved to run nowhere, so a successor has to wait for no worker.
 		if (placement.task.worker === this.id) placement.task.worker = '';
 		this.account(placement.task.step.spec, -1);
 		this.neighboursChangedAt = this.deps.clock.now();
 		if (placement.task.step.spec.fills) this.relievedAt = this.neighboursChangedAt;
 	}
 
-	/** How long until every lease here is over, in milliseconds; from now on it does not grow. */
+	/** Returns the time until every lease here has expired, in milliseconds, and grants none from then on. */
 	withholdLease(): number {
 		this.withheld = true;
 		return this.leaseLeftMs;
 	}
 
-	/** What the other boxes were told is void: the roster has changed since. */
+	/** Allows leases again: the roster was written after the lease expiry was published, which voids it. */
 	releaseLease(): void {
 		this.withheld = false;
 	}
 
-	/** Whether it gets no lease for now. */
+	/** Whether no lease may be granted. */
 	private get isHeldBack(): boolean {
 		return this.withheld || this.inDoubt.any;
 	}
 
-	/** Whether the other boxes are to know when the leases here end: nobody may be able to ask it by then. */
+	/**
+	 * Whether the other boxes need to know when the leases here expire, as nobody may be able to reach the worker by then.
+	 */
 	get isLeaseStated(): boolean {
-		// Without any lease there is nothing to tell.
+		// No lease was ever granted, so there is no expiry to publish.
 		if (this.gone || this.lease.overAt === -Infinity) return false;
 		return !this.settled || this.deps.clock.now() - this.answeredAt >= settings.statedAfterMs;
 	}
 
-	/** Whether it answers and gets no lease. */
+	/** Whether it answers while its lease is withheld. */
 	get lacksLease(): boolean {
 		return this.withheld && this.answering;
 	}
 
-	/** Lease end to send with an order, on the worker's clock; undefined: none can or may be given. */
+	/** Lease expiry to send with a command, on the worker's clock; undefined: none can or may be granted. */
 	grantLease(): number | undefined {
 		return this.isHeldBack ? undefined : this.lease.grant();
 	}
 
-	/** How long ago the newest lease was given, in whole milliseconds; undefined: none was. */
+	/** Time since the newest lease was granted, in whole milliseconds; undefined: none was. */
 	get leaseAgeMs(): number | undefined {
 		const { grantedAt } = this.lease;
 		return grantedAt === -Infinity ? undefined : Math.round(this.deps.clock.now() - grantedAt);
 	}
 
-	/** Why it gets no lease now; undefined: it does. */
+	/** Why no lease can be granted; undefined: one can. */
 	get unleasedBecause(): 'withheld' | 'in-doubt' | leases.Denial | undefined {
 		if (this.withheld) return 'withheld';
 		return this.inDoubt.any ? 'in-doubt' : this.lease.denial;
 	}
 
-	/** Ends up to here are stored. */
+	/** Exits up to this sequence number are stored. */
 	get storedUpTo(): number {
 		return this.listed.storedUpTo;
 	}
 
-	/** Ends up to `upTo` are stored, so the worker may forget them. */
+	/** Exits up to `upTo` are stored, so they may be acknowledged to the worker. */
 	noteStored(upTo: number): void {
 		this.listed.noteStored(upTo, this.deps.clock.now());
 	}
 
-	/** Takes in the worker's clock from an answer. */
+	/** Notes an answer, which carries the worker's clock. */
 	heard(reading: fleet.ClockReading): void {
 		this.answeredAt = this.deps.clock.now();
 		this.silence.end();
 		this.lease.heard(reading);
 	}
 
-	/** A call was not answered. A crash breaks connections, so the first failure is the closest to its moment. */
+	/**
+	 * Handles a call that was not answered. A crash breaks connections, so the first failure is closest to the time of the
+	 * crash.
+	 */
 	private noteFailedCall(err: fleet.WorkerFailure): void {
 		if (this.silence.noteFailure()) this.handlers.onUnanswered(this, err);
 	}
 
-	/** The platform lists it so from now on. */
+	/** Updates the worker's entry from the platform's list. */
 	list(entry: fleet.WorkerEntry): void {
 		this.entry = entry;
 		this.unlisted = false;
 		if (entry.address !== this.target.address) this.target = { id: this.id, address: entry.address };
 	}
 
-	/** Sorts out a failed call to `at`, sent under `stamp`; true: the session is over. */
+	/** Handles a failed call to `at` that was sent under `stamp`. Returns whether the session is over. */
 	ended(err: fleet.WorkerFailure, at: fleet.WorkerTarget, stamp: fencing.Stamp): boolean {
 		if (failures.isUnanswered(err)) this.noteFailedCall(err);
-		// Under an older token the refusal may come of an order of our own.
+		// Under an older token, a newer command of this same owner may have caused the refusal.
 		const isReplaced = err.kind === 'fenced' && stamp.isNewest;
 		if (isReplaced) this.deps.onFenced();
 		else if (err.kind === 'fenced' && !this.isOver) this.startOver();
-		// At an address that it has left, a worker of another name proves nothing.
+		// If the worker has moved to another address, a worker of another name at the old one proves nothing.
 		if (err.kind === 'other-life' && at.address === this.target.address)
-			this.end('another life of the worker answers at its address');
+			this.end('another incarnation of the worker answers at its address');
 		return this.isOver || isReplaced;
 	}
 
-	/** Asks whether this life is still there, beside the question under way, which may wait for seconds. */
+	/** Checks whether this incarnation still answers. The call runs beside the pending poll, which may wait for seconds. */
 	async checkLife(): Promise<void> {
 		const { target, deps } = this;
 		const stamp = this.stamp();
@@ -360,12 +397,15 @@
 		else if (!this.isFrom(res.value)) this.supersede(res.value);
 	}
 
-	/** Whether no order to it makes sense any more. */
+	/** Whether the session is over, so that no more commands are sent. */
 	get isOver(): boolean {
 		return this.gone || this.closed || this.superseded;
 	}
 
-	/** Ends the session: this life of the worker is over. `moved`: runs that are not lost, as another life has them. */
+	/**
+	 * Ends the session: this incarnation is proved to have ended. `carriedOver`: runs that are not lost, as a later
+	 * incarnation has them.
+	 */
 	end(proof: string, moved: readonly types.Placement[] = []): void {
 		if (this.gone) return;
 		this.gone = true;
@@ -374,23 +414,26 @@
 	}
 
 	/**
-	 * Ends the session, as a later life of the worker has reported under a token above this one's. Orders to this life may
-	 * have been carried out by that one: runs that it lists are not lost with this one.
+	 * Ends the session after a later incarnation has reported under a higher token. That incarnation may have carried out
+	 * commands to this one, so runs that it lists are not lost.
 	 */
 	yieldTo(report: fleet.WorkerReport): void {
 		if (this.gone) return;
 		const listed = new Set([...report.running, ...report.ended].map(({ task, run }) => runKey(task, run)));
 		const moved = [...this.placements.values()].filter((one) => listed.has(runKey(one.task.name, one.run)));
 		for (const place of moved) this.free(place);
-		this.end('a later life of the worker answers', moved);
+		this.end('a later incarnation of the worker answers', moved);
 	}
 
-	/** Whether a report comes of this life. */
+	/** Whether a report comes from this incarnation. */
 	private isFrom({ born }: fleet.WorkerReport): boolean {
 		return lives.idOf(lives.nameOf(this.id), born) === this.id;
 	}
 
-	/** Another life answered in this one's place, so this one is over; it is sent nothing more. */
+	/**
+	 * Handles an answer from another incarnation in this one's place: this one has ended, and no more commands are sent to
+	 * it.
+	 */
 	private supersede({ born, clockMs }: fleet.WorkerReport): void {
 		this.superseded = true;
 		const later = lives.idOf(lives.nameOf(this.id), born);
@@ -398,15 +441,15 @@
 		this.handlers.onSuperseded(this, later);
 	}
 
-	/** Stops asking; the owner steps down or the session is over. */
+	/** Stops polling, as the owner steps down or the session is over. */
 	close(): void {
 		this.closed = true;
 	}
 
 	/**
-	 * Called now and then: what a silent worker held is over once its lease is. A successor that reaches the worker may
-	 * have renewed that lease, so the epoch has to be shown in force by a call sent after the lease's end. True: it was
-	 * not yet.
+	 * Called periodically. Whatever an unresponsive worker held has ended once its lease has expired. A successor that
+	 * reaches the worker may have renewed the lease, so a call sent after the expiry has to confirm the epoch first. Returns
+	 * whether that confirmation is still missing.
 	 */
 	checkLease(): boolean {
 		if (this.answering || this.closed || this.lease.leftMs > 0) return false;
@@ -478,7 +521,8 @@
 				continue;
 			}
 			this.silence.noteQuestionFailed();
-			// Whether a worker that ceases to answer still accepts connections is to be known at once.
+			// Polls again at once after the first failure, to learn whether a worker that ceases to answer still accepts
+			// connections.
 			const ceasesToAnswer = failures.isUnanswered(res.err) && this.failedAt === undefined;
 			if (this.ended(res.err, target, stamp)) return;
 			if (res.err.kind !== 'fenced' && !ceasesToAnswer)
@@ -487,9 +531,10 @@
 	}
 
 	/**
-	 * Ends that the worker may forget now; 0: none. Another life may answer, and would forget its own: so the question has
-	 * to follow an answer of this one in less time than it takes to start again and to end a run. `takeReport` asks at once
-	 * where that matters.
+	 * Sequence number up to which exits may be acknowledged in the next poll; 0: none. If another incarnation answers, it
+	 * drops its own exits instead. So the poll has to follow an answer of this incarnation in less time than a worker takes
+	 * to restart and to finish a run. `takeReport` returns early where exits can be acknowledged, so that the poll follows
+	 * at once.
 	 */
 	private forgettable(): number {
 		const [oldest] = this.reported?.ended ?? [];
@@ -498,15 +543,19 @@
 		return isKnown && isFresh && this.failedAt === undefined ? this.storedUpTo : 0;
 	}
 
-	/** Where tasks that fill disturb others, their effect is looked at more often. */
+	/**
+	 * How long the next report may wait for an exit, in milliseconds; shorter beside preemptible tasks, as their
+	 * interference has to be measured more often.
+	 */
 	private waitMs(): number {
-		// Whether it answers again, and then when it may have a lease, is to be known at once.
+		// Polls without a wait, to learn at once whether the worker answers again, and then its clock, without which it gets
+		// no lease.
 		if (!this.lease.hasClock || this.unanswered) return 0;
 		if (this.isHeldBack || this.probation !== undefined) return settings.tickMs;
 		return this.fillMilliCores > 0 ? settings.holdWaitFillingMs : settings.holdWaitMs;
 	}
 
-	/** `others`: lives of the same name that were known when the report was asked for. */
+	/** `others`: sessions with other incarnations of the same name that were known when the poll was sent. */
 	private async takeReport(
 		report: fleet.WorkerReport,
 		sentAt: number,
@@ -527,14 +576,14 @@
 		if (!this.isHeard) this.lease.assumeLongest();
 		this.isHeard = true;
 		if (!report.hasMoreEnds) this.settled = true;
-		// Beside the questions: a stop without an answer takes its whole time limit, and no end could be named after it.
+		// Runs beside the polls: an unanswered stop takes its whole timeout, and no exit could be acknowledged after that.
 		void this.settleDoubts();
-		// Listed ends that are stored already can be named only right after an answer, so the others don't delay that.
+		// Stored exits can be acknowledged only right after an answer, so waiting for the other exits must not delay that.
 		if (this.forgettable() > 0) return;
 		await Promise.race([outcome.stored, clocks.sleep(this.deps.clock, settings.holdAfterEndsMs)]);
 	}
 
-	/** Tells of runs whose lease ran out at the worker, and whose delay that was. */
+	/** Logs runs whose lease expired at the worker, with the data that shows which side caused the delay. */
 	private noteLapsed({ ended }: fleet.WorkerReport): void {
 		const lapsed = ended.filter((end) => end.how === 'lapsed' && end.seq > this.seenUpTo);
 		if (lapsed.length === 0) return;
@@ -548,7 +597,7 @@
 		});
 	}
 
-	/** Stops runs whose start may still be under way, unless that is being done. */
+	/** Stops runs whose start may still be in flight, unless that is under way already. */
 	private async settleDoubts(): Promise<void> {
 		if (this.isSettling) return;
 		this.isSettling = true;
@@ -556,7 +605,7 @@
 		this.isSettling = false;
 	}
 
-	/** Stops a run whose start may still be under way; whether it was answered. */
+	/** Stops a run whose start may still be in flight. Returns whether the stop was answered. */
 	private async stopInDoubt({ task, run }: doubts.RunInDoubt): Promise<boolean> {
 		const { target } = this;
 		const stamp = this.stamp();
@@ -565,7 +614,7 @@
 		return res.ok;
 	}
 
-	/** Read after an `await`, where the compiler thinks that it can't have changed. */
+	/** Re-reads `isSessionOver` after an `await`, where the compiler assumes that it is unchanged. */
 	private isOverNow(): boolean {
 		return this.isOver;
 	}
--- a/src/core/dispatch/worker-silence.ts
+++ b/src/core/dispatch/worker-silence.ts
@@ -1,20 +1,23 @@
 /**
- * When a worker ceased to answer, and whether its machine was up after that. A crash breaks connections and refuses new
- * ones, and a machine without power accepts none. A worker that accepts a connection and leaves the question there without
- * an answer has not gone down yet, so what it runs may end unheard before it does.
+ * Tracks when a worker ceased to answer, and whether its machine was up after that. A crash breaks connections and refuses
+ * new ones, and a machine without power accepts none. A worker that accepts a connection and leaves the poll on it
+ * unanswered has not crashed yet, so its runs may still exit, unreported, before it does.
  */
 import type * as clocks from '../clock.js';
 
-/** A worker hangs that has left a question without an answer for so long on a connection that it accepted, in milliseconds. */
+/**
+ * A worker counts as hung once it has left a poll unanswered for this time on a connection that it accepted, in
+ * milliseconds.
+ */
 const hangsAfterMs = 200;
 
-/** What is known of one worker's silence. */
+/** How responsive one worker is. */
 export class WorkerSilence {
-	/** Clock time of the first call since the last answer that failed; undefined: none has. */
+	/** Clock time of the first failed call since the last answer; undefined: none has failed. */
 	private failure: number | undefined;
-	/** Clock time at which the worker accepted a connection for the question under way; undefined: it has not. */
+	/** Clock time at which the worker accepted a connection for the pending poll; undefined: it has not. */
 	private connectedAt: number | undefined;
-	/** A question since then was left without an answer on a connection that the worker had accepted. */
+	/** Whether an earlier poll since the last answer was left unanswered on a connection that the worker had accepted. */
 	private hung = false;
 
 	private constructor(private readonly clock: clocks.Clock) {}
@@ -23,12 +26,12 @@
 		return new WorkerSilence(clock);
 	}
 
-	/** Clock time of the first call since the last answer that failed; undefined: none has. */
+	/** Clock time of the first failed call since the last answer; undefined: none has failed. */
 	get failedAt(): number | undefined {
 		return this.failure;
 	}
 
-	/** Whether it has accepted a connection and left the question there without an answer. */
+	/** Whether it has accepted a connection since its last answer and left the poll on it unanswered. */
 	get isHanging(): boolean {
 		return this.hung || this.isQuestionHanging;
 	}
@@ -37,25 +40,25 @@
 		return this.connectedAt !== undefined && this.clock.now() - this.connectedAt > hangsAfterMs;
 	}
 
-	/** A call failed; true: the first since the last answer. */
+	/** Notes a failed call. Returns whether it is the first since the last answer. */
 	noteFailure(): boolean {
 		if (this.failure !== undefined) return false;
 		this.failure = this.clock.now();
 		return true;
 	}
 
-	/** A connection was opened for the question under way. */
+	/** Notes that a connection was opened for the pending poll. */
 	noteConnected(): void {
 		if (this.failure !== undefined) this.connectedAt = this.clock.now();
 	}
 
-	/** The question under way failed: its connection broke at once, or it was given up. */
+	/** Notes that the pending poll failed: its connection broke at once, or it timed out. */
 	noteQuestionFailed(): void {
 		this.hung ||= this.isQuestionHanging;
 		this.connectedAt = undefined;
 	}
 
-	/** The worker answered. */
+	/** Notes an answer. */
 	end(): void {
 		this.failure = undefined;
 		this.connectedAt = undefined;
