--- a/src/core/dispatch/call-repeater.ts
+++ b/src/core/dispatch/call-repeater.ts
@@ -1,56 +1,59 @@
 /**
- * Repeats calls to workers that are left without an answer, long before they are given up.
+ * Repeats calls to workers that are left unanswered, long before they time out.
  *
- * A call that has no answer although several that were due after it have one was not held up by this box's link or
- * processor, which take calls in turn: its connection has gone silent, or its worker carries it out late. It is sent once
- * more over a new connection, as in the fast retransmission of RFC 5681, though no sooner than answers usually take (RFC
- * 6298), and not while the processor is full. Orders and questions may be repeated: each names its run, and carries the
- * same lease. Where nothing is answered at all, a few calls are repeated as probes.
+ * If a call is unanswered although several calls that were due later are answered, the delay is not in this box's link or
+ * processor, which handle calls in turn: its connection is dead, or its worker is late to carry it out. Such a call is sent
+ * once more over a new connection, like the fast retransmission of RFC 5681, though not before answers usually arrive (RFC
+ * 6298), and not while the processor is overloaded. Commands and polls may be repeated: each command names its run, and each
+ * repeat carries the same lease. Where no call is answered at all, a few calls are repeated as probes.
  */
 import * as delays from './answer-delays.js';
 import * as failures from '../fleet/failures.js';
 import type * as clocks from '../clock.js';
 import type * as fleet from '../fleet/types.js';
 
-/** A call is repeated no sooner than so long after its answer was due, in milliseconds. */
+/** Minimum time from when a call's answer was due to its first repeat, in milliseconds. */
 const overdueMs = 150;
 
-/** Once nothing was answered for so long, calls are repeated as probes, in milliseconds. */
+/** If nothing was answered for this time, calls are repeated as probes, in milliseconds. */
 const probeAfterMs = 300;
 
-/** How often an overdue call is looked at, in milliseconds. */
+/** Interval between checks of an overdue call, in milliseconds. */
 const lookMs = 50;
 
 /**
- * A timer that fires so late shows that this box's processor is full, in milliseconds. Answers may have come then that
- * nobody has read, and repeats would take what reading them needs.
+ * A timer that fires this late shows that this box's processor is overloaded, in milliseconds. Answers may have arrived
+ * unread, and repeats would take the processor time that is needed to read them.
  */
 const fullAfterMs = 50;
 
-/** Nothing is repeated for so long after that, in milliseconds. */
+/** Nothing is repeated for this time after such a timer, in milliseconds. */
 const fullForMs = 300;
 
-/** So many answers to calls that were due later show that a call was overtaken. */
+/** Number of answers to calls due later which show that a call was overtaken. */
 const overtakenBy = 3;
 
-/** Probes under way at once, at most. */
+/** Maximum number of probes in flight. */
 const mostProbes = 4;
 
-/** Repeats for each answer, and how many may be saved up: they never take more of a link than the answers do. */
+/**
+ * Repeats earned by each answer, and the maximum that can be saved up. Repeats thus never take more of a link than the
+ * answers do.
+ */
 const repeatsPerAnswer = 1;
 const mostSaved = 64;
 
-/** Calls that take equally long to answer. */
+/** Kinds of calls; those of one kind take equally long to answer. `question`: a poll. `order`: a command. */
 export type CallKind = 'question' | 'order';
 
-/** Why a call is repeated. `overtaken`: later ones were answered. `probe`: none is, and somebody has to try. */
+/** Why a call is repeated. `overtaken`: calls due later were answered. `probe`: no call is answered, and a repeat tests whether any gets through. */
 type RepeatReason = 'overtaken' | 'probe';
 
-/** A call as it is to be sent. */
+/** A call and how to repeat it. */
 export interface Repeatable<T> {
 	at: fleet.WorkerTarget;
 	kind: CallKind;
-	/** The worker may take so long to answer, in milliseconds. */
+	/** Time that the worker may wait before it answers, in milliseconds. */
 	waitMs: number;
 	send: () => fleet.WorkerResult<T>;
 	/** Sends it once more, to be answered at once. */
@@ -59,35 +62,34 @@
 	isWanted?: () => boolean;
 }
 
-/** A call that has no outcome yet. */
+/** A call without an outcome. */
 interface OpenCall<T> {
 	call: Repeatable<T>;
-	/** Clock time by which it is to be answered. */
+	/** Clock time by which its answer is due. */
 	dueAt: number;
 	repeats: number;
-	/** Until it is looked at again. */
+	/** Fires at the next check. */
 	timer?: clocks.Timer;
-	/** Ends it; only the first outcome counts. */
+	/** Completes the call; only the first outcome counts. */
 	settle: (res: Awaited<fleet.WorkerResult<T>>) => void;
 }
 
-/** What the repeater uses. */
 export interface RepeaterDeps {
 	clock: clocks.Clock;
-	/** Takes the kept connections to a worker out of use. */
+	/** Retires the kept connections to a worker, so that the next call opens a new one. */
 	renew: (at: fleet.WorkerTarget) => void;
-	/** A call is repeated. */
+	/** Called for each repeat. */
 	onRepeat: () => void;
 }
 
-/** Sends the calls of one owner. */
+/** Sends the calls of one owner, and repeats those that are overdue. */
 export class CallRepeater {
-	/** Times at which answered calls were due, the latest, by kind. */
+	/** Due times of the answered calls that were due last, by kind. */
 	private readonly answered: Record<CallKind, number[]> = { question: [], order: [] };
 	private readonly delays = delays.AnswerDelays.create();
-	/** Clock time of the newest answer. */
+	/** Clock time of the newest answer; `-Infinity`: there was none. */
 	private answeredAt = -Infinity;
-	/** Clock time at which the processor was last found full. */
+	/** Clock time at which the processor was last found overloaded; `-Infinity`: it never was. */
 	private fullAt = -Infinity;
 	private probes = 0;
 	private saved = mostSaved;
@@ -98,7 +100,7 @@
 		return new CallRepeater(deps);
 	}
 
-	/** Sends a call. Its outcome is that of the first attempt, unless a repeat succeeds before. */
+	/** Sends a call. The outcome is that of the first attempt, unless a repeat succeeds before it. */
 	run<T>(call: Repeatable<T>): fleet.WorkerResult<T> {
 		const dueAt = this.deps.clock.now() + call.waitMs;
 		return new Promise((resolve) => {
@@ -128,7 +130,7 @@
 		});
 	}
 
-	/** Repeats a call if there is reason to, and looks at it again later. */
+	/** Repeats a call if there is a reason to, and schedules the next check. */
 	private look<T>(open: OpenCall<T>): void {
 		const reason = this.reasonToRepeat(open);
 		if (reason === undefined) {
@@ -142,13 +144,13 @@
 		});
 	}
 
-	/** A timer that was to fire at `at` fires. */
+	/** Notes the processor as overloaded if a timer that was due at `expectedAt` fires late. */
 	private noteTimer(at: number): void {
 		const now = this.deps.clock.now();
 		if (now - at > fullAfterMs) this.fullAt = now;
 	}
 
-	/** Why a call is to be repeated now; undefined: it is not. */
+	/** Why a call has to be repeated; undefined: it has not. */
 	private reasonToRepeat<T>({ call, dueAt }: OpenCall<T>): RepeatReason | undefined {
 		if (this.saved < 1 || call.isWanted?.() === false) return undefined;
 		const now = this.deps.clock.now();
@@ -174,12 +176,12 @@
 		return res;
 	}
 
-	/** A call that was due at `dueAt` was answered, or given up. */
+	/** Notes the answer to a call that was due at `dueAt`. A timeout is no answer. */
 	private note<T>(call: Repeatable<T>, res: Awaited<fleet.WorkerResult<T>>, dueAt: number): void {
 		if (!res.ok && failures.isUnanswered(res.err)) return;
 		const now = this.deps.clock.now();
 		this.answeredAt = now;
-		// An answer that did not wait for its time says nothing of the delay.
+		// An answer that came before its wait was over does not measure the delay.
 		if (now >= dueAt) this.delays.add(now - dueAt);
 		this.saved = Math.min(mostSaved, this.saved + repeatsPerAnswer);
 		const latest = [...this.answered[call.kind], Math.min(dueAt, now)].sort((a, b) => b - a);
@@ -187,7 +189,7 @@
 	}
 }
 
-/** The same calls, repeated where they are overtaken; `onRepeat`: told of each that is. */
+/** Wraps calls so that they are repeated if they are overtaken; `onRepeat`: called for each repeat. */
 export function repeatCalls(
 	calls: fleet.WorkerCalls,
 	clock: clocks.Clock,
@@ -210,7 +212,8 @@
 				kind: 'question',
 				waitMs: req.waitMs,
 				send: () => calls.hold(at, req),
-				// Another life of the worker may answer by now, and would forget ends of its own.
+				// Another incarnation of the worker may answer the repeat, and would drop its own exits if they were
+				// acknowledged.
 				again: () => {
 					req.onRepeat?.();
 					return calls.hold(at, { ...req, forgetUpTo: 0, waitMs: 0, onConnected: undefined });
--- a/src/core/dispatch/counted-calls.ts
+++ b/src/core/dispatch/counted-calls.ts
@@ -1,8 +1,8 @@
-/** Calls to workers, counted by kind. */
+/** Counts calls to workers by kind. */
 import type * as fleet from '../fleet/types.js';
 import type * as meters from './load-meter.js';
 
-/** The same calls; `meter` counts each that is sent. */
+/** Wraps calls so that `meter` counts each poll, stop and pace command that is sent. */
 export function countCalls(calls: fleet.WorkerCalls, meter: meters.LoadMeter): fleet.WorkerCalls {
 	return {
 		...calls,
--- a/src/core/dispatch/fencing-tokens.ts
+++ b/src/core/dispatch/fencing-tokens.ts
@@ -1,16 +1,16 @@
 /**
- * Tokens of orders to workers, which refuse an order with a lower token than the highest they have seen. They rise with
- * the epoch, and under one owner with each session: a life of a worker that has seen an order of its own session refuses
- * whatever was sent to the life before and is still under way.
+ * Fencing tokens of commands to workers. A worker refuses a command with a lower token than the highest that it has seen.
+ * Tokens rise with the epoch, and under one owner with each session. So an incarnation that has seen a command of its own
+ * session refuses commands to the earlier incarnation that are still in flight.
  */
 
-/** Tokens of one epoch; those of the next one lie above. */
+/** Number of tokens in one epoch; those of the next epoch are higher. */
 const tokensPerEpoch = 2 ** 32;
 
-/** A token as it was when an order was sent. */
+/** A token as of the sending of a command. */
 export interface Stamp {
 	token: number;
-	/** No higher one had been given out: a worker that refuses it has seen a newer owner's. */
+	/** Whether no higher token had been issued: a worker that refuses the command has then seen a newer owner's token. */
 	isNewest: boolean;
 }
 
@@ -25,19 +25,19 @@
 		this.given = epoch * tokensPerEpoch;
 	}
 
-	/** `onSpent`: all tokens of the epoch are given out, and the owner has to be replaced. */
+	/** `onExhausted`: called when all tokens of the epoch are issued, so that the owner has to be replaced. */
 	static create(epoch: number, onSpent: () => void): FencingTokens {
 		return new FencingTokens(epoch, onSpent);
 	}
 
-	/** A token above all that were given out before. */
+	/** Issues a token above all that were issued before. */
 	next(): number {
 		if (this.given === lastOf(this.epoch)) this.onSpent();
 		else this.given += 1;
 		return this.given;
 	}
 
-	/** What an order with this token is sent under. */
+	/** The token for a command that is sent at this moment, and whether it is the newest. */
 	stamp(token: number): Stamp {
 		return { token, isNewest: token === this.given };
 	}
@@ -48,7 +48,7 @@
 	return (epoch + 1) * tokensPerEpoch - 1;
 }
 
-/** The epoch of the owner that gave out a token. */
+/** The epoch of the owner that issued a token. */
 export function epochOf(token: number): number {
 	return Math.floor(token / tokensPerEpoch);
 }
--- a/src/core/dispatch/first-questions.ts
+++ b/src/core/dispatch/first-questions.ts
@@ -1,16 +1,17 @@
 /**
- * Turns of workers that are asked for their first report.
+ * Limits how many workers are polled for their first report at a time.
  *
- * Load pattern: a new owner asks hundreds of workers what they run, each of which lists all ends that nobody has stored.
- * Asked all at once they answer in one moment, and the owner takes answers in for seconds without sending a renewal: its
- * lease runs out, and the next box begins the same. So some are asked at a time, and the next when one has answered.
+ * Load pattern: a new owner polls hundreds of workers for what they run, and each lists all exits that nobody has stored. If
+ * all were polled at once, they would answer at the same moment, and the owner would process answers for seconds without
+ * sending a renewal: its lease would expire, and the next box would begin the same. So only some are polled at a time, and
+ * the next one when one has answered.
  */
 import type * as clocks from '../clock.js';
 
-/** Workers asked at a time. */
+/** Maximum number of workers polled at a time. */
 const mostAtOnce = 32;
 
-/** One that has not answered after so long makes way for the next, in milliseconds: it may be silent. */
+/** A worker that has not answered after this time passes its turn on, in milliseconds, as it may be unresponsive. */
 const makesWayMs = 100;
 
 /** The turns of one owner. */
@@ -24,7 +25,7 @@
 		return new FirstQuestions(clock);
 	}
 
-	/** Resolves when it is a worker's turn, to what is to be called once it has answered. */
+	/** Waits for a worker's turn. Resolves to a function to call once the worker has answered. */
 	async turn(): Promise<() => void> {
 		if (this.asked >= mostAtOnce) await new Promise<void>((resolve) => this.waiting.push(resolve));
 		else this.asked += 1;
@@ -45,7 +46,7 @@
 		};
 	}
 
-	/** Gives a turn that is over to the next in line. */
+	/** Passes a turn that has ended to the next worker in line. */
 	private pass(): void {
 		const next = this.waiting.shift();
 		if (next === undefined) this.asked -= 1;
--- a/src/core/dispatch/listed-ends.ts
+++ b/src/core/dispatch/listed-ends.ts
@@ -1,10 +1,10 @@
-/** Ends that a worker lists until it is let forget them: how long each waits to be stored, and to be forgotten. */
+/** Exits that a worker lists until they are acknowledged to it: how long each waits to be stored, and to be acknowledged. */
 import type * as fleet from '../fleet/types.js';
 
-/** Times of an end since its worker was first seen to list it. */
+/** Measured times of an exit, both from when its worker was first seen to list it. */
 export type EndTime = 'end_stored' | 'end_forgotten';
 
-/** Takes a time, in milliseconds. */
+/** Records a time, in milliseconds. */
 export type RecordTime = (name: EndTime, ms: number) => void;
 
 interface ListedEnd {
@@ -13,14 +13,14 @@
 	listedAt: number;
 }
 
-/** The ends of one life of a worker. */
+/** The unacknowledged exits of one incarnation of a worker. */
 export class ListedEnds {
-	/** The oldest first. */
+	/** Oldest first. */
 	private open: ListedEnd[] = [];
 	private newest = 0;
-	/** Those up to here are stored. */
+	/** Exits up to this sequence number are stored. */
 	storedUpTo = 0;
-	/** The question under way lets the worker forget those up to here. */
+	/** The pending poll acknowledges exits up to this sequence number. */
 	private askedUpTo = 0;
 
 	private constructor(private readonly record: RecordTime) {}
@@ -29,12 +29,12 @@
 		return new ListedEnds(record);
 	}
 
-	/** How many are listed and wait for a question that lets the worker forget them. */
+	/** Number of listed exits that the pending poll does not acknowledge. */
 	get count(): number {
 		return this.waiting.length;
 	}
 
-	/** Clock time at which the oldest of them was first listed; undefined: there is none. */
+	/** Clock time at which the oldest of these was first listed; undefined: there is none. */
 	get oldestAt(): number | undefined {
 		return this.waiting[0]?.listedAt;
 	}
@@ -43,7 +43,7 @@
 		return this.open.filter(({ seq }) => seq > this.askedUpTo);
 	}
 
-	/** A report lists these. */
+	/** Notes the exits that a report lists. */
 	list(ends: readonly fleet.RunEnd[], now: number): void {
 		for (const { seq } of ends) {
 			if (seq <= this.newest) continue;
@@ -52,19 +52,19 @@
 		}
 	}
 
-	/** Those up to `upTo` are stored. */
+	/** Notes that exits up to `upTo` are stored. */
 	noteStored(upTo: number, now: number): void {
 		for (const { seq, listedAt } of this.open)
 			if (seq > this.storedUpTo && seq <= upTo) this.record('end_stored', now - listedAt);
 		this.storedUpTo = Math.max(this.storedUpTo, upTo);
 	}
 
-	/** A question that lets the worker forget those up to `upTo` is sent. */
+	/** Notes that a poll is sent which acknowledges exits up to `upTo`. */
 	noteAsked(upTo: number): void {
 		this.askedUpTo = upTo;
 	}
 
-	/** That question, sent at `sentAt`, was answered. */
+	/** Notes that the poll which was sent at `sentAt`, and acknowledged exits up to `upTo`, was answered. */
 	noteForgotten(upTo: number, sentAt: number): void {
 		const kept = this.open.findIndex(({ seq }) => seq > upTo);
 		const forgotten = this.open.splice(0, kept === -1 ? this.open.length : kept);
--- a/src/core/dispatch/runs-in-doubt.ts
+++ b/src/core/dispatch/runs-in-doubt.ts
@@ -1,18 +1,18 @@
 /**
- * Runs on one life of a worker that were taken for lost while their start might still be under way. A start is refused
- * once its lease is over, unless the worker has been given a newer one meanwhile: that would let it begin although its task
- * may run elsewhere by now. So the worker gets no lease before each of these runs is stopped there; a start that comes
- * after its stop is refused.
+ * Runs on one incarnation of a worker that were presumed lost while their start might still be in flight. The worker refuses
+ * a start once the lease that it names has expired, unless it has been granted a newer lease meanwhile. With a newer lease
+ * the run could begin although its task may run elsewhere by then. So the worker gets no lease until each of these runs is
+ * stopped there; it refuses a start that arrives after its stop.
  */
 import type * as types from './types.js';
 
-/** One run in doubt. */
+/** A run that was presumed lost while its start might still be in flight. */
 export interface RunInDoubt {
 	task: string;
 	run: number;
 }
 
-/** The runs in doubt of one life. */
+/** The unconfirmed runs of one incarnation. */
 export class RunsInDoubt {
 	private runs: RunInDoubt[];
 
@@ -20,28 +20,26 @@
 		this.runs = [...known];
 	}
 
-	/** `known`: from an earlier session with the same life. */
+	/** `inherited`: those left by an earlier session with the same incarnation. */
 	static create(known: readonly RunInDoubt[]): RunsInDoubt {
 		return new RunsInDoubt(known);
 	}
 
-	/** Whether there are any. */
 	get any(): boolean {
 		return this.runs.length > 0;
 	}
 
-	/** All of them. */
 	all(): readonly RunInDoubt[] {
 		return this.runs;
 	}
 
-	/** Placements are taken for lost: those whose start was neither answered nor stopped are in doubt. */
+	/** Adds those of the lost placements whose start was neither answered nor stopped. */
 	add(lost: readonly types.Placement[]): void {
 		const open = lost.filter((one) => one.confirmedAt === 0 && one.stoppedAt === 0);
 		this.runs.push(...open.map(({ task, run }) => ({ task: task.name, run })));
 	}
 
-	/** Stops them one after the other until one stop isn't answered; `stop` tells whether it was. */
+	/** Stops the runs one after the other until a stop is not answered. `stop` returns whether it was answered. */
 	async settle(stop: (run: RunInDoubt) => Promise<boolean>): Promise<void> {
 		for (const run of [...this.runs]) {
 			if (!(await stop(run))) return;
--- a/src/core/dispatch/strangers.ts
+++ b/src/core/dispatch/strangers.ts
@@ -1,7 +1,8 @@
 /**
- * Jobs that workers report and the owner does not know. A predecessor may have been told of a job, and started it, just
- * before it was fenced; its record is in the store then, as it was stored before anybody was told. Until the store has
- * answered, a report that names such a job says nothing: its runs are not stopped and its ends are not forgotten.
+ * Jobs that workers report and the owner does not know. A previous owner may have been notified of a job, and started it,
+ * just before it was fenced. The record of such a job is in the store, as it is stored before any owner is notified. Until
+ * the store has answered, a report that names an unknown job proves nothing: its runs are not stopped and its exits are not
+ * acknowledged.
  */
 import * as jobs from '../jobs/index.js';
 import type * as fleet from '../fleet/types.js';
@@ -9,23 +10,22 @@
 import type * as platform from '../platform/types.js';
 import type * as results from '../result.js';
 
-/** Reads all that is kept of a job; undefined: it is not kept (any more). */
+/** Reads everything that is stored of a job; undefined: nothing is stored, or not any more. */
 export type ReadJob = (
 	id: string,
 ) => Promise<results.Result<ledger.StoredJob | undefined, platform.StoreFailure>>;
 
-/** What looking up uses. */
 export interface StrangersOptions {
 	readJob: ReadJob;
 	isKnown: (job: string) => boolean;
-	/** A job was found in the store. */
+	/** Called with a job that was found in the store. */
 	onFound: (stored: ledger.StoredJob) => void;
 }
 
-/** Looks unknown jobs up, each once. */
+/** Looks up unknown jobs, each once. */
 export class Strangers {
 	private readonly asking = new Set<string>();
-	/** Jobs that are not kept, or can't be worked on: what still runs of them is to be stopped. */
+	/** Jobs that are not stored, or cannot be worked on: their remaining runs are to be stopped. */
 	private readonly absent = new Set<string>();
 
 	private constructor(private readonly opts: StrangersOptions) {}
@@ -34,12 +34,14 @@
 		return new Strangers(opts);
 	}
 
-	/** A job is stored and can't be worked on. */
+	/** Excludes a job that is stored and cannot be worked on. */
 	leaveOut(job: string): void {
 		this.absent.add(job);
 	}
 
-	/** Whether a report names no job that has to be looked up first; looks up those that it does. */
+	/**
+	 * Returns whether a report names no job that has to be looked up first; starts the lookup of those that it does name.
+	 */
 	clear(report: fleet.WorkerReport): boolean {
 		let isClear = true;
 		for (const { task } of [...report.running, ...report.ended]) {
@@ -55,7 +57,7 @@
 		this.asking.add(job);
 		const res = await this.opts.readJob(job);
 		this.asking.delete(job);
-		// Without an answer the next report asks again.
+		// If the store fails, the next report triggers another lookup.
 		if (!res.ok) return;
 		if (res.value === undefined) this.absent.add(job);
 		else this.opts.onFound(res.value);
