--- a/src/core/dispatch/draining.ts
+++ b/src/core/dispatch/draining.ts
@@ -1,9 +1,12 @@
-/** Finds runs that have to leave a worker which is about to end. */
+/** Finds the runs that have to leave a worker which is about to end. */
 import * as settings from './settings.js';
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** Runs to stop there now: lasting tasks at once, others while a stop still saves them. */
+/**
+ * Returns the runs to stop: those of long-running tasks at once, others at the last moment at which a stop still saves their
+ * work.
+ */
 export function leaving(session: sessions.WorkerSession, now: number): types.Placement[] {
 	const { endsAt } = session;
 	if (endsAt === undefined) return [];
--- a/src/core/dispatch/hanging.ts
+++ b/src/core/dispatch/hanging.ts
@@ -1,12 +1,12 @@
-/** Finds runs that stand still though nothing of ours holds them up. */
+/** Finds runs that make no progress although their pace is not throttled. */
 import * as settings from './settings.js';
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** Full pace, and full progress: a lasting task at work stays there. */
+/** Full pace, and full progress, in per cent. A long-running task that works stays at full progress. */
 const full = 100;
 
-/** Runs on a worker that hang, as its reports tell: time without one says nothing. */
+/** Runs on a worker that its reports show to be hung. Time without reports proves nothing. */
 export function hangingOn(session: sessions.WorkerSession, now: number): types.Placement[] {
 	if (!session.answering) return [];
 	const { reportedAt } = session;
--- a/src/core/dispatch/index.ts
+++ b/src/core/dispatch/index.ts
@@ -1,4 +1,4 @@
-/** Dispatching: the owner's tasks, the workers they run on, and what is stored of them. */
+/** Dispatching: the owner's tasks, the workers that run them, and what is stored of both. */
 export { Dispatcher } from './dispatcher.js';
 export type { DispatcherOptions, DispatchLoad } from './options.js';
 export type { Knowledge } from './knowledge.js';
--- a/src/core/dispatch/list-freshness.ts
+++ b/src/core/dispatch/list-freshness.ts
@@ -1,10 +1,13 @@
-/** How old the list of workers is: it tells how much room each has, and rooms shrink. */
+/** Tracks how old the list of workers is. The list states the capacity of each worker, which may shrink. */
 import * as clocks from '../clock.js';
 import * as settings from './settings.js';
 
-/** Whether starts may go by the list. */
+/** Whether starts may rely on the list. */
 export class ListFreshness {
-	/** Clock time at which the list was last known to be what it is; undefined: nobody tells. */
+	/**
+	 * Clock time at which the list was last known to be current; undefined: this was never reported, and the list counts as
+	 * fresh.
+	 */
 	private heldAt: number | undefined;
 	private wantedAt = -Infinity;
 
@@ -13,22 +16,22 @@
 		private readonly readList: () => void,
 	) {}
 
-	/** `readList`: has the list read now. */
+	/** `readList`: called to have the list read at once. */
 	static create(clock: clocks.Clock, readList: () => void): ListFreshness {
 		return new ListFreshness(clock, readList);
 	}
 
-	/** The list is as was told, as of that clock time. */
+	/** Notes that the list was current at that clock time. */
 	note(heldAt: number): void {
 		this.heldAt = heldAt;
 	}
 
-	/** Whether it was known to hold lately. */
+	/** Whether the list was known to be current recently. */
 	get isFresh(): boolean {
 		return this.heldAt === undefined || clocks.isFresh(this.clock, this.heldAt, settings.listAgeMs);
 	}
 
-	/** To be called now and then: has a list read that is too old. */
+	/** Called periodically. Has the list read if it is too old. */
 	refresh(): void {
 		const now = this.clock.now();
 		if (this.isFresh || now - this.wantedAt < settings.listRetryMs) return;
--- a/src/core/dispatch/options.ts
+++ b/src/core/dispatch/options.ts
@@ -1,4 +1,4 @@
-/** What a dispatcher is made with, and what it tells of its load. */
+/** The options of a dispatcher, and the load that it reports. */
 import type * as fleet from '../fleet/types.js';
 import type * as ledger from '../ledger/index.js';
 import type * as meters from './load-meter.js';
@@ -7,40 +7,46 @@
 import type * as strangers from './strangers.js';
 import type * as types from './types.js';
 
-/** What a dispatcher needs beyond its calls to workers. */
+/** What a dispatcher needs besides the calls to workers. */
 export interface DispatcherOptions extends types.DispatchDeps {
 	saveProgress: saver.SaveProgress;
 	readJob: strangers.ReadJob;
-	/** Reads the list of workers now. */
+	/** Has the list of workers read at once. */
 	readList: () => void;
 	saveRoster: (roster: ledger.RosterEntry[]) => Promise<ledger.WriteOutcome>;
 	clearJobs: (ids: string[]) => Promise<ledger.WriteOutcome>;
 	/** The queues in force; undefined before the first configuration. */
 	table: () => queues.QueueTable | undefined;
-	/** Asks the adviser; absent: there is none. */
+	/** Queries the adviser; absent: there is none. */
 	askAdviser?: fleet.AskAdviser;
-	/** A finished job's state is kept this long, in milliseconds. */
+	/** How long the state of a finished job is kept, in milliseconds. */
 	keepStateMs: number;
-	/** Clock time by which all leases at a worker are over, where the owner before said so. */
+	/** Clock time by which all leases at a worker have expired, by worker, where the previous owner published it. */
 	leaseEnds: ReadonlyMap<string, number>;
-	/** Longest time over its target that a serving task may be kept by what fills beside it. */
+	/** Longest time that interference of preemptible tasks may keep a serving task over its target, in milliseconds. */
 	harmMs: number;
-	/** Going on from a checkpoint takes so long, in milliseconds; absent: it is not known, and counts as nothing. */
+	/** How long a restore from a checkpoint takes, in milliseconds; absent: it is not known, and counts as 0. */
 	restoreMs?: number;
-	/** Starts may go by a list of evacuated zones that was known to hold so lately; absent: zones are not evacuated. */
+	/**
+	 * Starts may rely on a list of evacuated zones that was known to be current within this time, in milliseconds; absent:
+	 * zones are never evacuated.
+	 */
 	evacuationAgeMs?: number;
 }
 
 /** An owner's load. */
 export interface DispatchLoad extends meters.LoadReading {
-	/** Tasks that wait for a worker. */
+	/** Number of tasks that wait for a worker. */
 	waiting: number;
-	/** Those of them that run for a while only: lasting ones may wait for as long as there is no room. */
+	/** Number of those that are not long-running. Long-running tasks may wait as long as there is no free capacity. */
 	waitingShort: number;
-	/** Starts on their way, and how many may be. */
+	/** Number of starts in flight, and the limit for it. */
 	onTheirWay: number;
 	startLimit: number;
-	/** Ends that workers list and have not been let forget, and how long ago the oldest was first listed, in milliseconds. */
+	/**
+	 * Number of exits that workers list and that have not been acknowledged, and time since the oldest was first listed, in
+	 * milliseconds.
+	 */
 	listedEnds: number;
 	oldestEndMs: number;
 }
--- a/src/core/dispatch/report-log.ts
+++ b/src/core/dispatch/report-log.ts
@@ -1,13 +1,13 @@
-/** Log lines about what a worker's report tells, and what its silence or its end proves. */
+/** Log lines about what a worker's report shows, and about what its unresponsiveness or its end proves. */
 import type * as events from '../events/index.js';
 import type * as fleet from '../fleet/types.js';
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** Tasks named in one line, at most. */
+/** Maximum number of tasks named in one log line. */
 const mostNamed = 10;
 
-/** Writes the lines of one owner. */
+/** Writes the log lines of one owner. */
 export class ReportLog {
 	private constructor(
 		private readonly log: events.EventLog,
@@ -18,7 +18,7 @@
 		return new ReportLog(log, epoch);
 	}
 
-	/** A worker of earlier owners reported for the first time: what it runs is known from now on. */
+	/** Logs the first report of a worker that earlier owners used: what it runs is known from then on. */
 	inherited(session: sessions.WorkerSession, report: fleet.WorkerReport): void {
 		const { epoch } = this;
 		const { running, ended } = report;
@@ -35,29 +35,31 @@
 		});
 	}
 
-	/** A worker's ends before this one are forgotten there, and `seenUpTo` is the newest that was read. */
+	/**
+	 * Logs a gap in a worker's exits: it has dropped those before `first`, and `seenUpTo` is the newest that was processed.
+	 */
 	unread(session: sessions.WorkerSession, first: fleet.RunEnd): void {
 		const { id: worker, seenUpTo } = session;
 		this.log.emit('ends.unread', { worker, epoch: this.epoch, seenUpTo, first: first.seq });
 	}
 
-	/** A worker lists the end of a run. */
+	/** Logs the exit of a run that a worker lists. */
 	ended(session: sessions.WorkerSession, end: fleet.RunEnd): void {
 		const { task, run, how } = end;
 		this.log.emit('run.ended', { task, run, worker: session.id, how });
 	}
 
-	/** A worker runs what nobody wants there. */
+	/** Logs an orphaned run, which nobody wants on its worker. */
 	stray(session: sessions.WorkerSession, task: string, run: number): void {
 		this.log.emit('run.stray', { worker: session.id, task, run, epoch: this.epoch });
 	}
 
-	/** A report does not list a run that was there. */
+	/** Logs the loss of a run that a report should list and does not. */
 	absent(session: sessions.WorkerSession, place: types.Placement): void {
 		this.taskLost(session, place, 'a report does not list it');
 	}
 
-	/** A worker ceases to answer; what was started there last, and how long before. */
+	/** Logs that a worker with placements has ceased to answer: what was placed there last, and how long before. */
 	unanswered(session: sessions.WorkerSession, err: fleet.WorkerFailure): void {
 		const { failedAt, placements } = session;
 		if (failedAt === undefined || placements.size === 0) return;
@@ -73,7 +75,7 @@
 		});
 	}
 
-	/** Nothing that was placed on a worker runs there any more. */
+	/** Logs that nothing that was placed on a worker runs there any more. */
 	lost(session: sessions.WorkerSession, { lost, moved, proof }: types.Loss): void {
 		this.log.emit('worker.lost', {
 			worker: session.id,
--- a/src/core/dispatch/settings.ts
+++ b/src/core/dispatch/settings.ts
@@ -1,123 +1,129 @@
-/** Limits of the dispatcher, times in milliseconds. docs/DECIDING.md has what they rest on. */
+/** Limits of the dispatcher; times in milliseconds. docs/DECIDING.md gives the reasons for them. */
 
 /**
- * An owner renews leases and starts tasks only this long after sending its last confirmed call to the store.
- * A successor adds it to the longest lease before it takes a silent worker's tasks for ended.
+ * An owner renews leases and starts tasks only within this time after it sent its last confirmed call to the store. A
+ * successor adds it to the longest lease before it presumes that the tasks of an unresponsive worker have ended.
  */
 export const renewalHorizonMs = 3_000;
 
-/** A worker's clock may run this much slower than ours (stated by its platform). */
+/** Fraction by which a worker's clock may run slower than the owner's, as its platform states. */
 export const clockSlowness = 0.02;
 
-/** Added to every wait for a lease to run out: covers timers that fire late. */
+/** Added to every wait for a lease to expire, to cover timers that fire late. */
 export const leaseMarginMs = 150;
 
-/** A report waits at most this long for an end; each question renews the worker's lease. */
+/** How long a report may wait for an exit. Each poll renews the worker's lease. */
 export const holdWaitMs = 1_000;
 
-/** The same where tasks that fill may disturb others: a reading covers half a second. */
+/** The same beside preemptible tasks, which may interfere with others. A reading covers half a second. */
 export const holdWaitFillingMs = 400;
 
-/** A worker that gives no answer is asked again after this. */
+/** Delay before an unresponsive worker is polled again. */
 export const holdRetryMs = 250;
 
-/** After a report with new ends, the next one waits at most this long for the ends to be stored. */
+/** After a report with new exits, how long the next poll may wait for them to be stored. */
 export const holdAfterEndsMs = 400;
 
-/** A worker is let forget its ends only so long after a report of it: a restart takes longer, and a run after it. */
+/** How long after a worker's report its exits may be acknowledged: a restart and a run after it take longer. */
 export const forgetWithinMs = 200;
 
-/** A worker without an answer for this long gets no new work: longer than a waiting report and a lost packet take. */
+/**
+ * A worker without an answer for this time counts as unresponsive and gets no new work. Longer than a report may wait and a
+ * lost packet takes together.
+ */
 export const silentAfterMs = 2_200;
 
 /**
- * After so long without an answer the other boxes are told when a worker's leases end. From then on it gets a lease only
- * once the store has taken a write, so that short cuts of a worker's link are left alone.
+ * After this time without an answer, the expiry of a worker's leases is published to the other boxes. From then on the
+ * worker gets a lease only after a write to the store, so short interruptions of a worker's link do not count.
  */
 export const statedAfterMs = 3_000;
 
-/** A worker that refused a start is left alone this long. */
+/** How long a worker that refused a start gets no new work. */
 export const refusalPauseMs = 500;
 
-/** An unanswered order is repeated after this. */
+/** Delay before an unanswered command is repeated. */
 export const orderRetryMs = 200;
 
-/** A start without an answer is tried this often before the run is given up and stopped. */
+/** Maximum number of attempts to send a start. If none is answered, the run is stopped. */
 export const startTries = 3;
 
-/** Ends that arrive within this of each other are stored in one write. */
+/** Exits that arrive within this time of each other are stored in one write. */
 export const saveGapMs = 25;
 
-/** How often due times, silent workers and drains are looked at. */
+/** Interval between checks of due times, unresponsive workers and drains. */
 export const tickMs = 100;
 
 /**
- * Nothing is started by a list of workers that was last known to hold so long ago: a worker's room may have shrunk. Two
- * waits for changes, the first of them without an answer.
+ * Nothing is started by a list of workers that was last known to be current longer ago than this, as a worker's free
+ * capacity may have shrunk. Covers two waits for changes, the first of them unanswered.
  */
 export const listAgeMs = 4_000;
 
-/** A list that is too old is asked for again after this: a page of it is given up so late where nothing of it comes. */
+/** Delay before a list that is too old is requested again. The request for a page of it times out after the same time. */
 export const listRetryMs = 1_000;
 
-/** How long after the list of workers was read it is read again. */
+/** Interval between reads of the list of workers. */
 export const listGapMs = 350;
 
-/** On a draining worker, what runs is stopped this long before the worker may end. */
+/** How long before the possible end of a draining worker its runs are stopped. */
 export const stopBeforeEndMs = 1_400;
 
-/** Failures in a row, of several jobs, after which a worker counts as broken. */
+/** Number of consecutive failures, of several jobs, after which a worker is quarantined. */
 export const quarantineFailures = 3;
 
-/** A broken worker is tried again after this. */
+/** How long a worker stays in quarantine. */
 export const quarantineMs = 4_000;
 
-/** A task that fills and was slowed to this pace or less is moved if another worker takes it, in per cent. */
+/** A preemptible task that was throttled to this pace or less is migrated if another worker takes it, in per cent. */
 export const movedPace = 30;
 
-/** So long after it was slowed: a load's peak may pass first. */
+/** Delay before a throttled task is migrated, as a peak of the load may pass first. */
 export const movedAfterMs = 800;
 
-/** The same where a move is dear and others wait for the place to which it would go. */
+/** The same where a migration is costly and other tasks wait for the capacity that it would take. */
 export const dearMovedAfterMs = 4_000;
 
-/** A move is dear if going on from a checkpoint takes more than this part of the task's estimate. */
+/** A migration is costly if the restore from a checkpoint takes more than this fraction of the task's estimate. */
 export const dearMovePart = 0.15;
 
-/** Rounds of placing follow each other no closer than this while tasks wait for room. */
+/** Minimum interval between placement rounds while tasks wait for capacity. */
 export const roundGapMs = 15;
 
-/** A step of lasting or filling tasks that found no place is looked at again after this. */
+/** Interval between attempts to place a step of long-running or preemptible tasks that found no capacity. */
 export const patientRetryMs = 100;
 
-/** Nor closer than this many times what the last one took, so that placing leaves processor to reports. */
+/** The interval is also at least this multiple of the duration of the last round, to leave processor time to reports. */
 export const roundGapFactor = 2;
 
 /**
- * A lasting task that has waited so long goes before short ones, and workers are kept free for it: it serves nobody
- * meanwhile, and short tasks would take every core that comes free.
+ * A long-running task that has waited for this time is placed before short ones, and workers are kept free for it. It serves
+ * nobody while it waits, and short tasks would take every core that becomes free.
  */
 export const overdueMs = 3_000;
 
-/** Workers kept free for overdue tasks in one round, at most: this part of those that are open. */
+/** Maximum number of workers kept free for overdue tasks in one round, as a fraction of the workers that may get work. */
 export const keptPart = 0.1;
 
 /**
- * A filling task that has waited so long is placed whatever harm it does: a queue's work has to finish, and what waits for
- * a worker where it disturbs nobody may wait for as long as there are users.
+ * A preemptible task that has waited for this time is placed whatever interference it causes. The work of a queue has to
+ * finish, and a task that waits for a worker without interference may wait as long as there are users.
  */
 export const starvedMs = 10_000;
 
-/** Workers that hold such a task at once, at most: this part of a pool after that wait, in proportion to a longer one. */
+/**
+ * Maximum number of workers that hold such a task at a time, as a fraction of a pool: the first after the wait above, rising
+ * in proportion to a longer wait up to the second.
+ */
 export const exemptPart = 0.1;
 export const mostExemptPart = 0.3;
 
-/** A report that names jobs which have to be read first is asked for again after this. */
+/** Delay before the next poll where a report names jobs that have to be read from the store first. */
 export const putOffMs = 15;
 
-/** A run that works at full pace and whose progress stands still for so long, over several reports, is taken for hanging. */
+/** A run that has full pace and makes no progress for this time, over several reports, is presumed hung. */
 export const hangingMs = 2_500;
 
-/** A step of which a task has waited so long is told of in the log, again after each further gap, in milliseconds. */
+/** A step is logged as stalled if one of its tasks has waited for the first time, and again after each further interval. */
 export const stalledAfterMs = 3_000;
 export const stalledGapMs = 3_000;
--- a/src/core/dispatch/types.ts
+++ b/src/core/dispatch/types.ts
@@ -1,4 +1,4 @@
-/** What the parts of the dispatcher say to each other. */
+/** Types that the parts of the dispatcher share. */
 import type * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 import type * as fencing from './fencing-tokens.js';
@@ -8,115 +8,119 @@
 import type * as listedEnds from './listed-ends.js';
 import type * as sessions from './worker-session.js';
 
-/** A run of a task on a worker. */
+/** A run of a task on a worker, and the resources reserved for it. */
 export interface Placement {
 	task: jobs.Task;
 	run: number;
 	/** `starting` until the start is known to have been carried out. */
 	phase: 'starting' | 'running' | 'stopping';
-	/** Clock time of the placing. */
+	/** Clock time at which the placement was made. */
 	placedAt: number;
-	/** Clock time at which its start was first sent, `-Infinity` by an earlier owner; undefined: not yet. */
+	/** Clock time at which its start was first sent; `-Infinity`: by an earlier owner; undefined: not sent yet. */
 	sentAt: number | undefined;
-	/** Clock time of the answer that showed the run there; 0 before. */
+	/** Clock time of the answer that showed the run to be there; 0: there was none. */
 	confirmedAt: number;
-	/** Clock time of the answer to the stop; 0 before. */
+	/** Clock time of the answer to the stop; 0: there was none. */
 	stoppedAt: number;
-	/** As the worker last reported it. */
+	/** Progress in per cent, as the worker last reported it. */
 	percent: number;
-	/** Clock time at which it last changed. */
+	/** Clock time at which the progress last changed. */
 	progressAt: number;
-	/** Tail latency (ms) or thousandths of a core, as last reported. */
+	/** Tail latency in milliseconds of a serving task, else millicores in use, as last reported. */
 	reading: number;
-	/** Share of its speed that it was told to work at, in per cent. */
+	/** Share of full speed that it was commanded to use, in per cent. */
 	pace: number;
-	/** Whether the worker is known to have been told so; an earlier owner's order or one without an answer is not. */
+	/**
+	 * Whether the worker is known to have received that pace. False if an earlier owner sent the command, or it was not answered.
+	 */
 	isPaceKnown: boolean;
-	/** Clock time of the last change of its pace. */
+	/** Clock time of the last change of its pace; 0: there was none. */
 	pacedAt: number;
-	/** Clock time of the newest order on its pace, also of one that repeats another; 0: there was none. */
+	/** Clock time of the newest command for its pace, including repeats; 0: there was none. */
 	paceOrderedAt: number;
-	/** It was placed whatever harm it does, because it had waited too long. */
+	/** Whether it was placed whatever interference it causes, because it had waited too long. */
 	exempt: boolean;
-	/** It is tried for whether it brings its worker down, and has not passed yet. */
+	/** Whether it is being tested for crashing its worker, and has not passed yet. */
 	onProbation: boolean;
-	/** Of a task that serves users: clock time from which it has been over its target; undefined: it is not. */
+	/** For a serving task: clock time from which it has been over its latency target; undefined: it is not over it. */
 	overSince: number | undefined;
-	/** Its newest reading lies just under the target, and the one before it over it. */
+	/** Whether its newest reading is just under the target after one over the target. */
 	hasDipped: boolean;
-	/** Clock time of the newest reading over the target. */
+	/** Clock time of the newest reading over the target; `-Infinity`: there was none. */
 	overAt: number;
 }
 
-/** A list of the platform's that has not been read lately: which workers there are, or which zones are evacuated. */
+/** A list of the platform that has not been read recently: the workers, or the evacuated zones. */
 export type UnreadList = 'list-unread' | 'evacuations-unread';
 
-/** What the dispatcher is told about the world, and how it acts on it. */
+/** What the dispatcher needs from its surroundings. */
 export interface DispatchDeps {
 	clock: clocks.Clock;
 	events: events.EventLog;
 	calls: fleet.WorkerCalls;
-	/** Longest lease that workers grant. */
+	/** The longest lease that workers accept, in milliseconds. */
 	maxLeaseMs: number;
 	/** The owner's epoch. */
 	epoch: number;
-	/** Whether leases may be renewed and tasks started: the epoch was shown in force lately. */
+	/** Whether leases may be renewed and tasks started: the epoch was confirmed recently. */
 	mayAct: () => boolean;
-	/** Clock time at which the newest call that showed the epoch in force was sent. */
+	/** Clock time at which the newest call that confirmed the epoch was sent. */
 	confirmedAt: () => number;
-	/** Asks the store whether the epoch is in force. */
+	/** Asks the store whether the epoch is still in force. */
 	confirm: () => Promise<unknown>;
-	/** A worker has seen a newer epoch: this owner is replaced. */
+	/** Called when a worker has seen a newer epoch, so this owner is replaced. */
 	onFenced: () => void;
-	/** Records how long ends waited; absent: nobody asks. */
+	/** Records how long exits waited; absent: nothing is recorded. */
 	recordTime?: listedEnds.RecordTime;
 }
 
-/** What a session uses. */
+/** What a session depends on. */
 export interface SessionDeps extends DispatchDeps {
 	tokens: fencing.FencingTokens;
 	isEvacuated: (zone: string) => boolean;
 	firstQuestions: firstQuestions.FirstQuestions;
 }
 
-/** A report, and what was known when it was asked for. */
+/** A report, and what was known when it was requested. */
 export interface AskedReport {
 	report: fleet.WorkerReport;
-	/** Clock time of the question. */
+	/** Clock time at which the poll was sent. */
 	sentAt: number;
-	/** Other lives of the worker, known by then: as this one answered after that, they are over. */
+	/**
+	 * Sessions with other incarnations of the worker that were known by then. As this one answered later, those have ended.
+	 */
 	others: readonly sessions.WorkerSession[];
 }
 
-/** What is known of everything that was placed on a worker. */
+/** The proven fate of everything that was placed on a worker. */
 export interface Loss {
-	/** Runs that are nowhere any more. */
+	/** Runs that have ended. */
 	lost: readonly Placement[];
-	/** Runs that a later life of the worker has. */
+	/** Runs that a later incarnation of the worker has. */
 	moved: readonly Placement[];
-	/** How that is known. */
+	/** What proves it. */
 	proof: string;
 }
 
-/** What the dispatcher hears of a session. */
+/** Events of a session. */
 export interface SessionHandlers {
-	/** A report came. */
+	/** A report arrived. */
 	onReport: (session: sessions.WorkerSession, asked: AskedReport) => ReportOutcome;
 	/** A call failed, the first since the last answer. */
 	onUnanswered: (session: sessions.WorkerSession, err: fleet.WorkerFailure) => void;
 	/** Nothing that was placed there runs there any more. */
 	onLost: (session: sessions.WorkerSession, loss: Loss) => void;
-	/** Sessions with other lives of the same name. */
+	/** Returns the sessions with other incarnations of the same name. */
 	otherLives: (session: sessions.WorkerSession) => readonly sessions.WorkerSession[];
-	/** A life of the same name, with this id, answered in a session's place. */
+	/** An incarnation of the same name, with the id `later`, answered in a session's place. */
 	onSuperseded: (session: sessions.WorkerSession, later: string) => void;
 }
 
-/** The part of these that the dispatcher takes; the pool knows the lives. */
+/** The handlers that the dispatcher provides. The pool provides the others, as it knows the incarnations. */
 export type ReportHandlers = Pick<SessionHandlers, 'onReport' | 'onUnanswered' | 'onLost'>;
 
 /**
- * What became of a report. `taken`: it was, and `stored` resolves once its ends are stored. `put-off`: it names jobs
- * that are being read from the store; the next report will be taken.
+ * What became of a report. `taken`: it was processed, and `stored` resolves once its exits are stored. `put-off`: it was
+ * deferred, as it names jobs that are being read from the store; the next report will be processed.
  */
 export type ReportOutcome = { type: 'taken'; stored: Promise<void> } | { type: 'put-off' };
--- a/src/core/dispatch/vacating.ts
+++ b/src/core/dispatch/vacating.ts
@@ -1,25 +1,27 @@
-/** Empties a worker whose machine is to go down, without taking too many tasks of one step away at once. */
+/** Empties a worker whose machine is about to go down, without stopping too many tasks of one step at a time. */
 import type * as jobs from '../jobs/index.js';
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** How far a worker is emptied. `protected`: something there may not be stopped now. */
+/**
+ * How far a worker is emptied. `moving`: runs there are being stopped, or left to finish. `protected`: something
+ * there may not be stopped yet.
+ */
 export type VacateState = 'empty' | 'moving' | 'protected';
 
-/** What vacating uses. */
 export interface VacateContext {
 	sessionOf: (task: jobs.Task) => sessions.WorkerSession | undefined;
 	stop: (session: sessions.WorkerSession, place: types.Placement) => void;
 }
 
-/** Stops what may be stopped on the lives of a worker, and says what is left. */
+/** Stops what may be stopped on the incarnations of a worker, and returns what is left there. */
 export function vacateAll(known: readonly sessions.WorkerSession[], ctx: VacateContext): VacateState {
 	const states = known.map((one) => vacate(one, ctx));
 	return states.find((one) => one === 'protected') ?? states.find((one) => one === 'moving') ?? 'empty';
 }
 
 function vacate(session: sessions.WorkerSession, ctx: VacateContext): VacateState {
-	// What an earlier owner started there is not known yet, and would die with the machine.
+	// What an earlier owner started there is not known yet, and would be lost with the machine.
 	if (!session.settled) return 'protected';
 	let state: VacateState = 'empty';
 	for (const place of session.placements.values()) {
@@ -34,7 +36,7 @@
 	return state;
 }
 
-/** Whether a task may be taken away now: few enough others of its step are not at work. */
+/** Whether a task may be stopped: fewer than `mayMiss` other tasks of its step are not fully working. */
 function maySpare(task: jobs.Task, ctx: VacateContext): boolean {
 	const { mayMiss } = task.step.spec;
 	if (mayMiss === undefined) return true;
@@ -45,6 +47,6 @@
 function isAtWork(task: jobs.Task, ctx: VacateContext): boolean {
 	const session = ctx.sessionOf(task);
 	const place = session?.placements.get(task.name);
-	// What a silent worker runs may have ended, and its users notice long before its lease is over.
+	// What an unresponsive worker runs may have ended already. Its users notice that long before the lease expires.
 	return session?.answering === true && place?.phase === 'running' && place.percent === 100;
 }
--- a/src/core/dispatch/zone-evacuations.ts
+++ b/src/core/dispatch/zone-evacuations.ts
@@ -1,14 +1,14 @@
 /**
- * Zones whose workers are to be sent nothing more. A list that was last known to hold too long ago says nothing: a zone
- * may have been added since.
+ * Zones whose workers get no new work, as an owner knows them. A list of them that was last known to be current too long ago
+ * proves nothing, as a zone may have been added since.
  */
 import * as clocks from '../clock.js';
 
-/** The evacuated zones as an owner knows them. */
+/** The evacuated zones that an owner knows. */
 export class ZoneEvacuations {
 	private zones: ReadonlySet<string> = new Set();
 	private heldAt = -Infinity;
-	/** Evacuated zones in which something may run. */
+	/** Evacuated zones in which something may still run. */
 	private readonly occupied = new Set<string>();
 
 	private constructor(
@@ -16,7 +16,10 @@
 		private readonly maxAgeMs: number | undefined,
 	) {}
 
-	/** `maxAgeMs`: starts may go by a list that was known to hold so lately; undefined: zones are not evacuated here. */
+	/**
+	 * `maxAgeMs`: starts may rely on a list that was known to be current within this time, in milliseconds; undefined: zones
+	 * are never evacuated.
+	 */
 	static create(clock: clocks.Clock, maxAgeMs: number | undefined): ZoneEvacuations {
 		return new ZoneEvacuations(clock, maxAgeMs);
 	}
@@ -26,14 +29,17 @@
 		return this.maxAgeMs === undefined || clocks.isFresh(this.clock, this.heldAt, this.maxAgeMs);
 	}
 
-	/** Whether a zone's workers get nothing more. */
+	/** Whether a zone is evacuated. */
 	has(zone: string): boolean {
 		return this.zones.has(zone);
 	}
 
-	/** These zones were evacuated, and no others, at that clock time; returns those that are added and taken back. */
+	/**
+	 * Notes that exactly these zones were evacuated at that clock time. Returns the zones that were added and those that
+	 * were removed.
+	 */
 	note(zones: ReadonlySet<string>, heldAt: number): { added: string[]; removed: string[] } {
-		// Answers pass each other: an older one may come later.
+		// Answers may arrive out of order: an older one is ignored.
 		if (heldAt < this.heldAt) return { added: [], removed: [] };
 		const before = this.zones;
 		this.zones = zones;
@@ -45,7 +51,7 @@
 		return { added, removed };
 	}
 
-	/** Evacuated zones that have become empty since this was last asked. */
+	/** Returns the evacuated zones that have become empty since the last call. */
 	takeEmptied(isEmpty: (zone: string) => boolean): string[] {
 		const emptied = [...this.occupied].filter(isEmpty);
 		for (const zone of emptied) this.occupied.delete(zone);
