--- a/src/core/dispatch/worker-session.ts
+++ b/src/core/dispatch/worker-session.ts
@@ -383,7 +383,7 @@
 		else if (err.kind === 'fenced' && !this.isOver) this.startOver();
 		// If the worker has moved to another address, a worker of another name at the old one proves nothing.
 		if (err.kind === 'other-life' && at.address === this.target.address)
-			this.end('another incarnation of the worker answers at its address');
+			this.end('another life of the worker answers at its address');
 		return this.isOver || isReplaced;
 	}
 
