--- a/src/core/dispatch/types.ts
+++ b/src/core/dispatch/types.ts
@@ -94,7 +94,7 @@
 
 /** The proven fate of everything that was placed on a worker. */
 export interface Loss {
-	/** Runs that have ended. */
+	/** Runs that exist nowhere any more. */
 	lost: readonly Placement[];
 	/** Runs that a later incarnation of the worker has. */
 	moved: readonly Placement[];
