--- a/src/core/dispatch/advice.ts
+++ b/src/core/dispatch/advice.ts
@@ -1,6 +1,6 @@
 /**
- * Tickets of the adviser: for some queues it says which workers may run a step, and each start needs its ticket.
- * One question at a time; its answer holds for all tasks of the step until it runs out.
+ * Tickets of the adviser: for some queues it decides which workers may run a step, and each start needs its ticket. One
+ * request is in flight at a time; its answer holds for all tasks of the step until it expires.
  */
 import * as settings from './settings.js';
 import type * as clocks from '../clock.js';
@@ -8,20 +8,19 @@
 import type * as fleet from '../fleet/types.js';
 import type * as jobs from '../jobs/index.js';
 
-/** Most workers named in one question: each costs the adviser time, and a few good ones are enough. */
+/** Maximum number of workers named in one request: each costs the adviser time, and a few good ones are enough. */
 const mostNamed = 30;
 
-/** A ticket is not used in its last part, in milliseconds: a start has to arrive with it. */
+/** A ticket is not used in the last part of its validity, in milliseconds: a start has to arrive with it. */
 const ticketMarginMs = 150;
 
 interface StepAdvice {
-	/** Tickets by worker, with the clock time at which each runs out. */
+	/** Tickets by worker, with the clock time at which each expires. */
 	tickets: Map<string, { ticket: string; until: number }>;
-	/** Workers that were named and are not good. */
+	/** Workers that were named in a request and are not good. */
 	refused: Set<string>;
 }
 
-/** Settings of an advisory. */
 export interface AdvisoryOptions {
 	clock: clocks.Clock;
 	events: events.EventLog;
@@ -31,12 +30,12 @@
 	onNews: () => void;
 }
 
-/** What the adviser said, and the question under way. */
+/** The adviser's tickets, and the request in flight. */
 export class Advisory {
 	private readonly steps = new WeakMap<jobs.StepRun, StepAdvice>();
-	/** A question is under way. */
+	/** A request is in flight. */
 	private asking = false;
-	/** Nothing is asked before this clock time. */
+	/** Clock time before which no request is sent. */
 	private retryAt = -Infinity;
 
 	private constructor(private readonly opts: AdvisoryOptions) {}
@@ -45,14 +44,14 @@
 		return new Advisory(opts);
 	}
 
-	/** The ticket of a step at a worker, if there is one that still holds. */
+	/** The valid ticket of a step for a worker; undefined: there is none. */
 	ticket(step: jobs.StepRun, worker: string): string | undefined {
 		const known = this.steps.get(step)?.tickets.get(worker);
 		if (known === undefined || known.until - ticketMarginMs < this.opts.clock.now()) return undefined;
 		return known.ticket;
 	}
 
-	/** Asks about workers that the adviser has not judged for this step, unless a question is under way. */
+	/** Asks about workers that the adviser has not rated for this step, unless a request is in flight. */
 	want(step: jobs.StepRun, workers: string[]): void {
 		if (this.opts.ask === undefined || this.asking || this.opts.clock.now() < this.retryAt) return;
 		const advice = this.adviceOf(step);
@@ -96,7 +95,7 @@
 	}
 }
 
-/** Keeps an answer: the tickets of the good workers; the others that were named are not good. */
+/** Stores an answer: the tickets of the good workers. The others that were named are not good. */
 function take(advice: StepAdvice, named: string[], answer: fleet.Advice, askedAt: number): void {
 	const until = askedAt + answer.validMs;
 	for (const id of named) advice.refused.add(id);
--- a/src/core/dispatch/choices.ts
+++ b/src/core/dispatch/choices.ts
@@ -1,4 +1,4 @@
-/** Which workers a step may go to, by its queue's pool and the adviser, and whom the adviser is asked about. */
+/** Selects the workers that a step may run on, by its queue's pool and the adviser, and those to ask the adviser about. */
 import * as advice from './advice.js';
 import * as room from './room.js';
 import type * as interference from './interference.js';
@@ -7,13 +7,12 @@
 import type * as rounds from './placing-round.js';
 import type * as sessions from './worker-session.js';
 
-/** What choices are made of. */
 export interface ChoicesOptions extends advice.AdvisoryOptions {
 	policyOf: (job: jobs.ActiveJob) => jobs.QueuePolicy;
 	estimates: interference.Interference;
 }
 
-/** The choices of one owner. */
+/** Selects eligible workers for one owner. */
 export class Choices {
 	private readonly advisory: advice.Advisory;
 
@@ -25,13 +24,13 @@
 		return new Choices(opts);
 	}
 
-	/** What a start of a step on a worker has to show; empty: nothing. */
+	/** Ticket that a start of a step on a worker has to carry; empty: none. */
 	ticketFor(step: jobs.StepRun, worker: string): string {
 		const { advised } = this.opts.policyOf(step.job);
 		return advised ? (this.advisory.ticket(step, worker) ?? '') : '';
 	}
 
-	/** Workers that may run a step, and how to rate them. */
+	/** The workers that may run a step, and what their scores depend on. */
 	among(step: jobs.StepRun, round: rounds.PlacingRound): placement.Choice {
 		const { pool, advised } = this.opts.policyOf(step.job);
 		const inPool = round.openFor(step, pool);
@@ -41,7 +40,7 @@
 		return { workers, estimates: this.opts.estimates, now: round.now };
 	}
 
-	/** The same to place by: if no worker that the adviser has allowed has room, it is asked about others. */
+	/** The same for placing a task: asks the adviser about other workers if none that it has allowed has free capacity. */
 	toPlace(step: jobs.StepRun, round: rounds.PlacingRound): placement.Choice {
 		const choice = this.among(step, round);
 		const { advised } = this.opts.policyOf(step.job);
@@ -50,7 +49,7 @@
 		return choice;
 	}
 
-	/** Asks the adviser, if the step's policy wants advice, about workers with room that it has not judged. */
+	/** Asks the adviser about workers with free capacity that it has not rated, if the step's policy requires advice. */
 	askFurther(step: jobs.StepRun, round: rounds.PlacingRound): void {
 		const { pool, advised } = this.opts.policyOf(step.job);
 		if (advised) this.advisory.want(step, likely(step, round.openFor(step, pool)));
@@ -64,7 +63,7 @@
 	}
 }
 
-/** Workers with room for a step, the emptiest first. */
+/** Ids of the workers with free capacity for a step, the emptiest first. */
 function likely(step: jobs.StepRun, workers: sessions.WorkerSession[]): string[] {
 	const fitting = workers.filter((one) => room.hasPlace(step, one));
 	fitting.sort((a, b) => a.used.milliCores - b.used.milliCores);
--- a/src/core/dispatch/fill-backlog.ts
+++ b/src/core/dispatch/fill-backlog.ts
@@ -1,33 +1,34 @@
 /**
- * Whether more tasks that fill wait than find places.
+ * Detects whether more preemptible tasks wait than find placements.
  *
- * Load pattern: for seconds more work that fills is ready than there is room beside what serves. A place that comes free
- * is taken at once then, so moving a slowed task to it gains nothing and costs the move. While few wait, it would stay
- * empty.
+ * Load pattern: for seconds more preemptible work is ready than there is free capacity beside serving tasks. A placement
+ * that is freed is then taken at once, so migrating a throttled task to it gains nothing and costs the migration. While few
+ * tasks wait, the freed capacity would stay empty.
  */
 import * as order from './waiting-order.js';
 import type * as jobs from '../jobs/index.js';
 import type * as sessions from './worker-session.js';
 
-/** A task that has waited so long finds no place at once, in milliseconds. */
+/** A task that has waited this long finds no placement at once, in milliseconds. */
 const waitingMs = 1_000;
 
-/** So many of them are a backlog: this part of the tasks that fill and are placed, and this part of the workers. */
+/**
+ * The waiting tasks are a backlog if there are more of them than this part of the placed preemptible tasks, and than this
+ * part of the workers.
+ */
 const placedPart = 0.1;
 const workerPart = 0.25;
 
-/** It is worked out anew after so long, in milliseconds: every look at a worker asks. */
+/** Time after which the result is computed again, in milliseconds: every check of a worker reads it. */
 const keptMs = 250;
 
-/** What is looked at. */
 export interface FillBacklogOptions {
 	now: () => number;
-	/** Tasks that wait. */
 	waiting: () => Iterable<jobs.Task>;
 	workers: () => readonly sessions.WorkerSession[];
 }
 
-/** The backlog of what fills. */
+/** The backlog of preemptible tasks. */
 export class FillBacklog {
 	private known = false;
 	private knownAt = -Infinity;
@@ -38,7 +39,7 @@
 		return new FillBacklog(opts);
 	}
 
-	/** Whether there is one. */
+	/** Whether there is a backlog. */
 	get exists(): boolean {
 		const now = this.opts.now();
 		if (now - this.knownAt < keptMs) return this.known;
@@ -56,13 +57,13 @@
 	}
 }
 
-/** Whether a task waits for a place that others would take too; one that needs a label waits for few workers. */
+/** Whether a task waits for capacity that others would take too; one that needs a label waits for few workers. */
 function counts(task: jobs.Task, now: number): boolean {
 	const { fills, requiredLabel } = task.step.spec;
 	return fills && requiredLabel === '' && order.waitedMs(task, now) >= waitingMs;
 }
 
-/** Tasks that fill and are placed. */
+/** Number of preemptible tasks that are placed. */
 function placedOn(workers: readonly sessions.WorkerSession[]): number {
 	let count = 0;
 	for (const { placements } of workers)
--- a/src/core/dispatch/gangs.ts
+++ b/src/core/dispatch/gangs.ts
@@ -5,21 +5,21 @@
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** A gang that is slow over several racks waits so long for one with room, in milliseconds. */
+/** Time that a gang which is slow across several racks waits for one rack with free capacity, in milliseconds. */
 const rackPatienceMs = 1_500;
 
-/** A place for one member. */
+/** A placement of one member. */
 export interface MemberPlace {
 	session: sessions.WorkerSession;
 	place: types.Placement;
 }
 
-/** Whether every task of a gang waits to be started. */
+/** Whether every task of a gang is ready to start. */
 export function isWhole(step: jobs.StepRun): boolean {
 	return step.tasks.every((task) => task.state === 'ready');
 }
 
-/** Takes places for all members under one run number; undefined: there is not room for all. */
+/** Reserves placements for all members under one run number; undefined: there is not enough free capacity for all. */
 export function placeAll(
 	step: jobs.StepRun,
 	run: number,
@@ -36,13 +36,13 @@
 	return waited < rackPatienceMs ? undefined : tryPlaces(step, run, { ...choice, workers });
 }
 
-/** All members go on from the same checkpoint; any member's will do. */
+/** Lets all members resume from the same checkpoint; any member's will do. */
 export function shareCheckpoint(step: jobs.StepRun): void {
 	const checkpoint = step.tasks.find((task) => task.checkpoint !== '')?.checkpoint ?? '';
 	for (const task of step.tasks) task.checkpoint = checkpoint;
 }
 
-/** A place for every member among these workers; if one finds none, those taken are given back. */
+/** Reserves a placement for every member among these workers; if one finds none, those reserved are freed. */
 function tryPlaces(step: jobs.StepRun, run: number, choice: placing.Choice): MemberPlace[] | undefined {
 	const places: MemberPlace[] = [];
 	for (const task of step.tasks) {
--- a/src/core/dispatch/pace-orders.ts
+++ b/src/core/dispatch/pace-orders.ts
@@ -1,17 +1,17 @@
-/** Orders on the pace of runs that fill, and whether their own readings agree with them. */
+/** Commands on the pace of preemptible runs, and checks of the runs' readings against them. */
 import * as neighbours from './neighbours.js';
 import type * as reliefLog from './relief-log.js';
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** The pace of a run that has to stand still, and of one that need not, in per cent. */
+/** Pace of a run that has to pause, and of one that need not, in per cent. */
 export const still = 0;
 export const full = 100;
 
-/** After an order a run's reading tells of the pace before for so long, in milliseconds. */
+/** After a command, a run's reading covers the earlier pace for this long, in milliseconds. */
 const settlesAfterMs = 800;
 
-/** Gives the orders of one owner. */
+/** Sends the pace commands of one owner. */
 export class PaceOrders {
 	private constructor(
 		private readonly deps: types.DispatchDeps,
@@ -22,7 +22,7 @@
 		return new PaceOrders(deps, log);
 	}
 
-	/** Lets a run work at a pace, unless it is known to do so. One that is being stopped is only slowed. */
+	/** Sets a run's pace, unless it is known to work at it. A run that is being stopped may only be paused. */
 	set(session: sessions.WorkerSession, place: types.Placement, percent: number): void {
 		if (place.pace === percent && place.isPaceKnown) return;
 		const before = place.pace;
@@ -38,8 +38,8 @@
 	}
 
 	/**
-	 * Repeats the newest order on a run's pace if its reading says otherwise: an order without an answer may be carried out
-	 * after newer ones, and undo them.
+	 * Repeats the latest command on a run's pace if its reading contradicts it: a command without an answer may be carried
+	 * out after later ones, and undo them.
 	 */
 	enforce(session: sessions.WorkerSession, place: types.Placement): void {
 		const { pace, paceOrderedAt, isPaceKnown } = place;
@@ -65,9 +65,9 @@
 		if (res.ok) return;
 		this.log.unanswered(session, place, percent, res.err.kind);
 		session.ended(res.err, target, stamp);
-		// A newer order has an answer of its own.
+		// A later command has an answer of its own.
 		if (place.paceOrderedAt !== orderedAt) return;
-		// The worker may be at either pace: the next report decides again.
+		// The worker may be at either pace; the next report leads to a new decision.
 		place.isPaceKnown = false;
 		if (place.pace === percent) place.pace = before;
 	}
--- a/src/core/dispatch/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -1,52 +1,56 @@
-/** Chooses workers for tasks: rates those with room by what stands there already. */
+/** Chooses workers for tasks: scores those with free capacity by what already runs there. */
 import * as order from './waiting-order.js';
 import * as room from './room.js';
 import type * as interference from './interference.js';
 import type * as jobs from '../jobs/index.js';
 import type * as sessions from './worker-session.js';
 
-/** Weights of a choice, in worker loads (1: a whole worker). */
+/** Weights of a worker's score, in worker loads (1: a whole worker). */
 const weights = {
-	/** A task that failed there before. */
+	/** The task failed on this worker before. */
 	failedThere: 10,
-	/** The data lies on another rack. */
+	/** The task's data is on another rack. */
 	awayFromData: 3,
 	/**
-	 * A serving task among others of other images: workers of few images leave room for what disturbs the rest.
-	 * A worker without any serving task is opened only when none of its image has room.
+	 * For a serving task, times the share of serving tasks of dissimilar images: a worker with few images keeps capacity for
+	 * preemptible tasks that interfere with other images. `noServingTasks` applies if the worker has no serving task; such a
+	 * worker is opened only when none with the task's image has free capacity.
 	 */
 	otherImages: 3,
 	firstOfImage: 1.5,
-	/** Beside tasks that fill, for one that serves users. */
+	/** For a serving task, times the share of the worker's cores that preemptible tasks ask for. */
 	besideFilling: 0.5,
-	/** Failures in a row at the worker, each. */
+	/** Each consecutive failure on the worker. */
 	failing: 0.5,
-	/** Each serving task that is expected to go over its target, for one that fills. */
+	/** For a preemptible task, each serving task that is expected to exceed its target. */
 	harm: 5,
 } as const;
 
 /**
- * A task that fills waits rather than keep more than this many serving tasks over their targets; after a while it puts
- * up with more. What waits longer fills for longer: strict limits spare nobody.
+ * A preemptible task waits rather than keep more than this many serving tasks over their targets. After `relaxLimitAfterMs`
+ * it accepts more: a task that waits longer also interferes for longer, so strict limits spare nobody.
  */
 const mostHarm = 0.2;
 const mostHarmLate = 0.5;
 
-/** When it puts up with more, in milliseconds. */
+/** Wait after which the higher limit applies, in milliseconds. */
 const patienceMs = 3_000;
 
-/** A task that was over its target lately gets no neighbour with a steeper slope than this. */
+/** A serving task that was over its target recently gets no new neighbour with a steeper interference slope than this. */
 const steepestNewSlope = 0.4;
 
-/** A task that was over its target gets no neighbour that disturbs it for so long, in milliseconds. */
+/** Time for which a serving task that was over its target gets no neighbour that interferes with it, in milliseconds. */
 const overloadPauseMs = 2_000;
 
-/** A worker gets no task that fills if its cores are then expected in use beyond this part: nothing is known of more. */
+/**
+ * A worker gets no preemptible task if its expected core use would exceed this part of its cores: interference beyond it is
+ * unknown.
+ */
 const mostUse = 1.3;
 
 /**
- * A lasting task leaves so much of a worker free for short ones, in thousandths of a core: one or two of them. It does
- * so for a while only, in milliseconds.
+ * Capacity that a long-running task leaves free on a worker for one or two short tasks, in thousandths of a core. It does so
+ * only for the first `reserveDurationMs` milliseconds of its wait.
  */
 const shortReserve = 3_000;
 const reserveMs = 2_000;
@@ -55,9 +59,9 @@
 export type NoPlace = 'no-worker-open' | 'no-room';
 
 /**
- * Why one worker does not take a task, the furthest from taking it first. `reserved`: it would fit, but for the room
- * left for short tasks. `standing-still`, `cores-in-use`, `harm`, `overloaded`: it fits, but would disturb what serves
- * users there.
+ * Why one worker does not take a task, the furthest from taking it first. `reserved`: the task fits, but not beside the
+ * capacity reserved for short tasks. `standing-still`, `cores-in-use`, `harm`, `overloaded`: it fits, but would interfere
+ * with serving tasks there.
  */
 export const obstacles = [
 	'no-room',
@@ -68,33 +72,33 @@
 	'overloaded',
 ] as const;
 
-/** One of `obstacles`. */
 export type Obstacle = (typeof obstacles)[number];
 
-/** Among which workers to choose, and what is known of them. */
+/** The workers to choose from, and what their scores depend on. */
 export interface Choice {
 	/** Open workers of the task's pool. */
 	workers: sessions.WorkerSession[];
 	estimates: interference.Interference;
 	now: number;
-	/** The limits of harm do not hold: among what has room, the least harm is chosen. */
+	/**
+	 * The interference limits do not apply: among workers with free capacity, the one with the least interference is chosen.
+	 */
 	anyHarm?: boolean;
 }
 
-/** What depends on how long a task has waited. */
+/** Limits that depend on how long a task has waited. */
 export interface Terms {
-	/** Serving tasks that it may keep over their targets. */
+	/** Number of serving tasks that the task may keep over their targets. */
 	harmLimit: number;
-	/** Thousandths of a core that it has to leave free. */
+	/** Thousandths of a core that the task has to leave free. */
 	reserve: number;
 }
 
-/** The terms of a task now. */
 export function termsOf(task: jobs.Task, now: number): Terms {
 	return { harmLimit: harmLimit(task, now), reserve: reserveFor(task, now) };
 }
 
-/** The best worker for a task. */
+/** The worker with the best score for a task. */
 export function choose(task: jobs.Task, choice: Choice): sessions.WorkerSession | NoPlace {
 	const terms = termsOf(task, choice.now);
 	let best: sessions.WorkerSession | undefined;
@@ -109,7 +113,10 @@
 	return best ?? (choice.workers.length > 0 ? 'no-room' : 'no-worker-open');
 }
 
-/** Lower is better; infinite: not there. Disturbance is looked at last, as it is the dearest question. */
+/**
+ * Lower is better; infinite: the worker does not take the task. Interference is checked last, as its estimate is the most
+ * expensive step.
+ */
 export function score(task: jobs.Task, worker: sessions.WorkerSession, choice: Choice, terms: Terms): number {
 	const { spec } = task.step;
 	const { estimates, now, anyHarm = false } = choice;
@@ -122,7 +129,7 @@
 	return least + harm * weights.harm;
 }
 
-/** The least that `score` may be, by what is quickly asked; infinite: not there. */
+/** A lower bound of `score` from cheap checks; infinite: the worker does not take the task. */
 export function leastScore(
 	task: jobs.Task,
 	worker: sessions.WorkerSession,
@@ -138,13 +145,13 @@
 		return use > mostUse && choice.anyHarm !== true ? Infinity : base + use;
 	}
 	const capacity = worker.entry?.capacity.milliCores ?? 1;
-	// The fullest that fits: whole workers stay free for other images, and for tasks that need much.
+	// Prefers the fullest worker that fits: whole workers stay free for other images, and for tasks that need much.
 	const reserved = worker.used.milliCores / capacity;
 	const filling = spec.targetMs > 0 ? (worker.fillMilliCores / capacity) * weights.besideFilling : 0;
 	return base + filling - reserved;
 }
 
-/** What stands between a task and a worker; undefined: nothing does. For logs: `choose` asks less. */
+/** What keeps a worker from taking a task; undefined: nothing does. For logs: `choose` makes fewer checks. */
 export function obstacleAt(
 	task: jobs.Task,
 	worker: sessions.WorkerSession,
@@ -168,7 +175,7 @@
 	return now - task.readyAt < reserveMs ? shortReserve : 0;
 }
 
-/** What counts for a task of any kind. */
+/** Part of the score that applies to tasks of every kind. */
 function rateForAny(task: jobs.Task, worker: sessions.WorkerSession): number {
 	const { dataRack } = task.step.spec;
 	let score = worker.health.failuresInRow * weights.failing;
@@ -177,7 +184,7 @@
 	return score;
 }
 
-/** How unlike the serving tasks are that one which serves users would stand among. */
+/** Penalty of a serving task for the dissimilar serving tasks on the worker. */
 function rateUnlike(
 	image: string,
 	worker: sessions.WorkerSession,
@@ -187,17 +194,20 @@
 	return unlike === undefined ? weights.firstOfImage : unlike * weights.otherImages;
 }
 
-/** Part of a worker's cores that a task asks for. */
+/** Share of a worker's cores that a task asks for. */
 function shareOf(spec: jobs.StepSpec, worker: sessions.WorkerSession): number {
 	return spec.milliCores / (worker.entry?.capacity.milliCores ?? 1);
 }
 
-/** How much harm a filling task puts up with. */
+/** Number of serving tasks that a preemptible task may keep over their targets, after the time it has waited. */
 function harmLimit(task: jobs.Task, now: number): number {
 	return order.waitedMs(task, now) < patienceMs ? mostHarm : mostHarmLate;
 }
 
-/** Whether it would disturb a task that was over its target lately: what has queued up is still being worked off. */
+/**
+ * Whether a task of the image would interfere with one that was over its target recently, and is still working off the
+ * requests queued meanwhile.
+ */
 function disturbsOverloaded(
 	image: string,
 	worker: sessions.WorkerSession,
--- a/src/core/dispatch/placements.ts
+++ b/src/core/dispatch/placements.ts
@@ -1,8 +1,8 @@
-/** Places of runs on workers, as they are taken. */
+/** Creates placements of runs on workers. */
 import type * as jobs from '../jobs/index.js';
 import type * as types from './types.js';
 
-/** A place that is taken now; one that is taken as `running` was found there, started by an earlier owner. */
+/** A new placement. One created as `running` was found on the worker, started by an earlier owner. */
 export function create(
 	task: jobs.Task,
 	run: number,
@@ -33,7 +33,7 @@
 	};
 }
 
-/** Whether a run was found at its worker, started by an earlier owner: nothing is known of it before that. */
+/** Whether the run was found on its worker, started by an earlier owner. Nothing is known of the time before. */
 export function isFound({ sentAt }: types.Placement): boolean {
 	return sentAt === -Infinity;
 }
--- a/src/core/dispatch/placer.ts
+++ b/src/core/dispatch/placer.ts
@@ -1,4 +1,6 @@
-/** Places tasks that may start: which comes first, where it goes, and who makes room for it. */
+/**
+ * Places ready tasks on workers: decides their order, the worker of each, and which running tasks are preempted for them.
+ */
 import * as backlogs from './fill-backlog.js';
 import * as choices from './choices.js';
 import * as exemptions from './harm-exemptions.js';
@@ -22,31 +24,30 @@
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** Run numbers that one owner may use for a task; the next owner's begin above. */
+/** Run numbers that each epoch reserves for a task; those of the next epoch are higher. */
 const runsPerEpoch = 100_000;
 
-/** What a placer uses. */
 export interface PlacerOptions extends types.DispatchDeps {
 	workers: () => sessions.WorkerSession[];
-	/** Whether a run of an inherited task, unknown to this owner, may be on a worker that has not answered it yet. */
+	/** Whether a run of an inherited task may be on a worker that has not reported to this owner yet. */
 	mayBeHidden: (task: jobs.Task) => boolean;
 	policyOf: (job: jobs.ActiveJob) => jobs.QueuePolicy;
 	estimates: interference.Interference;
 	probations: probation.Probations;
-	/** Whether a task may be started once more; if not, it is given up. */
+	/** Whether a task may be started again; if not, the task is abandoned. */
 	mayStartAgain: (task: jobs.Task) => boolean;
 	meter: meters.LoadMeter;
-	/** Going on from a checkpoint takes so long, in milliseconds. */
+	/** Time that resuming from a checkpoint takes, in milliseconds. */
 	restoreMs: number;
 	askAdviser: fleet.AskAdviser | undefined;
-	/** How many more starts may be on their way now. */
+	/** Number of further starts that may be sent. */
 	startRoom: () => number;
 	start: (session: sessions.WorkerSession, place: types.Placement, ticket: string) => void;
-	/** Stops a run, and logs why. */
+	/** Stops a run and logs the reason. */
 	stopFor: (reason: string, session: sessions.WorkerSession, place: types.Placement) => void;
 }
 
-/** Tasks that wait, and where the others are. */
+/** Holds the waiting tasks and the workers of the placed ones. */
 export class Placer {
 	private readonly ready = waitingSteps.WaitingSteps.create();
 	private readonly places = new Map<jobs.Task, sessions.WorkerSession>();
@@ -54,7 +55,7 @@
 	private readonly waitingLog: waiting.WaitingLog;
 	private readonly stalledLog: stalled.StalledLog;
 	private readonly exemptions = exemptions.HarmExemptions.create();
-	/** Clock time from which a step that found no place is looked at again. */
+	/** Clock time before which a step that found no placement is not tried again. */
 	private readonly retryAt = new WeakMap<jobs.StepRun, number>();
 	private readonly rounds: timers.RoundTimer;
 	private readonly backlog: backlogs.FillBacklog;
@@ -94,7 +95,7 @@
 		return new Placer(opts);
 	}
 
-	/** A task may be started. */
+	/** Enqueues a task that may be started. */
 	add(task: jobs.Task): void {
 		if (task.state === 'finished' || task.step.job.ended) return;
 		const now = this.opts.clock.now();
@@ -103,29 +104,29 @@
 		this.await(task);
 	}
 
-	/** A task was placed and not started: it goes on waiting, and what it may claim grows with that. */
+	/** Enqueues a task that was placed but not started. Its wait goes on, and so does what depends on its length. */
 	addAgain(task: jobs.Task): void {
 		if (task.state !== 'finished' && !task.step.job.ended) this.await(task);
 	}
 
-	/** A task is not to be started any more. */
+	/** Removes a task that is not to be started any more. */
 	drop(task: jobs.Task): void {
 		this.ready.delete(task);
 		const session = this.sessionOf(task);
 		if (session === undefined) this.places.delete(task);
 	}
 
-	/** How many tasks wait. */
+	/** Number of waiting tasks. */
 	get waiting(): number {
 		return this.ready.size;
 	}
 
-	/** How many of them do not last. */
+	/** Number of waiting tasks that are not long-running. */
 	get waitingShort(): number {
 		return this.ready.count((step) => !step.spec.lasting);
 	}
 
-	/** Where a task is placed. */
+	/** Worker on which a task is placed; undefined: it is not placed. */
 	sessionOf(task: jobs.Task): sessions.WorkerSession | undefined {
 		const session = this.places.get(task);
 		return session?.placements.has(task.name) === true ? session : undefined;
@@ -147,12 +148,12 @@
 		this.wake();
 	}
 
-	/** Asks for a round of placing; many asks come to one round. */
+	/** Requests a placing round; several requests are merged into one. */
 	wake(): void {
 		if (this.ready.size > 0) this.rounds.wake();
 	}
 
-	/** Moves tasks that were slowed to almost nothing to workers where they would disturb nobody. */
+	/** Stops one strongly throttled run of a worker if another worker takes its task, so that the task migrates there. */
 	moveSlowed(session: sessions.WorkerSession): void {
 		const now = this.opts.clock.now();
 		const terms = { now, isBacklogged: () => this.backlog.exists, restoreMs: this.opts.restoreMs };
@@ -162,12 +163,12 @@
 			round ??= rounds.PlacingRound.create(this.opts.workers(), now);
 			if (!this.hasPlaceElsewhere(place.task, session, round)) continue;
 			this.opts.stopFor('slowed', session, place);
-			// One at a time: its place elsewhere has to be seen by the next choice.
+			// One per call: the next choice has to see this one's new placement.
 			return;
 		}
 	}
 
-	/** To be called now and then: tells what waits for long, and why. */
+	/** Logs steps that have waited long, and why; called periodically. */
 	logStalled(): void {
 		this.stalledLog.look();
 	}
@@ -180,7 +181,7 @@
 		return this.opts.workers().filter((one) => one.entry?.pool === pool);
 	}
 
-	/** What holds a task up now, also where no round looks at it. */
+	/** Why a task waits, also if no placing round considers it. */
 	private explain(task: jobs.Task): waiting.WaitingReason {
 		const now = this.opts.clock.now();
 		const { step } = task;
@@ -209,7 +210,10 @@
 		return typeof placement.choose(task, elsewhere) !== 'string';
 	}
 
-	/** Places what is ready and `included`, in the order of `waiting-order.ts`; makes room for what finds none. */
+	/**
+	 * Places ready tasks of the included steps in the order of `waiting-order.ts`. For those that find no worker, it exceeds
+	 * the interference limits or preempts other tasks.
+	 */
 	private placeReady(included: (step: jobs.StepRun) => boolean): void {
 		if (!this.opts.mayAct() || this.opts.startRoom() === 0) return;
 		const now = this.opts.clock.now();
@@ -217,9 +221,9 @@
 		if (steps.length === 0) return;
 		const round = rounds.PlacingRound.create(this.opts.workers(), now);
 		for (const { step, tasks } of order.sort(steps, (job) => this.opts.policyOf(job).priority, now)) {
-			// What comes next has to be chosen when it can be sent.
+			// Leaves the rest to a later round, which orders the steps anew once starts may be sent.
 			if (this.opts.startRoom() === 0) return;
-			// A task of it was given up when it was looked at.
+			// The job ended when one of its tasks was abandoned during the checks above.
 			if (step.job.ended) continue;
 			const failed = this.placeStep(step, tasks, round);
 			if (failed !== undefined) this.noteNoPlace(failed, round);
@@ -229,13 +233,16 @@
 		this.preempt(unplaced);
 	}
 
-	/** Whether others may be stopped or harmed for a waiting task: not for one that may bring its worker down. */
+	/**
+	 * Whether tasks may be preempted, or interference limits exceeded, for a waiting task: not for one that may crash its
+	 * worker.
+	 */
 	private mayDisplace(task: jobs.Task): boolean {
 		const isWaiting = task.state === 'ready' && !task.step.job.ended;
 		return isWaiting && !this.opts.probations.isSuspect(task);
 	}
 
-	/** The steps whose turn it is, with those of their tasks that may be started. */
+	/** The steps that are due, with those of their tasks that may be started. */
 	private startable(included: (step: jobs.StepRun) => boolean, now: number): order.WaitingStep[] {
 		const due = this.ready.steps().filter((step) => included(step) && this.isDue(step, now));
 		const all = due.map((step) => {
@@ -245,7 +252,9 @@
 		return all.filter(({ tasks }) => tasks.length > 0);
 	}
 
-	/** Places a step's tasks as long as there are places and starts may be sent; returns the first that found no place. */
+	/**
+	 * Places a step's tasks while there are placements and free start slots; returns the first task that found no placement.
+	 */
 	private placeStep(
 		step: jobs.StepRun,
 		tasks: jobs.Task[],
@@ -253,7 +262,7 @@
 	): jobs.Task | undefined {
 		if (step.spec.gang) return this.placeGang(step, round) ? undefined : tasks[0];
 		const choice = this.choices.toPlace(step, round);
-		// Suspects wait for each other, and the rest of the step does not.
+		// Suspects wait for each other; the rest of the step does not wait for them.
 		let mayTryOut = true;
 		for (const task of probation.inTurn(tasks)) {
 			if (this.opts.startRoom() === 0) return undefined;
@@ -267,7 +276,7 @@
 		return this.beginAll(this.placeAt(task, round.choose(task, choice)));
 	}
 
-	/** Places a suspect on probation, if its turn has come and a worker takes it. */
+	/** Places a suspect on probation, if one more run may be on probation and a worker takes the task. */
 	private tryOut(task: jobs.Task, choice: placement.Choice): boolean {
 		const { probations } = this.opts;
 		if (!probations.isFree(task.step, choice.workers.length)) {
@@ -285,10 +294,11 @@
 
 	private noteNoPlace(task: jobs.Task, round: rounds.PlacingRound): void {
 		const { now } = round;
-		// Room for one task on a good worker may be too little, or ruled out: a gang needs places for all its members.
+		// A worker allowed by the adviser may have free capacity for one task and still not do: a gang needs placements for
+		// all its members, and the worker may be ruled out for another reason.
 		this.choices.askFurther(task.step, round);
 		this.waitingLog.note(task, () => reasons.whyNoPlace(task, this.choices.toPlace(task.step, round)));
-		// Workers are kept free in every round, or short tasks would take them in between.
+		// An overdue step is tried in every round: short tasks would take the workers kept free for it in between.
 		if (order.isOverdue(task, now)) round.keepFor(task.step, this.opts.policyOf(task.step.job).pool);
 		else this.retryAt.set(task.step, now + retryMs(task.step));
 	}
@@ -297,7 +307,10 @@
 		return (this.retryAt.get(step) ?? 0) <= now;
 	}
 
-	/** What an earlier owner may have started waits for the workers where it may be. */
+	/**
+	 * Whether a task may be started now. One that an earlier owner may have started waits for reports of the workers where
+	 * it may run.
+	 */
 	private mayStart(task: jobs.Task, now: number): boolean {
 		if (now < task.pausedUntil) return false;
 		const withheld = this.withheldBecause(task);
@@ -306,21 +319,21 @@
 		return false;
 	}
 
-	/** Why this owner may not start a task that a worker may take; undefined: it may. */
+	/** Why this owner may not start a task that a worker would take; undefined: it may. */
 	private withheldBecause(task: jobs.Task): string | undefined {
 		const { job } = task.step;
-		// Told to a later owner: that one starts it.
+		// The job was accepted under a later owner, which starts its tasks.
 		if (job.record.acceptedUnder > this.opts.epoch) return 'later-owner';
 		return job.inherited && this.opts.mayBeHidden(task) ? 'workers-unheard' : undefined;
 	}
 
-	/** A place for a task where it was chosen to go; none: no worker takes it. */
+	/** Reserves a placement for a task on the chosen worker; empty: no worker takes the task. */
 	private placeAt(task: jobs.Task, chosen: sessions.WorkerSession | placement.NoPlace): gangs.MemberPlace[] {
 		if (typeof chosen === 'string') return [];
 		return [{ session: chosen, place: chosen.place(task, this.nextRun(task), 'starting') }];
 	}
 
-	/** Filling tasks that have waited too long, the longest first, go where they do least harm, whatever that is. */
+	/** Places starved preemptible tasks, the longest wait first, where they interfere least, however much that is. */
 	private placeStarved(waiting: jobs.Task[], round: rounds.PlacingRound): void {
 		for (const task of order.starved(waiting, round.now)) {
 			const choice = this.choices.toPlace(task.step, round);
@@ -340,9 +353,9 @@
 		return this.beginAll(this.gangPlaces(step, this.choices.toPlace(step, round)));
 	}
 
-	/** Places for all members of a gang; none: it has to wait. */
+	/** Reserves placements for all members of a gang; empty: the gang has to wait. */
 	private gangPlaces(step: jobs.StepRun, choice: placement.Choice): gangs.MemberPlace[] {
-		// Each member may be somewhere else, unknown to this owner.
+		// An earlier owner may have started any of the members.
 		if (!gangs.isWhole(step) || !step.tasks.every((task) => this.mayStart(task, choice.now))) return [];
 		const run = Math.max(...step.tasks.map((task) => this.nextRun(task)));
 		const places = gangs.placeAll(step, run, choice.workers, choice);
@@ -351,7 +364,7 @@
 		return places;
 	}
 
-	/** Starts what was given places; false: nothing was. */
+	/** Starts the tasks that were given placements; false: there were none. */
 	private beginAll(places: gangs.MemberPlace[]): boolean {
 		for (const { session, place } of places) this.begin(place.task, session, place);
 		return places.length > 0;
@@ -380,7 +393,7 @@
 		return Math.max(task.run, (this.opts.epoch - 1) * runsPerEpoch) + 1;
 	}
 
-	/** Stops others for short tasks that found no room. */
+	/** Stops other tasks for short tasks that found no free capacity. */
 	private preempt(waiting: jobs.Task[]): void {
 		const { clock, policyOf, estimates } = this.opts;
 		const victims = preemption.chooseVictims(waiting, this.opts.workers(), {
@@ -393,7 +406,7 @@
 	}
 }
 
-/** How long a step that found no place waits at least until it is looked at again, in milliseconds. */
+/** Minimum time until a step that found no placement is tried again, in milliseconds. */
 function retryMs(step: jobs.StepRun): number {
 	return step.spec.lasting || step.spec.fills ? settings.patientRetryMs : 0;
 }
--- a/src/core/dispatch/placing-round.ts
+++ b/src/core/dispatch/placing-round.ts
@@ -1,4 +1,4 @@
-/** One round of placing: the open workers as they were at its beginning, without those kept for overdue tasks. */
+/** One placing round: the workers that were open at its beginning, without those kept free for overdue tasks. */
 import * as candidates from './step-candidates.js';
 import * as order from './waiting-order.js';
 import * as room from './room.js';
@@ -7,24 +7,24 @@
 import type * as jobs from '../jobs/index.js';
 import type * as sessions from './worker-session.js';
 
-/** What one round looks at. */
+/** The workers considered in one round. */
 export class PlacingRound {
 	private readonly kept = new Set<sessions.WorkerSession>();
-	/** Open workers, by pool, without those that are kept. */
+	/** Open workers by pool, without those that are kept free. */
 	private readonly unkept: Map<string, sessions.WorkerSession[]>;
 
-	/** Of the step that was placed last: a round takes the tasks of a step one after the other. */
+	/** Candidates of the step placed last: a round places the tasks of a step one after the other. */
 	private newest: candidates.StepCandidates | undefined;
 
 	private constructor(
-		/** Clock time of its beginning. */
+		/** Clock time at which the round begins. */
 		readonly now: number,
 		private readonly open: Map<string, sessions.WorkerSession[]>,
 	) {
 		this.unkept = new Map(open);
 	}
 
-	/** Begins a round: looks at every worker once. */
+	/** Begins a round; checks every worker once. */
 	static create(workers: sessions.WorkerSession[], now: number): PlacingRound {
 		const open = new Map<string, sessions.WorkerSession[]>();
 		for (const worker of workers) {
@@ -38,8 +38,8 @@
 	}
 
 	/**
-	 * Open workers of a pool that may take a step. Workers are kept from short tasks only: tasks that fill need no cores,
-	 * and a lasting task that fits is not to wait for one that is larger.
+	 * Open workers of a pool that may take a step. Workers are kept free from short tasks only: preemptible tasks reserve no
+	 * cores, and a long-running task that fits does not wait for a larger one.
 	 */
 	openFor(step: jobs.StepRun, pool: string): sessions.WorkerSession[] {
 		const { fills, lasting } = step.spec;
@@ -52,7 +52,7 @@
 		return this.newest.best();
 	}
 
-	/** Keeps the emptiest workers that may hold a step free for its overdue tasks, for the rest of the round. */
+	/** Keeps the emptiest workers that may hold a step free for its overdue tasks, until the end of the round. */
 	keepFor(step: jobs.StepRun, pool: string): void {
 		const unkept = this.unkept.get(pool) ?? [];
 		const overdue = step.tasks.filter((task) => task.state === 'ready' && order.isOverdue(task, this.now));
--- a/src/core/dispatch/preemption.ts
+++ b/src/core/dispatch/preemption.ts
@@ -1,22 +1,23 @@
 /**
- * Makes room for short tasks that find none: lasting tasks of the same priority, and any task of a lesser one, are
- * stopped and go on elsewhere or later. A lasting task loses seconds of many; a short task would lose all it is for.
+ * Frees capacity for short tasks that find none: long-running tasks of the same priority, and any task of a lower one, are
+ * stopped and continue elsewhere or later. A long-running task loses seconds of many; a short task would lose its whole
+ * purpose.
  */
 import type * as interference from './interference.js';
 import type * as jobs from '../jobs/index.js';
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** A short task waits so long for room before others are stopped for it, in milliseconds. */
+/** Time that a short task waits for free capacity before other tasks are stopped for it, in milliseconds. */
 const patienceMs = 120;
 
-/** Stops in one round, at most: room that is coming free already is counted before more is made. */
+/** Maximum number of stops per round. Capacity that is about to become free is counted before more is freed. */
 const mostVictims = 4;
 
-/** A task that was started so lately is not stopped again for others, in milliseconds. */
+/** Time for which a task is not preempted after it was placed, in milliseconds. */
 const leastStayMs = 2_000;
 
-/** How much cheaper a task is to stop where it stands wholly among unlike ones. */
+/** Part by which stopping gets cheaper for a task all of whose serving neighbours are dissimilar. */
 const unlikeDiscount = 0.8;
 
 /** A task to stop. */
@@ -25,7 +26,6 @@
 	place: types.Placement;
 }
 
-/** What the choice needs to know. */
 export interface PreemptionContext {
 	now: number;
 	priorityOf: (job: jobs.ActiveJob) => number;
@@ -38,7 +38,7 @@
 	cost: number;
 }
 
-/** Chooses whom to stop so that the waiting tasks fit. */
+/** Chooses the tasks to stop so that the waiting tasks fit. */
 export function chooseVictims(
 	waiting: jobs.Task[],
 	workers: Iterable<sessions.WorkerSession>,
@@ -48,16 +48,16 @@
 	const first = urgent[0];
 	if (first === undefined) return [];
 	const priority = ctx.priorityOf(first.step.job);
-	// One pool a round; the others' turn comes when this one's tasks have found room.
+	// One pool per round; the others follow once the tasks of this pool have found capacity.
 	const pool = ctx.poolOf(first.step.job);
 	const open = [...workers].filter((one) => one.open && one.entry?.pool === pool);
 	let missing = -comingFree(open);
 	for (const task of urgent) if (ctx.poolOf(task.step.job) === pool) missing += task.step.spec.milliCores;
-	// Looking at all that runs is dear, so it is done only while room is missing.
+	// Checking every running task is expensive, so it is done only while capacity is missing.
 	return missing > 0 ? takeCheapest(open, missing, priority, ctx) : [];
 }
 
-/** The cheapest that free `missing` thousandths of a core, one a worker at most. */
+/** The cheapest tasks that together free `missingMilliCores` thousandths of a core, at most one per worker. */
 function takeCheapest(
 	open: sessions.WorkerSession[],
 	missing: number,
@@ -76,7 +76,10 @@
 	return victims;
 }
 
-/** A task that runs for a short while on cores of its own, and has waited long enough. */
+/**
+ * Whether others may be stopped for a task: it is short, reserves cores, belongs to no gang, has the highest priority, and
+ * has waited long enough.
+ */
 function isUrgent(task: jobs.Task, ctx: PreemptionContext): boolean {
 	const { spec } = task.step;
 	if (spec.lasting || spec.fills || spec.gang) return false;
@@ -92,7 +95,7 @@
 	return total;
 }
 
-/** The cheapest task on a worker that may be stopped for one of this priority. */
+/** The cheapest task on a worker that may be stopped for a task of this priority. */
 function cheapestOn(
 	session: sessions.WorkerSession,
 	priority: number,
@@ -108,25 +111,25 @@
 	return cheapest;
 }
 
-/** Whether a task may be stopped for one of this priority. */
+/** Whether a task may be stopped for a task of this priority. */
 function mayStop(place: types.Placement, priority: number, ctx: PreemptionContext): boolean {
 	const { spec, job } = place.task.step;
 	if (place.phase !== 'running' || spec.fills || spec.gang) return false;
 	if (ctx.now - place.placedAt < leastStayMs) return false;
-	// A step that may miss few of its tasks keeps them all.
+	// A step that limits how many of its tasks may be stopped at once keeps them all.
 	if (spec.mayMiss !== undefined) return false;
 	return spec.lasting ? ctx.priorityOf(job) >= priority : ctx.priorityOf(job) > priority;
 }
 
-/** What stopping a task costs at least, whatever stands beside it. */
+/** Lower bound of what stopping a task costs, whatever its neighbours are. */
 function leastCost(place: types.Placement): number {
 	const { milliCores } = place.task.step.spec;
 	return (milliCores * (1 - unlikeDiscount)) / (place.overSince === undefined ? 1 : 2);
 }
 
 /**
- * The smallest lasting tasks first; those over their target, as they serve nobody; and those among others that are
- * disturbed by other neighbours, as they may find a better place.
+ * What stopping a task costs. Small tasks are cheaper. So are tasks over their target, as they serve nobody, and tasks among
+ * dissimilar neighbours, as they may find a better worker.
  */
 function cost(victim: Victim, ctx: PreemptionContext): number {
 	const { place, session } = victim;
--- a/src/core/dispatch/pressure.ts
+++ b/src/core/dispatch/pressure.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps tasks that serve users from being harmed by what fills beside them. An overload takes seconds to be worked
- * off, so placement avoids it; here only those are slowed that stand beside a task which stays over its target: first
- * the ones expected to disturb it, in the end all.
+ * Protects serving tasks from interference by preemptible tasks beside them. A task takes seconds to recover from an
+ * overload, so placement avoids it. The control here throttles only the neighbours of a task that stays over its target:
+ * first those expected to interfere with it, in the end all.
  */
 import * as neighbours from './neighbours.js';
 import * as paceOrders from './pace-orders.js';
@@ -11,19 +11,19 @@
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** A task over its target for so long is relieved of its disturbing neighbours; in parts of the time until harm. */
+/** A task over its target for this part of `sloViolationMs` has the neighbours presumed to cause that paused. */
 const relievePart = 0.15;
 
-/** For so long, of all that fill beside it. */
+/** A task over its target for this part of `sloViolationMs` has all preemptible neighbours paused. */
 const certainPart = 0.5;
 
-/** A neighbour with this slope or a steeper one is taken for the cause of an overload, and has to stand still. */
+/** A neighbour with at least this interference slope is presumed to cause an overload, and is paused. */
 const causingSlope = 0.5;
 
-/** A slowed task goes on at full speed once nothing beside it has been over its target for so long, in milliseconds. */
+/** A paused task resumes at full speed once no task beside it has been over its target for this long, in milliseconds. */
 const calmMs = 700;
 
-/** Paces what fills, one worker at a time. */
+/** Sets the pace of preemptible tasks, one worker at a time. */
 export class PressureControl {
 	private readonly log: reliefLog.ReliefLog;
 	private readonly orders: paceOrders.PaceOrders;
@@ -37,7 +37,7 @@
 		this.orders = paceOrders.PaceOrders.create(deps, this.log);
 	}
 
-	/** `harmMs`: so long over its target, a task counts as harmed. */
+	/** `sloViolationMs`: time over its target after which a task counts as an SLO violation, in milliseconds. */
 	static create(
 		deps: types.DispatchDeps,
 		estimates: interference.Interference,
@@ -46,7 +46,7 @@
 		return new PressureControl(deps, estimates, harmMs);
 	}
 
-	/** Looks at a worker after its report. */
+	/** Sets the paces on a worker after its report. */
 	look(session: sessions.WorkerSession): void {
 		this.estimates.observe(session);
 		const delayMs = session.reportDelayMs;
@@ -62,8 +62,8 @@
 	}
 
 	/**
-	 * How long a task counts as over its target; `delayMs`: how late reports come. It may have been over it for that much
-	 * longer, and the next decision comes that much later.
+	 * How long a task counts as over its target. `delayMs`: how late reports come. It counts twice: the task may have been
+	 * over its target for that much longer, and the next decision comes that much later.
 	 */
 	private overloadOf(served: types.Placement, delayMs: number): reliefLog.Overload {
 		const { overSince } = served;
@@ -71,7 +71,7 @@
 		return { served, overMs, isNearHarm: overMs >= this.harmMs * certainPart };
 	}
 
-	/** The pace that a task should have beside these; undefined: as it is. */
+	/** The pace that a task should have beside these serving tasks, in per cent; undefined: unchanged. */
 	private wantedPace(place: types.Placement, overloads: readonly reliefLog.Overload[]): number | undefined {
 		const now = this.deps.clock.now();
 		let calm = true;
@@ -83,7 +83,7 @@
 		return calm ? paceOrders.full : undefined;
 	}
 
-	/** Whether a filling task is taken for the cause of a serving one's overload. */
+	/** Whether a preemptible task is presumed to cause a serving task's overload. */
 	private isCause(place: types.Placement, served: types.Placement): boolean {
 		if (place.exempt) return true;
 		const { image } = served.task.step.spec;
@@ -91,7 +91,7 @@
 	}
 }
 
-/** Clock time at which a task was over its target, or may have been, for the last time. */
+/** Clock time at which a task was last over its target, or may have been. */
 function lastOver(served: types.Placement): number {
 	return placements.isFound(served) ? Math.max(served.overAt, served.confirmedAt) : served.overAt;
 }
--- a/src/core/dispatch/room.ts
+++ b/src/core/dispatch/room.ts
@@ -1,14 +1,16 @@
-/** Who has room for a task: decided by reservations, never over a worker's capacity. */
+/** Checks which workers have free capacity for a task. Reservations decide, and never exceed a worker's capacity. */
 import type * as fleet from '../fleet/types.js';
 import type * as jobs from '../jobs/index.js';
 import type * as sessions from './worker-session.js';
 
-/** Whether a worker has room for one more task of a step. */
+/** Whether a worker has free capacity for one more task of a step. */
 export function hasPlace(step: jobs.StepRun, worker: sessions.WorkerSession): boolean {
 	return fits(step, worker, 0);
 }
 
-/** The `count` workers with most cores free among those that hold one more task of a step once their short ones end. */
+/**
+ * The `count` workers with the most free cores, of those that can hold one more task of a step once their short tasks end.
+ */
 export function emptiest(
 	step: jobs.StepRun,
 	workers: sessions.WorkerSession[],
@@ -20,35 +22,38 @@
 	return allowed.sort((a, b) => free(b) - free(a)).slice(0, count);
 }
 
-/** Whether a worker holds a task beside its lasting ones, which stay; all else there ends sooner or later. */
+/** Whether a worker can hold a task beside its long-running ones, which stay. All other tasks there end sooner or later. */
 function holdsBesideLasting(spec: jobs.StepSpec, worker: sessions.WorkerSession): boolean {
 	const capacity = worker.entry?.capacity;
 	const lasting: fleet.Capacity = { milliCores: worker.lastingMilliCores, memoryMb: 0, accelerators: 0 };
 	return capacity !== undefined && hasRoom(spec, lasting, capacity, 0);
 }
 
-/** Whether a worker can hold one more task of the step now, and keep `reserve` thousandths of a core free. */
+/** Whether a worker can hold one more task of the step now, and keep `reserveMilliCores` thousandths of a core free. */
 export function fits(step: jobs.StepRun, worker: sessions.WorkerSession, reserve: number): boolean {
 	const capacity = worker.entry?.capacity;
 	if (capacity === undefined || worker.probation !== undefined || !allows(step, worker)) return false;
 	return hasRoom(step.spec, worker.used, capacity, reserve);
 }
 
-/** Whether a worker holds more than it can, as its room has shrunk since. */
+/** Whether the reservations on a worker exceed its capacity, as that has shrunk since. */
 export function isOverfull({ used, entry }: sessions.WorkerSession): boolean {
 	if (entry === undefined) return false;
 	const { milliCores, memoryMb, accelerators } = entry.capacity;
 	return used.milliCores > milliCores || used.memoryMb > memoryMb || used.accelerators > accelerators;
 }
 
-/** Whether a step's label and its limit per worker allow one more task there. */
+/** Whether a step's required label and its limit per worker allow one more task there. */
 function allows(step: jobs.StepRun, worker: sessions.WorkerSession): boolean {
 	const { spec } = step;
 	if (spec.requiredLabel !== '' && worker.entry?.labels.includes(spec.requiredLabel) !== true) return false;
 	return spec.maxPerWorker === 0 || countOf(step, worker) < spec.maxPerWorker;
 }
 
-/** Whether a task fits beside what is used, with `reserve` thousandths of a core left; one that fills takes no cores. */
+/**
+ * Whether a task fits beside what is used, with `reserveMilliCores` thousandths of a core left. A preemptible task takes no
+ * cores.
+ */
 function hasRoom(
 	spec: jobs.StepSpec,
 	used: fleet.Capacity,
@@ -63,7 +68,7 @@
 	);
 }
 
-/** Tasks of a step that are placed on a worker. */
+/** Number of tasks of a step that are placed on a worker. */
 function countOf(step: jobs.StepRun, worker: sessions.WorkerSession): number {
 	let count = 0;
 	for (const place of worker.placements.values()) if (place.task.step === step) count += 1;
--- a/src/core/dispatch/round-timer.ts
+++ b/src/core/dispatch/round-timer.ts
@@ -1,25 +1,26 @@
-/** When rounds of placing are played: soon after something changed, and leaving most of the processor to reports. */
+/** Schedules placing rounds: soon after a change, and with most of the processor left for reports. */
 import * as settings from './settings.js';
 import type * as clocks from '../clock.js';
 import type * as meters from './load-meter.js';
 
-/** What a timer uses. */
 export interface RoundTimerOptions {
 	clock: clocks.Clock;
 	meter: meters.LoadMeter;
-	/** Plays a round of everything. */
+	/** Runs a round for all steps. */
 	playAll: () => void;
-	/** Plays one without filling tasks: there may be hundreds of those, and short tasks have no time to wait for them. */
+	/**
+	 * Runs a round without preemptible tasks: there may be hundreds of those, and short tasks have no time to wait for them.
+	 */
 	playQuick: () => void;
 }
 
-/** Asks for rounds; many asks come to one. */
+/** Schedules rounds; several requests are merged into one. */
 export class RoundTimer {
 	private roundDue = false;
 	private quickRoundDue = false;
-	/** How long after a wake a quick round is played, in milliseconds. */
+	/** Delay between a request and the quick round that it schedules, in milliseconds. */
 	private quickGapMs: number = settings.roundGapMs;
-	/** Clock time before which no round of everything begins. */
+	/** Clock time before which no full round begins. */
 	private nextRoundAt = -Infinity;
 	private closed = false;
 
@@ -29,7 +30,7 @@
 		return new RoundTimer(opts);
 	}
 
-	/** Something changed. */
+	/** Schedules a full and a quick round after a change. */
 	wake(): void {
 		if (this.closed) return;
 		this.wakeQuick();
@@ -45,7 +46,7 @@
 		else setImmediate(run);
 	}
 
-	/** Plays no more rounds. */
+	/** Runs no more rounds. */
 	close(): void {
 		this.closed = true;
 	}
@@ -59,7 +60,10 @@
 		});
 	}
 
-	/** Plays a round; returns how long to wait until the next of its kind: each looks at all that waits again. */
+	/**
+	 * Runs a round; returns the delay until the next one of its kind, in milliseconds. Each round checks all waiting tasks
+	 * again, so a slow one is followed by a longer pause.
+	 */
 	private playTimed(play: () => void): number {
 		const { clock, meter } = this.opts;
 		const startedAt = clock.now();
--- a/src/core/dispatch/slowed.ts
+++ b/src/core/dispatch/slowed.ts
@@ -1,17 +1,20 @@
-/** Filling tasks that were slowed for what serves users beside them. */
+/** Migration of preemptible tasks that were throttled for the serving tasks beside them. */
 import * as settings from './settings.js';
 import type * as types from './types.js';
 
-/** What a move depends on beside its run. */
+/** What a migration depends on besides its run. */
 export interface MoveTerms {
 	now: number;
-	/** More tasks that fill wait than find places. */
+	/** Whether more preemptible tasks wait than find placements. */
 	isBacklogged: () => boolean;
-	/** Going on from a checkpoint takes so long, in milliseconds. */
+	/** Time that resuming from a checkpoint takes, in milliseconds. */
 	restoreMs: number;
 }
 
-/** Whether a run was slowed to almost nothing for a while, and can go on elsewhere from a checkpoint. */
+/**
+ * Whether a run has been throttled strongly for a while, and can resume elsewhere from a checkpoint. An expensive migration
+ * has to wait longer while there is a backlog.
+ */
 export function isMovable(place: types.Placement, terms: MoveTerms): boolean {
 	const { spec } = place.task.step;
 	if (place.phase !== 'running' || !spec.fills || !spec.checkpoints) return false;
--- a/src/core/dispatch/stalled-log.ts
+++ b/src/core/dispatch/stalled-log.ts
@@ -1,6 +1,6 @@
 /**
- * Tells which steps have waited for long, and what holds each of them up at that moment. Every waiting step is told of,
- * also one that no round of placing looks at.
+ * Logs which steps have waited long, and why each of them waits at that moment. Every waiting step counts, also one that no
+ * placing round considers.
  */
 import * as settings from './settings.js';
 import type * as clocks from '../clock.js';
@@ -9,22 +9,20 @@
 import type * as sessions from './worker-session.js';
 import type * as waiting from './waiting-log.js';
 
-/** Steps told of in one look, at most; the longest waits come first. */
+/** Maximum number of steps logged per check; the longest waits come first. */
 const mostTold = 8;
 
-/** What telling uses. */
 export interface StalledLogOptions {
 	clock: clocks.Clock;
 	events: events.EventLog;
-	/** Tasks that wait, one of each step: the one that has waited longest. */
+	/** Waiting tasks, one of each step: the one that has waited longest. */
 	waiting: () => jobs.Task[];
 	/** Workers of the pool where a step may run. */
 	workersFor: (step: jobs.StepRun) => sessions.WorkerSession[];
-	/** What holds a task up now. */
+	/** Why a task waits. */
 	explain: (task: jobs.Task) => waiting.WaitingReason;
 }
 
-/** Writes the lines. */
 export class StalledLog {
 	private nextLookAt = -Infinity;
 
@@ -34,7 +32,7 @@
 		return new StalledLog(opts);
 	}
 
-	/** To be called now and then. */
+	/** Logs the stalled steps if a check is due; called periodically. */
 	look(): void {
 		const now = this.opts.clock.now();
 		if (now < this.nextLookAt) return;
@@ -66,7 +64,7 @@
 	return step.tasks.filter((task) => task.state === state).length;
 }
 
-/** How many workers are closed for which reason; undefined: all are open. */
+/** Number of closed workers for each reason; undefined: all are open. */
 function closedReasons(workers: sessions.WorkerSession[]): string | undefined {
 	const counts = new Map<string, number>();
 	for (const { closedBecause } of workers)
--- a/src/core/dispatch/start-window.ts
+++ b/src/core/dispatch/start-window.ts
@@ -1,44 +1,47 @@
 /**
- * How many starts may be on their way at once.
+ * Limits the number of starts in flight.
  *
- * Load pattern: hundreds of tasks become ready in one moment, as a wide step opens, a burst arrives or an outage ends.
- * Sent all at once they fill the owner's link or processor for seconds. Whatever is sent after them waits as long: the
- * renewal of the owner's lease, so that it is replaced while it works, and urgent tasks, whose place in the order is
- * lost once others have been sent. So only as many starts are sent as are answered within a short time; the rest waits
- * where it can still be put in order.
+ * Load pattern: hundreds of tasks become ready at the same moment, as a wide step opens, a burst arrives or an outage ends.
+ * Sent all at once, their starts fill the owner's link or processor for seconds. Whatever is sent after them waits as long.
+ * The renewal of the owner's lease comes late, so that the owner is replaced while it works. Urgent tasks lose their place
+ * in the order, as others have been sent before them. So only as many starts are sent as are answered within a short time;
+ * the rest waits where it can still be reordered.
  */
 
-/** Starts are to be answered within this time, in milliseconds, so that a renewal of the owner's lease behind them is never late. */
+/**
+ * Time within which starts are to be answered, in milliseconds, so that a renewal of the owner's lease behind them is never
+ * late.
+ */
 export const targetMs = 200;
 
-/** Starts on their way at least. */
+/** Minimum limit of starts in flight. */
 export const leastLimit = 16;
 
-/** Starts on their way at most; each takes a socket. */
+/** Maximum limit of starts in flight; each takes a socket. */
 export const mostLimit = 2_000;
 
-/** Starts on their way before any answer has told how long they take. */
+/** Limit of starts in flight before any answer has shown how long starts take. */
 const firstLimit = 32;
 
-/** So many answers are judged together: fewer are luck, more are judged late. */
+/** Number of answers evaluated together: the result of fewer is chance, that of more comes late. */
 const leastSamples = 8;
 const mostSamples = 64;
 
-/** The limit grows by this factor while starts are answered in time, and shrinks to no less than this part at once. */
+/** Factor by which the limit grows while starts are answered in time, and smallest factor by which it shrinks at once. */
 const growth = 1.5;
 const leastPart = 0.5;
 
 /**
- * A start that was overtaken by so many times the starts that were on their way before it does not wait for the owner's
- * link: its worker is silent, and it takes up no room.
+ * A start is overtaken once the answers since it was sent exceed this many times the starts in flight before it, plus
+ * `minSamples`. It does not wait for the owner's link: its worker is unresponsive, and it takes no slot.
  */
 const overtakenFactor = 2;
 
-/** What the answers to some starts told. */
+/** What the answers to some starts showed. */
 export interface AnswerTimes {
-	/** Half of them took no longer, in milliseconds. */
+	/** Median time until the answer, in milliseconds. */
 	medianMs: number;
-	/** The limit held starts back meanwhile. */
+	/** The limit delayed starts meanwhile. */
 	wasFull: boolean;
 }
 
@@ -46,24 +49,24 @@
 export function nextLimit(limit: number, times: AnswerTimes): number {
 	const { medianMs, wasFull } = times;
 	if (medianMs > targetMs) return Math.max(leastLimit, limit * Math.max(leastPart, targetMs / medianMs));
-	// A limit that nothing has reached is not known to be right.
+	// Nothing shows that a limit which was not reached is right, so it does not grow.
 	return wasFull ? Math.min(mostLimit, limit * growth) : limit;
 }
 
-/** One start on its way. */
+/** A start in flight. */
 export interface StartSlot {
 	/** Clock time at which it was sent. */
 	readonly sentAt: number;
-	/** How many starts had been answered by then. */
+	/** Number of starts that had been answered by then. */
 	readonly answersBefore: number;
-	/** How many were on their way then. */
+	/** Number of starts in flight at that time. */
 	readonly ahead: number;
 }
 
-/** The starts that are on their way. */
+/** Tracks the starts in flight and adapts their limit. */
 export class StartWindow {
 	private limit = firstLimit;
-	/** The oldest first. */
+	/** Oldest first. */
 	private readonly slots = new Set<StartSlot>();
 	private answers = 0;
 	private samples: number[] = [];
@@ -75,7 +78,7 @@
 		return new StartWindow(now);
 	}
 
-	/** How many more starts may be sent now. */
+	/** Number of further starts that may be sent. */
 	get free(): number {
 		this.leaveOutOvertaken();
 		const free = Math.floor(this.limit) - this.slots.size;
@@ -83,26 +86,26 @@
 		return Math.max(0, free);
 	}
 
-	/** How many starts may be on their way, and how many are. */
+	/** The limit of starts in flight, and their number. */
 	get state(): { limit: number; count: number } {
 		return { limit: Math.floor(this.limit), count: this.slots.size };
 	}
 
-	/** A start is sent, and takes up room from now on. */
+	/** Takes a slot for a start that is being sent. */
 	take(): StartSlot {
 		const slot = { sentAt: this.now(), answersBefore: this.answers, ahead: this.slots.size };
 		this.slots.add(slot);
 		return slot;
 	}
 
-	/** A start was answered. */
+	/** Notes the answer to a start, and frees its slot. */
 	answered(slot: StartSlot): void {
 		this.answers += 1;
-		// The silence of its worker says nothing about the others.
+		// Without a slot, the start waited for an unresponsive worker, which shows nothing about the others.
 		if (this.slots.delete(slot)) this.judge(this.now() - slot.sentAt);
 	}
 
-	/** A start has no answer, or was not sent after all. */
+	/** Frees the slot of a start that has no answer, or was not sent after all. */
 	release(slot: StartSlot): void {
 		this.slots.delete(slot);
 	}
--- a/src/core/dispatch/starter.ts
+++ b/src/core/dispatch/starter.ts
@@ -1,4 +1,4 @@
-/** Sends starts and stops, and follows each until it is known what became of it. */
+/** Sends starts and stops, and follows each until its outcome is known. */
 import * as clocks from '../clock.js';
 import * as room from './room.js';
 import * as settings from './settings.js';
@@ -10,19 +10,21 @@
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** What comes before a start, and what it came to. */
+/** Callbacks before a start and on its outcome. */
 export interface StarterHandlers {
-	/** Resolves once the start may be sent, as a successor could know of it; undefined: there is nothing to wait for. */
+	/** Resolves once the start may be sent, as a successor could learn of it; undefined: it may be sent at once. */
 	beforeStart: (session: sessions.WorkerSession, placement: types.Placement) => Promise<void> | undefined;
-	/** What of the platform has not been read lately, so that nothing may be started by it; undefined: all has been. */
+	/**
+	 * The platform's list that has not been read recently, so that nothing may be started by it; undefined: all have been.
+	 */
 	unread: () => types.UnreadList | undefined;
 	/** Another start may be sent. */
 	onRoom: () => void;
-	/** The run is known to be there. */
+	/** The run is known to be on its worker. */
 	onStarted: (placement: types.Placement) => void;
-	/** A start was not sent, as its place is not what it was; it is free again. */
+	/** A start was not sent, as its worker no longer permits it; the placement is freed. */
 	onWithdrawn: (session: sessions.WorkerSession, placement: types.Placement, reason: string) => void;
-	/** The run is known never to start; its place is free again. */
+	/** The run is known never to start; its placement is freed. */
 	onNotStarted: (
 		session: sessions.WorkerSession,
 		placement: types.Placement,
@@ -30,7 +32,7 @@
 	) => void;
 }
 
-/** Orders to workers. */
+/** Sends start and stop commands to workers. */
 export class Starter {
 	private readonly window: windows.StartWindow;
 
@@ -46,20 +48,20 @@
 		return new Starter(deps, meter, handlers);
 	}
 
-	/** How many more starts may be on their way now. */
+	/** Number of further starts that may be sent. */
 	get room(): number {
 		return this.window.free;
 	}
 
-	/** How many starts may be on their way, and how many are. */
+	/** The limit of starts in flight, and their number. */
 	get onTheirWay(): { limit: number; count: number } {
 		return this.window.state;
 	}
 
-	/** Starts a placed run. The same run is repeated while there is no answer: a worker starts it once. */
+	/** Starts a placed run. The same start is repeated while there is no answer: a worker starts a run once. */
 	async start(session: sessions.WorkerSession, placement: types.Placement, ticket = ''): Promise<void> {
 		const stored = this.handlers.beforeStart(session, placement);
-		// What waits for the store is not on its way: short tasks need no store, and go on in its outages.
+		// A start that waits for the store takes no slot: short tasks need no store, and continue during its outages.
 		if (stored !== undefined) await stored;
 		const slot = this.window.take();
 		try {
@@ -69,7 +71,7 @@
 		}
 	}
 
-	/** A start takes up no more room. */
+	/** Frees the slot of a start. */
 	private leave(slot: windows.StartSlot): void {
 		this.window.release(slot);
 		this.handlers.onRoom();
@@ -88,7 +90,7 @@
 			this.handlers.onWithdrawn(session, placement, reason);
 			return;
 		}
-		// One lease for all tries: each grant puts off the time by which a silent worker's tasks have ended.
+		// One lease for all attempts: each grant delays the time by which an unresponsive worker's tasks have ended.
 		const leaseUntil = session.grantLease();
 		if (leaseUntil === undefined) {
 			this.notStarted(session, placement, { kind: 'too-late' });
@@ -118,11 +120,11 @@
 				return;
 			}
 			const isFirst = tries === 0;
-			// Another life turned it away, so it was not what ended the life that it was meant for.
+			// Another incarnation refused the start, so it did not crash the incarnation for which it was meant.
 			if (isFirst && res.err.kind === 'other-life') placement.sentAt = undefined;
 			if (session.ended(res.err, target, stamp)) return;
 			if (res.err.kind !== 'no-answer') {
-				// After a try without an answer no refusal proves that the run is not there, or does not come yet.
+				// After an attempt without an answer, no refusal proves that the run is not there or will not arrive.
 				if (!isFirst) break;
 				this.notStarted(session, placement, res.err);
 				return;
@@ -131,13 +133,13 @@
 			if (!isToStart(session, placement)) return;
 			if (this.obstacle(session, placement) !== undefined) break;
 		}
-		// It may be there, or come later: a stop that is acknowledged settles it.
+		// The run may be there or arrive later; an acknowledged stop makes sure that it does not run.
 		await this.stop(session, placement);
 	}
 
 	/**
-	 * Why a start may not be sent any more, though its place was taken: it may have waited for the store, or been sent once
-	 * without an answer, and the worker may have begun to drain or lost room since.
+	 * Why a start may not be sent any more, though its placement was reserved; undefined: it may. The start may have waited
+	 * for the store, or been sent once without an answer, and the worker may have begun to drain or lost capacity since.
 	 */
 	private obstacle(session: sessions.WorkerSession, placement: types.Placement): string | undefined {
 		const { probation } = session;
@@ -149,7 +151,7 @@
 		return this.handlers.unread();
 	}
 
-	/** Stops a run, and logs why; `more`: what else the log line tells. */
+	/** Stops a run and logs the reason. `extraFields`: further fields of the log line. */
 	stopFor(
 		reason: string,
 		session: sessions.WorkerSession,
@@ -160,7 +162,7 @@
 		void this.stop(session, placement);
 	}
 
-	/** Stops a run; repeated until the worker acknowledges it or the place is free for another reason. */
+	/** Stops a run; repeats the command until the worker acknowledges it or the placement is freed for another reason. */
 	async stop(session: sessions.WorkerSession, placement: types.Placement): Promise<void> {
 		if (placement.phase === 'stopping') return;
 		placement.phase = 'stopping';
@@ -179,7 +181,10 @@
 		}
 	}
 
-	/** After its first try a start is answered, or its worker is silent: neither is on its way any more. */
+	/**
+	 * After its first attempt a start is answered, or its worker is unresponsive: in both cases it is not in flight any
+	 * more.
+	 */
 	private noteFirstTry(slot: windows.StartSlot, res: results.Result<unknown, fleet.WorkerFailure>): void {
 		if (!res.ok && res.err.kind === 'no-answer') {
 			this.leave(slot);
@@ -206,12 +211,12 @@
 	}
 }
 
-/** Whether a start is still wanted, and not known to have been carried out. */
+/** Whether a start is still wanted and not known to have been carried out. */
 function isToStart(session: sessions.WorkerSession, placement: types.Placement): boolean {
 	return placement.phase === 'starting' && isPlaced(session, placement);
 }
 
-/** Whether a run may still be there. What another life has of it is known by that one's report. */
+/** Whether a run may still be there. Runs of another incarnation are known by that one's report. */
 function isPlaced(session: sessions.WorkerSession, placement: types.Placement): boolean {
 	return !session.isOver && session.placements.get(placement.task.name) === placement;
 }
--- a/src/core/dispatch/step-candidates.ts
+++ b/src/core/dispatch/step-candidates.ts
@@ -1,38 +1,38 @@
 /**
  * The workers that take tasks of one step, the best first.
  *
- * Load pattern: a wide step of a hundred tasks on hundreds of workers. Rating every worker for each task grows with the
- * product of the two; its tasks are alike, and a worker's rating changes only when something is placed there. So all are
- * rated once, roughly, and only those that come to the front exactly.
+ * Load pattern: a wide step of a hundred tasks meets hundreds of workers. The cost of scoring every worker for each task
+ * grows with the product of the two numbers. The tasks are alike, and a worker's score changes only when something is placed
+ * there. So every worker gets a lower bound of its score once, and only those that come to the front are scored exactly.
  */
 import * as placement from './placement.js';
 import type * as jobs from '../jobs/index.js';
 import type * as sessions from './worker-session.js';
 
-/** A worker as it was rated. */
+/** A worker and its score. */
 interface Candidate {
 	worker: sessions.WorkerSession;
 	/** Lower is better. */
 	score: number;
-	/** The score is not only the least that it may be. */
+	/** Whether the score is exact; if not, it is a lower bound. */
 	exact: boolean;
-	/** State of the worker that was rated. */
+	/** Revision of the worker when it was scored. */
 	revision: number;
 }
 
 /** Candidates of one step during one round. */
 export class StepCandidates {
-	/** The best last. */
+	/** Sorted by score, the best last. */
 	private readonly candidates: Candidate[];
 
 	private constructor(
 		private readonly task: jobs.Task,
 		private readonly choice: placement.Choice,
-		/** What holds for tasks that may share these candidates. */
+		/** Limits that a task has to share to use these candidates. */
 		private readonly terms: placement.Terms,
 	) {
 		this.candidates = choice.workers.flatMap((worker) => this.rateRoughly(worker) ?? []);
-		// Of equals the first comes first, whatever else changes: tests and logs stay comparable.
+		// Among equal scores the first worker comes first, whatever else changes, so that tests and logs stay comparable.
 		this.candidates.reverse().sort((a, b) => b.score - a.score);
 	}
 
@@ -40,14 +40,14 @@
 		return new StepCandidates(task, choice, placement.termsOf(task, choice.now));
 	}
 
-	/** Whether these are the candidates of a task too. */
+	/** Whether these candidates hold for a task too. */
 	serve(task: jobs.Task): boolean {
 		const { harmLimit, reserve } = placement.termsOf(task, this.choice.now);
 		const isSame = harmLimit === this.terms.harmLimit && reserve === this.terms.reserve;
 		return isSame && task.step === this.task.step && task.failedOn.size + this.task.failedOn.size === 0;
 	}
 
-	/** The best worker; it stays in front until it has changed. */
+	/** The best worker; it stays in front until its revision changes. */
 	best(): sessions.WorkerSession | placement.NoPlace {
 		for (let first = this.candidates.at(-1); first !== undefined; first = this.candidates.at(-1)) {
 			if (first.exact && first.revision === first.worker.revision) return first.worker;
--- a/src/core/dispatch/task-locations.ts
+++ b/src/core/dispatch/task-locations.ts
@@ -1,7 +1,7 @@
 /**
- * Where runs of earlier owners may be that have not answered this one yet. Short tasks may be on any worker whose entry
- * in the roster does not say otherwise; they are too many to store each start. The worker of a lasting task is stored
- * before it is started there, so a successor waits for that worker only.
+ * Where runs of earlier owners may be that have not been reported to this owner yet. Short tasks are too many to store each
+ * start, so they may be on any worker whose entry in the roster does not rule it out. The worker of a long-running task is
+ * stored before the task is started there, so a successor waits for that worker only.
  */
 import type * as jobs from '../jobs/index.js';
 import type * as saver from './progress-saver.js';
@@ -12,11 +12,10 @@
 /** Generation of the first owner. */
 const firstGeneration = 1;
 
-/** What locations are known from. */
 export interface TaskLocationsOptions {
 	workers: workerPool.WorkerPool;
 	progress: saver.ProgressSaver;
-	/** Generation from which on every owner has stored the workers of lasting tasks. */
+	/** Generation from which on every owner has stored the workers of long-running tasks. */
 	workersStoredSince: number;
 }
 
@@ -28,7 +27,7 @@
 
 /** Where the tasks of one owner's jobs may be. */
 export class TaskLocations {
-	/** Workers that were lost before they could tell what earlier owners had started there, by their ids. */
+	/** Workers that were lost before they reported what earlier owners had started there, by their ids. */
 	private readonly lostUnheard = new Map<string, LostWorker>();
 
 	private constructor(private readonly opts: TaskLocationsOptions) {}
@@ -37,42 +36,45 @@
 		return new TaskLocations(opts);
 	}
 
-	/** Whether every owner that may have started a job stored the workers of its lasting tasks. */
+	/** Whether every owner that may have started a job stored the workers of its long-running tasks. */
 	areStored(record: jobs.JobRecord): boolean {
 		const since = this.opts.workersStoredSince;
 		return since === firstGeneration || record.acceptedUnder >= since;
 	}
 
-	/** Whether a run of an inherited task, unknown to this owner, may be on a worker that has not answered it yet. */
+	/** Whether a run of an inherited task may be on a worker that has not reported to this owner yet. */
 	mayBeHidden(task: jobs.Task): boolean {
 		const { workers } = this.opts;
 		if (!isStored(task)) return workers.mayHide(task.name);
-		// A worker that is not on the roster any more is proved to run nothing.
+		// A worker that is no longer on the roster is proved to run nothing.
 		return workers.get(task.worker)?.mayHide(task.name) ?? false;
 	}
 
-	/** A worker and all that ran there is lost. */
+	/** Notes that a worker and everything that ran there is lost. */
 	noteLost(session: sessions.WorkerSession): void {
 		if (!session.lostUnheard) return;
 		this.lostUnheard.set(session.id, { session, wasHanging: session.isHanging });
 	}
 
-	/** What became of a run that an earlier owner may have started on a worker, and that is nowhere. */
+	/** Outcome of a run that an earlier owner may have started on a worker, and that is not found anywhere. */
 	fateOn(worker: string): jobs.TryFate {
 		const lost = this.lostUnheard.get(worker);
 		if (lost !== undefined) return lost.wasHanging ? 'in-doubt' : 'crashed';
 		return this.opts.workers.hasAnswered(worker) ? 'not-started' : 'crashed';
 	}
 
-	/** Whether any worker may have gone down under a run that an earlier owner started and this one never heard of. */
+	/**
+	 * Whether any worker may have crashed under a run that an earlier owner started and that was never reported to this one.
+	 */
 	mayHaveCrashed(task: jobs.Task): boolean {
 		for (const { session } of this.lostUnheard.values()) if (mayHaveCrashedOn(session, task)) return true;
 		return false;
 	}
 
-	/** To be awaited before the start of a placed task is sent; undefined: it may be sent at once. */
+	/** Resolves once the start of a placed task may be sent; undefined: it may be sent at once. */
 	store(place: types.Placement): Promise<void> | undefined {
-		// A start after a crash is counted before it is sent, or an owner that goes down with the worker would take it along.
+		// A start after a crash is counted in the store before it is sent: an owner that crashes with the worker would lose
+		// the count.
 		if (!isStored(place.task) && place.task.crashes === undefined) return undefined;
 		const { job } = place.task.step;
 		this.opts.progress.mark(job, true);
@@ -80,7 +82,7 @@
 	}
 }
 
-/** Whether a worker that was lost unheard may have gone down under a run of the task. */
+/** Whether a worker that was lost before its first report may have crashed under a run of the task. */
 export function mayHaveCrashedOn(session: sessions.WorkerSession, task: jobs.Task): boolean {
 	if (!task.step.job.inherited || task.run > 0) return false;
 	if (isStored(task)) return session.id === task.worker;
--- a/src/core/dispatch/waiting-log.ts
+++ b/src/core/dispatch/waiting-log.ts
@@ -1,15 +1,15 @@
 /**
- * Tells why tasks wait: one line a step when the reason changes, and looked at once a second a step at most, so that a
- * queue that has fallen behind costs neither the log nor the owner much.
+ * Logs why tasks wait: one line per step when the reason changes. A step is checked at most once a second, so that a queue
+ * that has fallen behind costs little log volume and little of the owner's time.
  */
 import type * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 import type * as jobs from '../jobs/index.js';
 
-/** A step is looked at no more often than this, and first after its task has waited so long; in milliseconds. */
+/** Minimum time between two checks of a step, and minimum wait of its task before the first one, in milliseconds. */
 const lookGapMs = 1_000;
 
-/** Why a step's tasks wait. `detail`: how many workers stand in which way. */
+/** Why a step's tasks wait. `detail`: number of workers for each obstacle. */
 export interface WaitingReason {
 	reason: string;
 	detail?: string;
@@ -20,7 +20,7 @@
 	reason: string;
 }
 
-/** The reasons told so far. */
+/** Remembers the reason last found for each step. */
 export class WaitingLog {
 	private readonly looks = new WeakMap<jobs.StepRun, LastLook>();
 
@@ -33,7 +33,7 @@
 		return new WaitingLog(clock, log);
 	}
 
-	/** A task of a step waits; `explain` is asked only where a line may be due. */
+	/** Notes that a task waits; `explain` is called only where a line may be due. */
 	note(task: jobs.Task, explain: () => WaitingReason): void {
 		const now = this.clock.now();
 		const waitedMs = now - task.readyAt;
--- a/src/core/dispatch/waiting-order.ts
+++ b/src/core/dispatch/waiting-order.ts
@@ -1,17 +1,17 @@
 /**
- * Which waiting step comes first: by priority, then short before lasting, then what can still be in time before what is
- * late, then by the time left.
+ * Order of the waiting steps: by priority, then short before long-running steps, then steps that can still be on time before
+ * late ones, then by due time.
  */
 import * as settings from './settings.js';
 import type * as jobs from '../jobs/index.js';
 
-/** A step of which tasks wait. */
+/** A step with waiting tasks. */
 export interface WaitingStep {
 	step: jobs.StepRun;
 	tasks: jobs.Task[];
 }
 
-/** Sorts steps in place; the first is to be placed first. */
+/** Sorts steps in place, the one to place first at the front. */
 export function sort(
 	steps: WaitingStep[],
 	priorityOf: (job: jobs.ActiveJob) => number,
@@ -21,7 +21,7 @@
 	return steps.sort((a, b) => compare(ranks.get(a) ?? [], ranks.get(b) ?? []));
 }
 
-/** What counts for a step's turn, the weightiest first. */
+/** Sort key of a step, the most significant part first. */
 function rankOf(waiting: WaitingStep, priorityOf: (job: jobs.ActiveJob) => number, now: number): number[] {
 	const { step, tasks } = waiting;
 	const comesLate = step.spec.lasting && !tasks.some((task) => isOverdue(task, now));
@@ -36,17 +36,17 @@
 	return 0;
 }
 
-/** Whether a lasting task has waited so long that it goes before short ones. */
+/** Whether a long-running task has waited long enough to go before short ones. */
 export function isOverdue(task: jobs.Task, now: number): boolean {
 	return task.step.spec.lasting && now - task.readyAt >= settings.overdueMs;
 }
 
-/** How long a task has waited for a worker, all its waits together, in milliseconds. */
+/** How long a task has waited for a worker, over all its waits, in milliseconds. */
 export function waitedMs(task: jobs.Task, now: number): number {
 	return task.state === 'ready' ? now - task.waitingSince : task.waitedMs;
 }
 
-/** Filling tasks that have waited so long that no harm that they do keeps them waiting longer, the longest wait first. */
+/** Preemptible tasks that have waited so long that interference delays them no longer, the longest wait first. */
 export function starved(tasks: jobs.Task[], now: number): jobs.Task[] {
 	const found = tasks.filter((task) => isStarved(task, now));
 	return found.sort((a, b) => waitedMs(b, now) - waitedMs(a, now));
@@ -57,8 +57,8 @@
 }
 
 /**
- * 0 before a job's due time, 1 while it is late, 2 once it is worth nothing. By due time alone, a queue that has fallen
- * behind would make every job late in turn. A lasting task serves whenever it runs.
+ * 0 before a job's due time, 1 while it is late, 2 once its result is worth nothing. Sorted by due time alone, a queue that
+ * has fallen behind would make every job late in turn. A long-running task is never late: it serves whenever it runs.
  */
 function lateness(step: jobs.StepRun, now: number): number {
 	const { job, spec } = step;
--- a/src/core/dispatch/waiting-reason.ts
+++ b/src/core/dispatch/waiting-reason.ts
@@ -1,10 +1,10 @@
-/** Why a task that found no place waits, for the log. */
+/** Explains for the log why a task that found no placement waits. */
 import * as gangs from './gangs.js';
 import * as placement from './placement.js';
 import type * as jobs from '../jobs/index.js';
 import type * as waiting from './waiting-log.js';
 
-/** Counts what stands between a task and each open worker; the least of it is the reason. */
+/** Counts the obstacles between a task and each open worker; the one closest to a placement is the reason. */
 export function whyNoPlace(task: jobs.Task, choice: placement.Choice): waiting.WaitingReason {
 	const { step } = task;
 	if (step.spec.gang && !gangs.isWhole(step)) return { reason: 'gang-incomplete' };
@@ -15,7 +15,7 @@
 	}
 	if (counts.size === 0) return { reason: 'no-worker-open' };
 	const detail = [...counts].map(([obstacle, count]) => `${obstacle} ${String(count)}`).join(', ');
-	// A gang that finds places for some of its members waits for the others'.
+	// A gang that finds placements for some of its members waits for those of the others.
 	if (counts.has('none')) return { reason: 'other-members', detail };
 	return { reason: placement.obstacles.findLast((one) => counts.has(one)) ?? 'no-room', detail };
 }
--- a/src/core/dispatch/waiting-steps.ts
+++ b/src/core/dispatch/waiting-steps.ts
@@ -1,7 +1,6 @@
-/** Tasks that wait for a worker, by step: the tasks of a step are alike, so a round looks at steps. */
+/** Tasks that wait for a worker, by step: the tasks of a step are alike, so a round works on steps. */
 import type * as jobs from '../jobs/index.js';
 
-/** The waiting tasks. */
 export class WaitingSteps {
 	private readonly byStep = new Map<jobs.StepRun, Set<jobs.Task>>();
 	private total = 0;
@@ -14,34 +13,34 @@
 		return new WaitingSteps();
 	}
 
-	/** How many tasks wait. */
+	/** Number of waiting tasks. */
 	get size(): number {
 		return this.total;
 	}
 
-	/** How many tasks of such steps wait. */
+	/** Number of waiting tasks of the steps that match. */
 	count(wanted: (step: jobs.StepRun) => boolean): number {
 		let count = 0;
 		for (const [step, tasks] of this.byStep) if (wanted(step)) count += tasks.size;
 		return count;
 	}
 
-	/** Steps of which a task waits. */
+	/** Steps with waiting tasks. */
 	steps(): jobs.StepRun[] {
 		return [...this.byStep.keys()];
 	}
 
-	/** The tasks of a step that wait. */
+	/** The waiting tasks of a step. */
 	tasksOf(step: jobs.StepRun): jobs.Task[] {
 		return [...(this.byStep.get(step) ?? [])];
 	}
 
-	/** Of each step the task that has waited longest. */
+	/** The task of each step that has waited longest. */
 	longest(): jobs.Task[] {
 		return this.steps().map((step) => this.tasksOf(step).reduce((a, b) => (b.readyAt < a.readyAt ? b : a)));
 	}
 
-	/** A task waits from now on. */
+	/** Adds a waiting task; a task that is there already is not added again. */
 	add(task: jobs.Task): void {
 		const known = this.byStep.get(task.step);
 		if (known?.has(task) === true) return;
@@ -50,7 +49,7 @@
 		else known.add(task);
 	}
 
-	/** A task waits no more. */
+	/** Removes a task, if it is there. */
 	delete(task: jobs.Task): void {
 		const known = this.byStep.get(task.step);
 		if (known?.delete(task) !== true) return;
