--- a/src/core/dispatch/choices.ts
+++ b/src/core/dispatch/choices.ts
@@ -40,7 +40,10 @@
 		return { workers, estimates: this.opts.estimates, now: round.now };
 	}
 
-	/** The same for placing a task: asks the adviser about other workers if none that it has allowed has free capacity. */
+	/**
+	 * Same as `contextFor`, for placing a task: asks the adviser about other workers if none that it has allowed has free
+	 * capacity.
+	 */
 	toPlace(step: jobs.StepRun, round: rounds.PlacingRound): placement.Choice {
 		const choice = this.among(step, round);
 		const { advised } = this.opts.policyOf(step.job);
--- a/src/core/dispatch/placing-round.ts
+++ b/src/core/dispatch/placing-round.ts
@@ -52,7 +52,10 @@
 		return this.newest.best();
 	}
 
-	/** Keeps the emptiest workers that may hold a step free for its overdue tasks, until the end of the round. */
+	/**
+	 * Keeps workers free for the overdue tasks of a step, until the end of the round: the emptiest of those that may hold
+	 * it.
+	 */
 	keepFor(step: jobs.StepRun, pool: string): void {
 		const unkept = this.unkept.get(pool) ?? [];
 		const overdue = step.tasks.filter((task) => task.state === 'ready' && order.isOverdue(task, this.now));
--- a/src/core/dispatch/pressure.ts
+++ b/src/core/dispatch/pressure.ts
@@ -11,10 +11,12 @@
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** A task over its target for this part of `sloViolationMs` has the neighbours presumed to cause that paused. */
+/**
+ * Once a task has been over its target for this part of `sloViolationMs`, the neighbours presumed to cause that are paused.
+ */
 const relievePart = 0.15;
 
-/** A task over its target for this part of `sloViolationMs` has all preemptible neighbours paused. */
+/** Once a task has been over its target for this part of `sloViolationMs`, all its preemptible neighbours are paused. */
 const certainPart = 0.5;
 
 /** A neighbour with at least this interference slope is presumed to cause an overload, and is paused. */
