--- a/src/core/dispatch/pressure.ts
+++ b/src/core/dispatch/pressure.ts
@@ -12,7 +12,8 @@
 import type * as types from './types.js';
 
 /**
- * Once a task has been over its target for this part of `sloViolationMs`, the neighbours presumed to cause that are paused.
+ * Once a task has been over its target for this part of `maxSloViolationMs`, the neighbours presumed to cause that are
+ * paused.
  */
 const relievePart = 0.15;
 
