--- a/src/core/dispatch/pressure.ts
+++ b/src/core/dispatch/pressure.ts
@@ -17,7 +17,7 @@
  */
 const relievePart = 0.15;
 
-/** Once a task has been over its target for this part of `sloViolationMs`, all its preemptible neighbours are paused. */
+/** Once a task has been over its target for this part of `maxSloViolationMs`, all its preemptible neighbours are paused. */
 const certainPart = 0.5;
 
 /** A neighbour with at least this interference slope is presumed to cause an overload, and is paused. */
@@ -40,7 +40,7 @@
 		this.orders = paceOrders.PaceOrders.create(deps, this.log);
 	}
 
-	/** `sloViolationMs`: time over its target after which a task counts as an SLO violation, in milliseconds. */
+	/** `maxSloViolationMs`: time over its target after which a task counts as an SLO violation, in milliseconds. */
 	static create(
 		deps: types.DispatchDeps,
 		estimates: interference.Interference,
