--- a/src/core/dispatch/eligible-workers.ts
+++ b/src/core/dispatch/eligible-workers.ts
@@ -1,4 +1,4 @@
-/** Which workers a step may go to, by its queue's pool and the adviser, and whom the adviser is asked about. */
+/** Selects the workers that a step may run on, by its queue's pool and the adviser, and those to ask the adviser about. */
 import * as advice from './advice.js';
 import * as freeCapacity from './free-capacity.js';
 import type * as interference from './interference.js';
@@ -7,13 +7,12 @@
 import type * as rounds from './placing-round.js';
 import type * as sessions from './worker-session.js';
 
-/** What choices are made of. */
 export interface EligibleWorkersOptions extends advice.AdviserTicketsOptions {
 	policyOf: (job: jobs.ActiveJob) => jobs.QueuePolicy;
 	estimates: interference.InterferenceModel;
 }
 
-/** The choices of one owner. */
+/** Selects eligible workers for one owner. */
 export class EligibleWorkers {
 	private readonly tickets: advice.AdviserTickets;
 
@@ -25,13 +24,13 @@
 		return new EligibleWorkers(opts);
 	}
 
-	/** What a start of a step on a worker has to show; empty: nothing. */
+	/** Ticket that a start of a step on a worker has to carry; empty: none. */
 	ticketFor(step: jobs.StepInstance, worker: string): string {
 		const { advised } = this.opts.policyOf(step.job);
 		return advised ? (this.tickets.ticket(step, worker) ?? '') : '';
 	}
 
-	/** Workers that may run a step, and how to rate them. */
+	/** The workers that may run a step, and what their scores depend on. */
 	contextFor(step: jobs.StepInstance, round: rounds.PlacingRound): placement.PlacementContext {
 		const { pool, advised } = this.opts.policyOf(step.job);
 		const inPool = round.openWorkersFor(step, pool);
@@ -41,7 +40,10 @@
 		return { workers, estimates: this.opts.estimates, now: round.now };
 	}
 
-	/** The same to place by: if no worker that the adviser has allowed has room, it is asked about others. */
+	/**
+	 * Same as `contextFor`, for placing a task: asks the adviser about other workers if none that it has allowed has free
+	 * capacity.
+	 */
 	contextRequestingAdvice(step: jobs.StepInstance, round: rounds.PlacingRound): placement.PlacementContext {
 		const ctx = this.contextFor(step, round);
 		const { advised } = this.opts.policyOf(step.job);
@@ -50,7 +52,7 @@
 		return ctx;
 	}
 
-	/** Asks the adviser, if the step's policy wants advice, about workers with room that it has not judged. */
+	/** Asks the adviser about workers with free capacity that it has not rated, if the step's policy requires advice. */
 	requestAdvice(step: jobs.StepInstance, round: rounds.PlacingRound): void {
 		const { pool, advised } = this.opts.policyOf(step.job);
 		if (advised) this.tickets.requestTickets(step, emptiestFirst(step, round.openWorkersFor(step, pool)));
@@ -64,7 +66,7 @@
 	}
 }
 
-/** Workers with room for a step, the emptiest first. */
+/** Ids of the workers with free capacity for a step, the emptiest first. */
 function emptiestFirst(step: jobs.StepInstance, workers: sessions.WorkerSession[]): string[] {
 	const withCapacity = workers.filter((one) => freeCapacity.fitsWithoutReserve(step, one));
 	withCapacity.sort((a, b) => a.used.milliCores - b.used.milliCores);
--- a/src/core/dispatch/free-capacity.ts
+++ b/src/core/dispatch/free-capacity.ts
@@ -1,14 +1,16 @@
-/** Who has room for a task: decided by reservations, never over a worker's capacity. */
+/** Checks which workers have free capacity for a task. Reservations decide, and never exceed a worker's capacity. */
 import type * as fleet from '../fleet/types.js';
 import type * as jobs from '../jobs/index.js';
 import type * as sessions from './worker-session.js';
 
-/** Whether a worker has room for one more task of a step. */
+/** Whether a worker has free capacity for one more task of a step. */
 export function fitsWithoutReserve(step: jobs.StepInstance, worker: sessions.WorkerSession): boolean {
 	return fits(step, worker, 0);
 }
 
-/** The `count` workers with most cores free among those that hold one more task of a step once their short ones end. */
+/**
+ * The `count` workers with the most free cores, of those that can hold one more task of a step once their short tasks end.
+ */
 export function emptiestWorkers(
 	step: jobs.StepInstance,
 	workers: sessions.WorkerSession[],
@@ -22,7 +24,7 @@
 	return allowed.sort((a, b) => freeMilliCores(b) - freeMilliCores(a)).slice(0, count);
 }
 
-/** Whether a worker holds a task beside its lasting ones, which stay; all else there ends sooner or later. */
+/** Whether a worker can hold a task beside its long-running ones, which stay. All other tasks there end sooner or later. */
 function fitsBesideLongRunning(spec: jobs.StepSpec, worker: sessions.WorkerSession): boolean {
 	const capacity = worker.entry?.capacity;
 	const longRunning: fleet.Capacity = {
@@ -33,7 +35,7 @@
 	return capacity !== undefined && fitsCapacity(spec, longRunning, capacity, 0);
 }
 
-/** Whether a worker can hold one more task of the step now, and keep `reserve` thousandths of a core free. */
+/** Whether a worker can hold one more task of the step now, and keep `reserveMilliCores` thousandths of a core free. */
 export function fits(
 	step: jobs.StepInstance,
 	worker: sessions.WorkerSession,
@@ -45,21 +47,24 @@
 	return fitsCapacity(step.spec, worker.used, capacity, reserveMilliCores);
 }
 
-/** Whether a worker holds more than it can, as its room has shrunk since. */
+/** Whether the reservations on a worker exceed its capacity, as that has shrunk since. */
 export function isOverCapacity({ used, entry }: sessions.WorkerSession): boolean {
 	if (entry === undefined) return false;
 	const { milliCores, memoryMb, accelerators } = entry.capacity;
 	return used.milliCores > milliCores || used.memoryMb > memoryMb || used.accelerators > accelerators;
 }
 
-/** Whether a step's label and its limit per worker allow one more task there. */
+/** Whether a step's required label and its limit per worker allow one more task there. */
 function meetsConstraints(step: jobs.StepInstance, worker: sessions.WorkerSession): boolean {
 	const { spec } = step;
 	if (spec.requiredLabel !== '' && worker.entry?.labels.includes(spec.requiredLabel) !== true) return false;
 	return spec.maxPerWorker === 0 || placedCount(step, worker) < spec.maxPerWorker;
 }
 
-/** Whether a task fits beside what is used, with `reserve` thousandths of a core left; one that fills takes no cores. */
+/**
+ * Whether a task fits beside what is used, with `reserveMilliCores` thousandths of a core left. A preemptible task takes no
+ * cores.
+ */
 function fitsCapacity(
 	spec: jobs.StepSpec,
 	used: fleet.Capacity,
@@ -74,7 +79,7 @@
 	);
 }
 
-/** Tasks of a step that are placed on a worker. */
+/** Number of tasks of a step that are placed on a worker. */
 function placedCount(step: jobs.StepInstance, worker: sessions.WorkerSession): number {
 	let count = 0;
 	for (const place of worker.placements.values()) if (place.task.step === step) count += 1;
