--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -1,4 +1,4 @@
-/** The owner's work: takes in jobs, workers and reports, and sees to it that every task runs as often as it should. */
+/** The owner's dispatcher: takes in jobs, workers and reports, and starts the runs that each task needs. */
 import * as clocks from '../clock.js';
 import * as callRepeater from './call-repeater.js';
 import * as blame from './crash-blame.js';
@@ -83,7 +83,7 @@
 		});
 	}
 
-	/** Starts work under a new epoch: asks every worker of the roster what it runs. */
+	/** Starts dispatching under a new epoch: requests a report from every worker of the roster. */
 	static create(
 		opts: options.DispatcherOptions,
 		contents: ledger.LedgerContents,
@@ -101,22 +101,26 @@
 		return dispatcher;
 	}
 
-	/** Takes in an accepted job; a job known already changes nothing. */
+	/** Adds an accepted job. A job that is already known changes nothing. */
 	addJob(record: jobs.JobRecord): void {
 		if (this.book.get(record.id) !== undefined) return;
-		// An owner that a box told of the job may have started it, unless that owner is this one.
+		// An earlier owner may have been given the job and may have started it, unless the job was accepted under this
+		// epoch.
 		const inherited = record.acceptedUnder !== this.opts.epoch;
 		const workersStored = this.locations.areStored(record);
 		this.book.add(record, undefined, { cancelled: false, inherited, workersStored });
 	}
 
-	/** A stored job can't be worked on. It costs itself only: whoever owned would stop working by it, one after the other. */
+	/**
+	 * Skips a stored job that can't be worked on. The failure stays confined to this job: if the owner stopped for it, each
+	 * successor would stop for it in turn.
+	 */
 	leaveOut({ id, reason }: ledger.UnreadableJob): void {
 		this.opts.events.emit('job.unreadable', { job: id, reason });
 		this.strangers.leaveOut(id);
 	}
 
-	/** Takes in a stored cancellation. */
+	/** Applies a stored cancellation. */
 	cancelJob(id: string): void {
 		const job = this.book.get(id);
 		if (job === undefined || job.ended) return;
@@ -124,33 +128,33 @@
 		this.outcomes.endJob(job, 'cancelled');
 	}
 
-	/** How a job stands; undefined: not known here. */
+	/** Current state of a job; undefined: the job is not known here. */
 	stateOf(id: string): jobs.JobState | undefined {
 		return this.book.stateOf(id);
 	}
 
-	/** How a job stands, and why it has failed; undefined: not known here. */
+	/** Current state of a job, and why it failed; undefined: the job is not known here. */
 	viewOf(id: string): jobs.JobView | undefined {
 		return this.book.viewOf(id);
 	}
 
-	/** Jobs of a queue of which no task has begun. */
+	/** Number of a queue's jobs of which no task has begun. */
 	pendingOf(queue: string): number {
 		return this.book.pendingOf(queue);
 	}
 
-	/** The platform's list of workers, in part or whole. */
+	/** Applies the platform's list of workers, in part or whole. */
 	setWorkers(entries: Iterable<fleet.WorkerEntry>, removed: Iterable<string>, whole: boolean): void {
 		this.workers.setWorkers(entries, removed, whole);
 		this.placer.wake();
 	}
 
-	/** The platform's list of workers is as was told, as of that clock time. */
+	/** Notes that the list of workers last applied was still current at clock time `heldAt`. */
 	noteListRead(heldAt: number): void {
 		this.list.note(heldAt);
 	}
 
-	/** These zones were evacuated, and no others, at that clock time. */
+	/** Notes that exactly these zones were evacuated at clock time `heldAt`. */
 	noteEvacuations(zones: ReadonlySet<string>, heldAt: number): void {
 		const { added, removed } = this.evacuations.note(zones, heldAt);
 		for (const zone of added) this.opts.events.emit('zone.evacuated', { zone, ...this.workers.inZone(zone) });
@@ -159,7 +163,7 @@
 		this.placer.wake();
 	}
 
-	/** Closes a worker of that name to new work and moves what runs there; an unknown worker is empty. */
+	/** Closes all sessions of a worker name to new work and moves away what may be moved. An unknown worker is empty. */
 	vacate(name: string): vacating.VacateState {
 		const known = this.workers.named(name);
 		for (const session of known) session.vacated = true;
@@ -169,17 +173,20 @@
 		});
 	}
 
-	/** Opens a worker of that name to new work again. */
+	/** Opens all sessions of a worker name to new work again. */
 	reopen(name: string): void {
 		for (const session of this.workers.named(name)) session.vacated = false;
 	}
 
-	/** By worker that is silent: how long until every lease there is over, in milliseconds, for the next owner. */
+	/**
+	 * Maximum remaining lease of each unresponsive worker, and of each that has not answered this owner yet, in
+	 * milliseconds, for the next owner. These workers get no lease until the stored roster changes.
+	 */
 	silentLeases(): Record<string, number> {
 		return this.workers.withholdSilent();
 	}
 
-	/** What was done since this was last asked, and what waits now. */
+	/** Work done since the previous call, and tasks and starts that are waiting. */
 	load(): options.DispatchLoad {
 		const { limit, count } = this.starter.onTheirWay;
 		const { waiting, waitingShort } = this.placer;
@@ -187,17 +194,17 @@
 		return { ...this.meter.read(), ...ends, waiting, waitingShort, onTheirWay: count, startLimit: limit };
 	}
 
-	/** Tasks that are owed, by the priority of their queues. */
+	/** Number of outstanding tasks by the priority of their queues. */
 	owed(): ReadonlyMap<number, number> {
 		return this.book.owed((job) => this.policyOf(job).priority);
 	}
 
-	/** What was learnt of how tasks disturb each other, for the next owner. */
+	/** The learned interference and load models, for the next owner. */
 	knowledge(): learnt.Knowledge {
 		return this.estimates.knowledge();
 	}
 
-	/** Gives no more orders. What runs goes on under its leases until another owner takes over. */
+	/** Sends no more commands. Runs continue under their leases until another owner takes over. */
 	close(): void {
 		this.ticks.cancel();
 		this.placer.close();
@@ -205,7 +212,9 @@
 		this.workers.close();
 	}
 
-	/** What has not been read lately, so that nothing may be started by it; undefined: all has been. */
+	/**
+	 * Which of the platform's lists is out of date, so that nothing may be started on its basis; undefined: all are current.
+	 */
 	private get unread(): types.UnreadList | undefined {
 		if (!this.evacuations.isKnown) return 'evacuations-unread';
 		return this.list.isFresh ? undefined : 'list-unread';
@@ -299,7 +308,10 @@
 		});
 	}
 
-	/** What a start waits for: what has to be stored, and quiet where it is to be on probation. */
+	/**
+	 * What a start has to wait for: its placement has to be stored, and for a run on probation, the worker must have had no
+	 * recent start. Undefined: nothing.
+	 */
 	private beforeStart(session: sessions.WorkerSession, place: types.Placement): Promise<void> | undefined {
 		const stored = this.locations.store(place);
 		if (session.probation !== place) return stored;
@@ -419,13 +431,13 @@
 		for (const job of changed) this.progress.mark(job);
 		this.pressure.look(session);
 		this.probations.look(session);
-		// Until the last of its ends is listed, what ran there may have ended unheard.
+		// Until its last exit is listed, runs there may have exited without this owner knowing.
 		if (!report.hasMoreEnds) this.workers.heard(session);
 		this.placer.wake();
 		return { type: 'taken', stored: this.noteStored(session, unstored, upTo) };
 	}
 
-	/** Lets the worker forget its ends up to `upTo` once they are stored. */
+	/** Allows the worker's exits up to `upTo` to be acknowledged once they are stored. */
 	private async noteStored(
 		session: sessions.WorkerSession,
 		unstored: Set<jobs.ActiveJob>,
@@ -441,9 +453,10 @@
 		this.locations.noteLost(session);
 		this.outcomes.lost(session, lost);
 		this.workers.heard(session);
-		// The stored worker of a lasting task is another one now.
+		// The stored worker of a migrated long-running task has changed.
 		for (const { task } of moved) if (task.step.spec.lasting) this.progress.mark(task.step.job, true);
-		// Until then the roster names the worker, or a successor would not know that it went down under anything.
+		// Until these jobs are stored, the roster keeps naming the worker: otherwise a successor would not know that the
+		// worker may have crashed under a task.
 		const unseen = session.lostUnheard ? this.outcomes.lostUnheard(session) : [];
 		const changed = new Set([...unseen, ...[...lost, ...moved].map((place) => place.task.step.job)]);
 		void this.progress.stored(changed).then(() => {
--- a/src/core/dispatch/ends.ts
+++ b/src/core/dispatch/ends.ts
@@ -1,43 +1,43 @@
-/** What a worker's report changes: runs that go on, runs that ended, and runs that nobody wants. */
+/** Applies a worker's report: updates running tasks, takes in exits and stops unwanted runs. */
 import * as jobs from '../jobs/index.js';
 import type * as fleet from '../fleet/types.js';
 import type * as reportLog from './report-log.js';
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** The dispatcher's part in taking in a report. */
+/** What the dispatcher provides for applying a report. */
 export interface ReportContext {
 	now: () => number;
 	findTask: (name: string) => jobs.Task | undefined;
-	/** The task of a run that is there, also of a job that has long ended. */
+	/** The task of a reported run, even if its job ended long ago. */
 	findRunning: (name: string) => jobs.Task | undefined;
-	/** Where a task is placed. */
+	/** The worker on which a task is placed; undefined: it is not placed. */
 	sessionOf: (task: jobs.Task) => sessions.WorkerSession | undefined;
-	/** A run found on a worker is that task's run from now on. */
+	/** Makes a run found on a worker that task's current run. */
 	adopt: (session: sessions.WorkerSession, task: jobs.Task, run: number) => types.Placement;
-	/** Stops a run that nobody wants, of a task that is not known. */
+	/** Stops an orphaned run. */
 	stopStray: (session: sessions.WorkerSession, task: string, run: number) => void;
 	stop: (session: sessions.WorkerSession, placement: types.Placement) => void;
 	finished: (task: jobs.Task) => void;
 	failed: (session: sessions.WorkerSession, task: jobs.Task, run: number) => void;
-	/** A run is over, and its worker lives. */
+	/** A run exited without crashing its worker. */
 	survived: (task: jobs.Task, run: number) => void;
-	/** A run ended and neither finished nor failed. */
+	/** A run exited and neither finished nor failed. */
 	abandoned: () => void;
 	/** The task runs nowhere and may be started again. */
 	again: (task: jobs.Task) => void;
 	log: reportLog.ReportLog;
 }
 
-/** Jobs that a report is about. */
+/** Jobs that a report concerns. */
 export interface ReportedJobs {
-	/** Their progress has changed by it. */
+	/** Jobs whose progress the report changed. */
 	changed: Set<jobs.ActiveJob>;
-	/** It lists ends of them that may not be stored yet; those that have changed are among them. */
+	/** Jobs for which the report lists exits that may not be stored yet. Includes all of `changed`. */
 	unstored: Set<jobs.ActiveJob>;
 }
 
-/** Takes in a report. */
+/** Applies a report. */
 export function takeReport(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
@@ -52,7 +52,7 @@
 		const job = task?.step.job;
 		const isNew = end.seq > session.seenUpTo;
 		if (job !== undefined && !job.endStored) {
-			// An end that was seen before may still wait to be stored.
+			// An exit that was seen before may still wait to be stored.
 			unstored.add(job);
 			if (isNew) changed.add(job);
 		}
@@ -71,8 +71,8 @@
 }
 
 /**
- * Takes in the runs of tasks that are known, of a report that names unknown jobs as well: what serves users is protected
- * though the store does not say what those are.
+ * Applies only the runs of known tasks, for a report that also names unknown jobs. Serving tasks stay protected this way
+ * even while the store can't tell what the unknown jobs are.
  */
 export function takeKnownRuns(
 	ctx: ReportContext,
@@ -87,7 +87,10 @@
 	}
 }
 
-/** Ends are numbered without gaps, so one that is missing between two reports was forgotten before anybody read it. */
+/**
+ * Logs exits that were lost. Exits are numbered without gaps, so one that is missing between two reports was acknowledged
+ * before this owner read it.
+ */
 function noteUnread(ctx: ReportContext, session: sessions.WorkerSession, report: fleet.WorkerReport): void {
 	const first = report.ended[0];
 	const isKnown = session.seenUpTo > 0;
@@ -126,7 +129,7 @@
 	ctx.finished(task);
 }
 
-/** Takes in one run that is there; false: it is stopped, and has no place. */
+/** Applies one running task of a report; false: the run has no placement and is being stopped. */
 function takeRunning(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
@@ -142,7 +145,7 @@
 	return true;
 }
 
-/** The place of a run, taken now if it has none and may have one. */
+/** The placement of a run. Creates one if the run has none and may have one; undefined: it may not. */
 function placeOf(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
@@ -171,7 +174,10 @@
 	if (running.checkpoint !== '') task.checkpoint = running.checkpoint;
 }
 
-/** Stops a run of a task that is over. It keeps its place until it has ended, or the worker would be filled again. */
+/**
+ * Stops a run of a task that is over. The run keeps its placement until it has exited; otherwise the worker would get more
+ * work than it has capacity for.
+ */
 function stopUnwanted(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
@@ -184,12 +190,15 @@
 	return placement;
 }
 
-/** Whether no run of the task is wanted any more. */
+/** Whether the task needs no run any more. */
 function isOver(task: jobs.Task): boolean {
 	return task.state === 'finished' || task.step.job.ended;
 }
 
-/** A run that an earlier owner started, unless its task is placed elsewhere; an old one is stopped before the next start. */
+/**
+ * Adopts a run that an earlier owner started, unless its task is placed elsewhere. A run older than the task's newest is
+ * stopped before the next start.
+ */
 function adoptable(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
@@ -206,14 +215,14 @@
 	return placement;
 }
 
-/** A run that a report does not list, neither as running nor as ended. */
+/** Handles a placed run that a report lists neither as running nor as exited. */
 function takeAbsence(
 	ctx: ReportContext,
 	session: sessions.WorkerSession,
 	placement: types.Placement,
 	sentAt: number,
 ): void {
-	// A report asked for before the run was known to be there says nothing about it.
+	// A report requested before the run was known to be there does not prove its absence.
 	const wasThere = placement.confirmedAt > 0 && placement.confirmedAt < sentAt;
 	const isStopped = placement.stoppedAt > 0 && placement.stoppedAt < sentAt;
 	if (!wasThere && !isStopped) return;
--- a/src/core/dispatch/outcomes.ts
+++ b/src/core/dispatch/outcomes.ts
@@ -1,4 +1,4 @@
-/** What becomes of jobs as their runs begin, end, fail or are lost. */
+/** Updates jobs and tasks as runs start, exit, fail or are lost. */
 import * as jobs from '../jobs/index.js';
 import * as locations from './task-locations.js';
 import * as settings from './settings.js';
@@ -15,7 +15,7 @@
 import type * as starter from './starter.js';
 import type * as types from './types.js';
 
-/** What outcomes change. */
+/** What outcomes read and change. */
 export interface OutcomesOptions {
 	clock: clocks.Clock;
 	events: events.EventLog;
@@ -27,19 +27,19 @@
 	starter: starter.Starter;
 	policyOf: (job: jobs.ActiveJob) => jobs.QueuePolicy;
 	estimates: interference.Interference;
-	/** Whether a worker may have gone down under a run of the task that this owner never heard of. */
+	/** Whether a worker may have crashed under a run of the task that this owner never got a report of. */
 	mayHaveCrashed: (task: jobs.Task) => boolean;
-	/** What became of a run that an earlier owner may have started on a worker, and that is nowhere. */
+	/** What became of a run that an earlier owner may have started on a worker, and that is not running anywhere. */
 	fateOn: (worker: string) => jobs.TryFate;
 }
 
-/** A worker that carries out a start answers within so long, in milliseconds, unless the start brings it down before. */
+/** A worker that carries out a start answers within this many milliseconds, unless the start crashes it first. */
 const mostAnswerMs = 50;
 
 /** Stands for the run of an earlier owner whose number is not known. */
 const unseenRun = 0;
 
-/** Carries outcomes over to jobs and to the other tasks of a gang. */
+/** Applies outcomes of runs to jobs and to the other tasks of a gang. */
 export class Outcomes {
 	private constructor(private readonly opts: OutcomesOptions) {}
 
@@ -47,12 +47,12 @@
 		return new Outcomes(opts);
 	}
 
-	/** A run of the job is known to be there. */
+	/** A run of the job is known to have started. */
 	begun(job: jobs.ActiveJob): void {
 		if (job.state === 'pending') job.state = 'running';
 	}
 
-	/** A run is known never to start. */
+	/** A worker refused a start: the run will never start. */
 	notStarted(session: sessions.WorkerSession, place: types.Placement, err: fleet.WorkerFailure): void {
 		const { task, run } = place;
 		this.opts.events.emit('start.refused', {
@@ -67,7 +67,7 @@
 		this.breakGang(task);
 	}
 
-	/** A start was held back: its place is not what it was when it was taken. */
+	/** A start was withdrawn before it was sent, because its placement is no longer valid. */
 	withdrawn(session: sessions.WorkerSession, place: types.Placement, reason: string): void {
 		const { task, run } = place;
 		this.opts.events.emit('start.withdrawn', { task: task.name, run, worker: session.id, reason });
@@ -76,7 +76,7 @@
 		this.breakGang(task);
 	}
 
-	/** Runs went down with their worker, or may have. */
+	/** Runs were lost with their worker, or may have been. */
 	lost(session: sessions.WorkerSession, places: readonly types.Placement[]): void {
 		const blamed = this.opts.blame.blamed(session.id);
 		for (const place of places) {
@@ -88,15 +88,15 @@
 		}
 	}
 
-	/** A run is over, and its worker lives, or went down for another reason. */
+	/** A run exited without crashing its worker: the worker is up, or it crashed for another reason. */
 	survived(task: jobs.Task, run: number): void {
 		task.crashes?.noteEnd(run);
 		if (task.crashes?.empty === true) task.crashes = undefined;
 	}
 
 	/**
-	 * A worker went down before it had told what earlier owners had started there; returns the jobs of which something may
-	 * have been. They are to be stored: a later owner won't know of that worker.
+	 * A worker crashed before it reported what earlier owners had started there. Returns the jobs that may have had a run on
+	 * it. They have to be stored, because a later owner won't know of that worker.
 	 */
 	lostUnheard(session: sessions.WorkerSession): Set<jobs.ActiveJob> {
 		const found = new Set<jobs.ActiveJob>();
@@ -110,7 +110,7 @@
 		return found;
 	}
 
-	/** Whether a task may be started once more after what became of its workers; if not, it is given up. */
+	/** Whether a task may be started again, given what happened to its earlier workers. If not, it is abandoned. */
 	mayStartAgain(task: jobs.Task): boolean {
 		this.noteUnseenCrash(task, this.opts.mayHaveCrashed);
 		const { crashes } = task;
@@ -119,14 +119,14 @@
 		return !this.giveUpSpent(task, crashes);
 	}
 
-	/** Settles a task's stored start on a worker that went down before it had told what it runs; false: there was none. */
+	/** Resolves a task's stored start on a worker that crashed before its first report; false: there was none. */
 	private settleTryOn(worker: string, { crashes }: jobs.Task): boolean {
 		if (crashes?.wasTriedOn(worker) !== true) return false;
 		crashes.settleTries((one) => (one === worker ? this.opts.fateOn(worker) : undefined));
 		return true;
 	}
 
-	/** Counts a crash under a run that this owner never heard of, if there may have been one; false: there was none to count. */
+	/** Counts a possible crash under a run that this owner got no report of; false: there was none to count. */
 	private noteUnseenCrash(task: jobs.Task, mayHaveCrashed: (task: jobs.Task) => boolean): boolean {
 		if (task.state === 'finished' || task.crashes !== undefined) return false;
 		if (!mayHaveCrashed(task)) return false;
@@ -135,7 +135,7 @@
 		return true;
 	}
 
-	/** A worker went down under a run. */
+	/** Records that a worker crashed under a run. */
 	private noteCrash(session: sessions.WorkerSession, place: types.Placement, isBlamed: boolean): void {
 		const { task, run, sentAt = -Infinity } = place;
 		const { job } = task.step;
@@ -150,7 +150,7 @@
 		this.giveUpSpent(task, crashes);
 	}
 
-	/** Gives a task up, and its job with it, if too many workers went down under it; true: it was. */
+	/** Abandons a task and fails its job if too many workers crashed under it, or may have; returns whether it did. */
 	private giveUpSpent(task: jobs.Task, crashes: jobs.CrashHistory): boolean {
 		const { verdict, crashed, blamed, lost } = crashes;
 		if (verdict === undefined) return false;
@@ -161,9 +161,9 @@
 		return true;
 	}
 
-	/** A task is done, and with it what waited for it may start. */
+	/** A task is done, and tasks that depend on it may start. */
 	finished(task: jobs.Task): void {
-		// Members of a gang finish together: one end stands for all.
+		// Members of a gang finish together: one member's exit stands for all.
 		const finished = task.step.spec.gang ? task.step.tasks : [task];
 		const { job } = task.step;
 		for (const one of finished) {
@@ -174,10 +174,10 @@
 		if (job.ended) this.endJob(job, job.state);
 	}
 
-	/** A run failed by itself. */
+	/** A run failed without its worker crashing. */
 	failed(session: sessions.WorkerSession, task: jobs.Task, run: number): void {
 		const { job, spec, tasks } = task.step;
-		// A gang fails as one, whichever of its members it was.
+		// A gang fails as a whole, whichever member failed.
 		const counted = spec.gang ? (tasks[0] ?? task) : task;
 		counted.failures.add(run);
 		task.failedOn.add(session.id);
@@ -191,7 +191,7 @@
 		this.endJob(job, 'failed');
 	}
 
-	/** Closes a job and stops what still runs of it. */
+	/** Ends a job and stops its remaining runs. */
 	endJob(job: jobs.ActiveJob, state: jobs.JobState): void {
 		this.opts.book.close(job, state);
 		for (const step of job.steps) {
@@ -204,7 +204,7 @@
 		this.opts.progress.mark(job);
 	}
 
-	/** Without one member the others of a gang wait in vain. */
+	/** Stops all members of a gang: without one member, the others would wait forever. */
 	private breakGang(task: jobs.Task): void {
 		if (!task.step.spec.gang) return;
 		for (const other of task.step.tasks) this.stop(other);
@@ -217,16 +217,16 @@
 	}
 }
 
-/** Whether a run that was lost with its worker may have brought it down. */
+/** Whether a run that was lost with its worker may have crashed it. */
 function mayHaveCrashed(session: sessions.WorkerSession, place: types.Placement): boolean {
 	const { sentAt, confirmedAt } = place;
 	const { failedAt = Infinity } = session;
-	// A worker that ends as planned was brought down by nobody, nor by a start that was never sent.
+	// A planned end of the worker was caused by no run, and a start that was never sent caused nothing.
 	if (sentAt === undefined || session.endsAsPlanned) return false;
-	// It had ceased to answer before.
+	// The worker had stopped answering before the start was sent.
 	if (failedAt <= sentAt) return false;
-	// One that was left without an answer for longer was not carried out.
+	// The start was not carried out if it went unanswered for longer than this.
 	if (confirmedAt === 0) return failedAt - sentAt <= mostAnswerMs;
-	// A run that has worked for so long clears its task, so it clears itself.
+	// A run that has worked this long clears its task of suspicion, so it did not cause the crash itself.
 	return session.answeredAt - confirmedAt < jobs.mostToClearMs;
 }
--- a/src/core/dispatch/progress-saver.ts
+++ b/src/core/dispatch/progress-saver.ts
@@ -1,87 +1,88 @@
 /**
- * Stores the progress of jobs: what changed while a write was under way goes into the next one, and several writes of
- * different jobs are under way where one would not hold what waits.
+ * Stores the progress of jobs by group commit. Changes made during a write go into the next one. Several writes of different
+ * jobs run at once if one write can't hold all that waits.
  *
- * Load pattern: a hundred jobs have tasks ending all the time, several writes' worth, and one of them is done or a lasting
- * task of it waits to be started. In turn it would be stored some writes later, with its caller or its users waiting; so
- * what somebody waits for goes before other progress that has waited for little longer. Where jobs end faster than writes
- * take them, the others still have their turn: no worker may forget an end before it is stored, nor any end after it.
+ * Load pattern: tasks of a hundred jobs, enough for several writes, finish all the time. One of the jobs is done, or one of
+ * its long-running tasks waits to be started. In plain order of arrival that job would be stored several writes later, while
+ * its caller or its users wait. So progress that somebody waits for goes before other progress that has waited only a little
+ * longer. If jobs finish faster than writes can store them, the others still get their turn: a worker may discard an exit,
+ * and every later one, only once it is stored.
  */
 import * as clocks from '../clock.js';
 import * as ledger from '../ledger/index.js';
 import * as settings from './settings.js';
 import type * as jobs from '../jobs/index.js';
 
-/** Writes under way at once, at most: each takes its part of what the store and the owner's processor bear. */
+/** Maximum number of concurrent writes: each takes store capacity and processor time of the owner. */
 const mostWrites = 3;
 
-/** The same where the store is so slow that these would not take all that waits in time. */
+/** Maximum number of concurrent writes if the store is so slow that fewer would not take everything in time. */
 const mostWritesBehind = 8;
 
-/** What has waited for longest is to be in a write within this time, in milliseconds. */
+/** The longest-waiting change has to be in a write within this time, in milliseconds. */
 const longestWaitMs = 1_000;
 
-/** A write that failed is tried again after this many milliseconds. */
+/** Delay before a failed write is retried, in milliseconds. */
 const retryMs = 150;
 
-/** A job whose progress the store refuses is set aside for so long, in milliseconds. */
+/** Delay before the progress of a job is written again after the store refused it, in milliseconds. */
 const asideMs = 5_000;
 
-/** Progress that nobody waits for is passed over by what is waited for and changed up to this much later, in milliseconds. */
+/** Progress that somebody waits for is written as if it had changed this much earlier, in milliseconds. */
 const patienceMs = 1_000;
 
-/** Where progress goes. */
+/** Writes progress records, by job, in one write. */
 export type SaveProgress = (batch: Map<string, jobs.ProgressRecord>) => Promise<ledger.WriteOutcome>;
 
-/** Settings of a saver. */
+/** Options of a saver. */
 export interface SaverOptions {
 	clock: clocks.Clock;
 	save: SaveProgress;
-	/** A job's progress is stored in this state. */
+	/** Called when a job's progress is stored; `state` is the state it was stored in. */
 	onSaved: (job: jobs.ActiveJob, state: jobs.JobState) => void;
-	/** Another box has taken over. */
+	/** Called when another box has taken over. */
 	onSuperseded: () => void;
-	/** The store refuses a job's progress; it is tried again after a while. */
+	/** Called when the store refuses a job's progress. The saver tries it again later. */
 	onRefused: (job: jobs.ActiveJob) => void;
-	/** A write failed; it is tried again. */
+	/** Called when a write failed. The saver tries it again. */
 	onFailure: (outcome: ledger.WriteOutcome) => void;
 }
 
 interface Waiter {
-	/** Jobs that have to be stored first, each with the number of the change that the stored state has to hold. */
+	/** Jobs that have to be stored first, each with the number of the change that its stored state has to include. */
 	missing: Map<jobs.ActiveJob, number>;
 	done: () => void;
 }
 
-/** One write: the jobs that it stores, each with the number of its newest change by then. */
+/** One write: its jobs, each with the number of its newest change at the start of the write. */
 type Batch = ReadonlyMap<jobs.ActiveJob, number>;
 
-/** Group commit of jobs' progress. */
+/** Stores the progress of jobs by group commit. */
 export class ProgressSaver {
-	/** Changed, and in no write under way; each with the clock time since when. */
+	/** Changed jobs that are in no write under way, each with the clock time of its oldest unstored change. */
 	private readonly dirty = new Map<jobs.ActiveJob, number>();
-	/** Changed, and refused by the store a short while ago: in no write until that is over. */
+	/** Changed jobs that the store refused recently. They are in no write until their delay is over. */
 	private readonly aside = new Set<jobs.ActiveJob>();
-	/** Refused when last written: they are written alone, so that they hold up no others. */
+	/** Jobs whose last write was refused. They are written alone so that they don't delay others. */
 	private readonly suspects = new WeakSet<jobs.ActiveJob>();
-	/** Of those and of what changed since its write began: jobs for whose storing somebody waits. */
+	/** Jobs that are changed or were changed during their write, and whose storing somebody waits for. */
 	private readonly awaited = new Set<jobs.ActiveJob>();
-	/** In a write under way. */
+	/** Jobs in a write under way. */
 	private readonly inFlight = new Set<jobs.ActiveJob>();
-	/** Changed since their write began: a job's writes follow one another. */
+	/** Jobs changed since their write began. A job is in one write at a time. */
 	private readonly changedInFlight = new Set<jobs.ActiveJob>();
 	/** Number of each job's newest change. */
 	private readonly changes = new WeakMap<jobs.ActiveJob, number>();
 	private waiters: Waiter[] = [];
-	/** Halves of batches that the store refused: each is a write of its own, until the job that it refuses stands alone. */
+	/** Halves of refused batches. Each half is a write of its own, so that in the end the refused job is written alone. */
 	private halves: jobs.ActiveJob[][] = [];
-	/** Number of the newest change of all. */
+	/** Number of the newest change of any job. */
 	private change = 0;
-	/** Writes under way. */
+	/** Number of writes under way. */
 	private writes = 0;
-	/** How long the newest write that was stored took, in milliseconds. */
+	/** Duration of the newest successful write, in milliseconds. */
 	private writeMs = 0;
-	/** The next write begins after a while. */
+	/** The next write is scheduled. */
 	private isDue = false;
 	private closed = false;
 
@@ -91,7 +92,7 @@
 		return new ProgressSaver(opts);
 	}
 
-	/** Marks a job as changed; `awaited`: somebody waits until that is stored, as always for a job's end. */
+	/** Marks a job as changed. `awaited`: somebody waits for the change to be stored, which is always so for a job's end. */
 	mark(job: jobs.ActiveJob, awaited = job.ended): void {
 		this.change += 1;
 		this.changes.set(job, this.change);
@@ -124,7 +125,9 @@
 		this.closed = true;
 	}
 
-	/** Begins another write, unless those under way will do: at once for a whole batch, else after a while. */
+	/**
+	 * Schedules the next write, unless the writes under way suffice: immediately for a full batch, otherwise after a delay.
+	 */
 	private plan(): void {
 		if (this.isDue || this.closed || !this.needsWrite()) return;
 		this.isDue = true;
@@ -136,12 +139,15 @@
 		});
 	}
 
-	/** Whether a write should begin: the first one for any change, another for a whole batch. */
+	/** Whether a write should begin: the first write for any change, another one only for a full batch. */
 	private needsWrite(): boolean {
 		return this.writes === 0 ? this.dirty.size > 0 : this.writes < this.writesAllowed && this.hasWholeBatch;
 	}
 
-	/** Writes that may be under way: as many as take all that waits in the time that is left, as long as they take now. */
+	/**
+	 * Number of writes that may be under way: enough to write everything that waits within the time left, given how long the
+	 * newest write took.
+	 */
 	private get writesAllowed(): number {
 		const now = this.opts.clock.now();
 		const [oldestAt = now] = this.dirty.values();
@@ -184,7 +190,7 @@
 		this.plan();
 	}
 
-	/** The jobs of the next write; a suspect whose turn has come stands alone. */
+	/** The jobs of the next write. A job that was refused before is written alone. */
 	private nextBatch(urgent: ReadonlySet<jobs.ActiveJob>): jobs.ActiveJob[] {
 		for (let half = this.halves.shift(); half !== undefined; half = this.halves.shift()) {
 			const unstored = half.filter((job) => this.dirty.has(job));
@@ -201,7 +207,7 @@
 		this.opts.onSaved(job, state);
 	}
 
-	/** What could not be stored is marked again; `batch`: the clock time from which each job has waited. */
+	/** Marks the jobs of a failed write as changed again. `batch`: the clock time since which each job has waited. */
 	private async noteFailure(
 		outcome: ledger.WriteOutcome,
 		batch: ReadonlyMap<jobs.ActiveJob, number>,
@@ -223,7 +229,7 @@
 			return;
 		}
 		this.opts.onFailure(outcome);
-		// After a conflict the versions are known again, so the next write need not wait.
+		// A conflict makes the stored versions known again, so the next write need not wait.
 		if (outcome === 'failed') await clocks.sleep(this.opts.clock, retryMs);
 	}
 
@@ -232,7 +238,7 @@
 		this.halves.push(batch.slice(0, middle), batch.slice(middle));
 	}
 
-	/** One job's progress is refused, whatever it is written with: the others go on without it. */
+	/** Postpones a job whose progress was refused when it was written alone. The other jobs go on without it. */
 	private setAside(job: jobs.ActiveJob): void {
 		this.suspects.add(job);
 		this.dirty.delete(job);
@@ -244,12 +250,12 @@
 		});
 	}
 
-	/** Answers those who waited for these jobs only. */
+	/** Resolves the waiters whose changes are all stored. */
 	private settle(saved: Batch): void {
 		const open: Waiter[] = [];
 		for (const waiter of this.waiters) {
 			for (const [job, change] of saved) {
-				// A change made while this write was under way waits for the next one.
+				// A change made during this write waits for the next one.
 				if ((waiter.missing.get(job) ?? Infinity) <= change) waiter.missing.delete(job);
 			}
 			if (waiter.missing.size === 0) waiter.done();
@@ -260,8 +266,8 @@
 }
 
 /**
- * What the next write holds: what has been changed for longest, where what is waited for counts as changed by `patienceMs`
- * earlier; `dirty`: clock times of the changes.
+ * Chooses the jobs of the next write: those changed longest ago, where jobs that somebody waits for count as changed
+ * `awaitedHeadStartMs` earlier. `dirty`: clock times of the changes.
  */
 export function chooseBatch<T>(dirty: ReadonlyMap<T, number>, awaited: ReadonlySet<T>): T[] {
 	const others = [...dirty.keys()].filter((one) => !awaited.has(one));
