--- a/src/core/dispatch/crash-blame.ts
+++ b/src/core/dispatch/crash-blame.ts
@@ -1,7 +1,7 @@
 /**
- * Whom the crash of a worker is held against. A crash breaks the worker's connections, so its moment is known closely; a
- * run that was sent just before is suspected, and one that had been at work for a while is not. Workers that go down at one
- * moment have a cause of their own, unless a step was started on all of them just then.
+ * Attributes a worker's crash to the runs that may have caused it. A crash breaks the worker's connections, so its time is
+ * known closely. A run that was sent just before is suspected, and one that had worked for a while is not. Workers that
+ * crash at the same moment have a common cause outside their runs, unless one step was started on all of them just before.
  */
 import type * as clocks from '../clock.js';
 import type * as jobs from '../jobs/index.js';
@@ -9,28 +9,32 @@
 import type * as types from './types.js';
 
 /**
- * A run that was sent so long before its worker ceased to answer may have brought it down, in milliseconds: the way there
- * and a crash at once. What takes longer to crash befalls neighbours that were started meanwhile too, and names nobody.
+ * A run that was sent at most this long before its worker stopped answering may have crashed it, in milliseconds: the time
+ * for the start to arrive plus an immediate crash. A run that takes longer to crash its worker also takes down neighbours
+ * that were started meanwhile, so no run can be singled out.
  */
 export const suspicionMs = 150;
 
-/** Workers that cease to answer within this of each other have one cause, in milliseconds: they break off together. */
+/**
+ * Workers that stop answering within this interval have a common cause, in milliseconds: their connections break at the same
+ * time.
+ */
 const togetherMs = 60;
 
-/** Crashes are compared with those of the last so many milliseconds: longer than the longest lease. */
+/** How long crashes are kept for comparison, in milliseconds: longer than the longest lease. */
 const rememberedMs = 15_000;
 
-/** A worker that ceased to answer. */
+/** A worker that stopped answering. */
 interface Silence {
 	worker: string;
 	at: number;
-	/** Runs that may have brought it down. */
+	/** Runs that may have crashed it. */
 	suspects: types.Placement[];
 }
 
-/** Remembers which workers ceased to answer. */
+/** Records which workers stopped answering, and attributes their crashes. */
 export class CrashBlame {
-	/** The oldest first. */
+	/** Oldest first. */
 	private silences: Silence[] = [];
 
 	private constructor(private readonly clock: clocks.Clock) {}
@@ -39,7 +43,7 @@
 		return new CrashBlame(clock);
 	}
 
-	/** A worker ceases to answer. */
+	/** Records that a worker stopped answering. */
 	noteSilence(session: sessions.WorkerSession): void {
 		const now = this.clock.now();
 		const { id: worker, failedAt: at = now } = session;
@@ -47,7 +51,7 @@
 		this.silences.push({ worker, at, suspects: suspectsOn(session, at) });
 	}
 
-	/** Runs that seem to have brought a worker down, which has not answered since it was last noted. */
+	/** Runs to which the crash of a worker is attributed, as of the newest time it stopped answering. */
 	blamed(worker: string): Set<types.Placement> {
 		const silence = this.silences.findLast((one) => one.worker === worker);
 		if (silence === undefined) return new Set();
@@ -61,8 +65,9 @@
 }
 
 /**
- * The runs that a worker's silence followed closely. Beside one on probation nothing was started, so it alone is suspected;
- * elsewhere a second suspicion would rest on one that several shared.
+ * The runs that were sent shortly before a worker stopped answering. Nothing is started beside a run on probation, so such a
+ * run is the only suspect. Other runs of a task that is already under suspicion are left out: its first suspicion may have
+ * been shared with others, and a second one would rest on it.
  */
 function suspectsOn(session: sessions.WorkerSession, at: number): types.Placement[] {
 	const { placements, probation } = session;
--- a/src/core/dispatch/harm-exemptions.ts
+++ b/src/core/dispatch/harm-exemptions.ts
@@ -1,6 +1,6 @@
 /**
- * Filling tasks that were placed whatever harm they do, because they had waited too long: one of a step at a time, one on a
- * worker, and few at work in all, so that the users of serving tasks pay a bounded price for it.
+ * Preemptible tasks that were placed regardless of interference because they had waited too long. One task of a step at a
+ * time, one on a worker, and few working in all: this limits the cost to the users of serving tasks.
  */
 import * as settings from './settings.js';
 import type * as jobs from '../jobs/index.js';
@@ -19,35 +19,35 @@
 		return new HarmExemptions();
 	}
 
-	/** Whether a step that has waited so long may have one, in a pool with so many open workers. */
+	/** Whether a step that has waited this long may have an exemption, in a pool with `workers` open workers. */
 	isFree(step: jobs.StepRun, waitedMs: number, workers: number): boolean {
 		this.prune();
 		const places = [...this.granted.values()];
-		// One that stands still for its neighbours harms nobody.
+		// A task paused for its neighbours interferes with nobody.
 		const atWork = places.filter((place) => place.pace > 0).length;
 		if (atWork >= Math.ceil(workers * partFor(waitedMs))) return false;
 		return !places.some((place) => place.task.step === step);
 	}
 
-	/** Whether a worker holds a task under one. */
+	/** Whether a worker holds a task with an exemption. */
 	isOn(session: sessions.WorkerSession): boolean {
 		return this.granted.has(session);
 	}
 
-	/** A task is placed under one. */
+	/** Records an exemption for a placed task. */
 	grant(session: sessions.WorkerSession, place: types.Placement): void {
 		place.exempt = true;
 		this.granted.set(session, place);
 	}
 
-	/** Forgets those whose task is not there any more. */
+	/** Drops the exemptions of tasks that have left their workers. */
 	private prune(): void {
 		for (const [session, place] of this.granted)
 			if (session.placements.get(place.task.name) !== place) this.granted.delete(session);
 	}
 }
 
-/** Part of the workers that may hold such tasks: the longer the wait, the more. */
+/** Maximum share of the workers that may hold exempt tasks. It grows with the wait. */
 function partFor(waitedMs: number): number {
 	return Math.min(settings.mostExemptPart, (settings.exemptPart * waitedMs) / settings.starvedMs);
 }
--- a/src/core/dispatch/image-model.ts
+++ b/src/core/dispatch/image-model.ts
@@ -1,36 +1,39 @@
 /**
  * Regression model of one serving image: how much each neighbour image raises the busy part of its tasks.
  *
- * The unknowns are the slopes, one a neighbour image, learnt by ridge regression: each starts from a first guess that
- * enters the sums as evidence of a small weight, and old evidence fades.
+ * The unknowns are the slopes, one for each neighbour image. They are learned by ridge regression: an initial guess enters
+ * the sums as evidence with a small weight, and old evidence decays.
  */
 
-/** First guess of a pair's slope. */
+/** Initial guess of a pair's slope. */
 const firstSlope = 0.7;
 
-/** Weight of the first guess, in squared shares; a tenth of a worker seen for five reports outweighs it. */
+/** Weight of the initial guess, in squared shares. Five reports of a neighbour with a tenth of the worker match it. */
 const firstWeight = 0.05;
 
-/** Part of the evidence that each new report keeps: about the last two thousand reports count. */
+/** Factor by which each new report reduces earlier evidence: about the last two thousand reports count. */
 const keptEvidence = 0.9995;
 
-/** First guess of the tail of an idle task, as a part of its target. */
+/** Initial guess of an idle task's tail latency, as a share of its target. */
 const firstIdle = 1 / 6;
 
-/** The lowest tail seen is about that of an idle task; readings are rough. */
+/**
+ * Tail latency of an idle task, as a share of the lowest one seen. The lowest is about that of an idle task; readings are
+ * noisy.
+ */
 const idlePerLowest = 0.95;
 
-/** A busy part raised by more than this is taken for this: an overload shows how far only roughly. */
+/** Upper bound for an observed increase of the busy part: in an overload it can only be measured roughly. */
 const mostRaised = 1.5;
 
 /** Share of the worker by neighbour image. */
 export type Shares = ReadonlyMap<string, number>;
 
-/** What was learnt of one serving image, in a form that another owner can go on from. */
+/** What was learned of one serving image, in the form from which another owner continues. */
 export interface LearntImage {
-	/** Lowest tail seen, in milliseconds. */
+	/** Lowest tail latency seen, in milliseconds. */
 	lowest: number;
-	/** Neighbour images in the order of the unknowns. */
+	/** Neighbour images, in the order of the unknowns. */
 	images: string[];
 	/** Weighted sums of products of the inputs. */
 	products: number[][];
@@ -39,20 +42,20 @@
 }
 
 /**
- * The equations are solved anew once so many new reports, as a part of those that count, have come in. Solving takes
- * thousands of steps and one report of many moves a slope by less than this part.
+ * Share of the counted reports that has to be new before the equations are solved again. Solving takes thousands of
+ * operations, and one report among many moves a slope by less than this share.
  */
 const newPart = 0.01;
 
-/** So many reports count, old ones having faded. */
+/** Number of reports that count; older ones have decayed. */
 const mostReports = 2_000;
 
 /** The model of one serving image. */
 export class ImageModel {
-	/** Slope by neighbour image; undefined: to be solved for. */
+	/** Slope by neighbour image; undefined: the equations have to be solved again. */
 	private slopes: ReadonlyMap<string, number> | undefined;
 	private readonly known: Set<string>;
-	/** Reports that count, and those among them that came after the newest solution. */
+	/** Number of reports that count, and of reports since the equations were last solved. */
 	private reports = 0;
 	private newReports = 0;
 
@@ -64,32 +67,34 @@
 		return new ImageModel({ lowest: Infinity, images: [], products: [], results: [] });
 	}
 
-	/** Goes on from what another owner learnt. */
+	/** Continues from what another owner learned. */
 	static restore(learnt: LearntImage): ImageModel {
 		return new ImageModel(structuredClone(learnt));
 	}
 
-	/** What was learnt so far; its lists stay in use here, so whoever goes on from them copies them. */
+	/** What was learned so far. The lists in it are still updated here, so a caller that keeps them has to copy them. */
 	get learnt(): LearntImage {
 		return { ...this.sums };
 	}
 
-	/** Neighbour images that are known. */
+	/** Known neighbour images. */
 	get neighbours(): readonly string[] {
 		return this.sums.images;
 	}
 
-	/** Takes in a tail, in milliseconds. */
+	/** Takes in an observed tail latency, in milliseconds. */
 	noteTail(tail: number): void {
 		this.sums.lowest = Math.min(this.sums.lowest, tail);
 	}
 
-	/** Busy part of a task with this tail and target, in milliseconds. */
+	/** Busy part of a task with this tail latency and target, both in milliseconds. */
 	busyPart(tail: number, targetMs: number): number {
 		return Math.max(0, 1 - this.idleTail(targetMs) / tail);
 	}
 
-	/** Learns that neighbours with these shares raised the busy part by `raised`, as a part of the load. */
+	/**
+	 * Learns from one reading: neighbours with these shares raised the busy part by `increase`, as a multiple of the load.
+	 */
 	learn(shares: Shares, raised: number): void {
 		for (const image of shares.keys()) if (!this.known.has(image)) this.addImage(image);
 		const { images, products, results } = this.sums;
@@ -106,24 +111,24 @@
 		if (this.newReports >= this.reports * newPart) this.slopes = undefined;
 	}
 
-	/** How much a whole worker of a neighbour raises the busy part; a neighbour never lowers it. */
+	/** How much a neighbour that takes a whole worker raises the busy part. A neighbour never lowers it. */
 	slope(neighbour: string): number {
 		return (this.slopes ?? this.solve()).get(neighbour) ?? firstSlope;
 	}
 
-	/** How much all these neighbours together raise the busy part. */
+	/** How much these neighbours together raise the busy part. */
 	disturbance(shares: Shares): number {
 		let sum = 0;
 		for (const [image, share] of shares) sum += this.slope(image) * share;
 		return sum;
 	}
 
-	/** Tail of an idle task, in milliseconds. */
+	/** Tail latency of an idle task, in milliseconds. */
 	private idleTail(targetMs: number): number {
 		return Math.min(targetMs * firstIdle, this.sums.lowest * idlePerLowest);
 	}
 
-	/** Adds an image's unknown, with the first guess of its slope. */
+	/** Adds the unknown of an image, with the initial guess of its slope. */
 	private addImage(image: string): void {
 		const { images, products, results } = this.sums;
 		this.known.add(image);
@@ -134,7 +139,7 @@
 		this.slopes = undefined;
 	}
 
-	/** Solves the equations by elimination; the first guesses keep them regular. */
+	/** Solves the equations by elimination. The initial guesses keep the matrix regular. */
 	private solve(): ReadonlyMap<string, number> {
 		const { images, products, results } = this.sums;
 		const size = results.length;
@@ -147,7 +152,7 @@
 	}
 }
 
-/** Clears a column in every row but its own; the matrix is positive definite, so no rows change places. */
+/** Eliminates a column from every row but the pivot's. The matrix is positive definite, so no rows need swapping. */
 function eliminate(rows: number[][], pivot: number): void {
 	const pivotRow = rows[pivot] ?? [];
 	const head = pivotRow[pivot] ?? 1;
--- a/src/core/dispatch/interference.ts
+++ b/src/core/dispatch/interference.ts
@@ -1,10 +1,10 @@
 /**
- * Learns how much the tasks beside it disturb a task that serves users, by pairs of images.
+ * Learns how much neighbours interfere with a serving task, by pairs of images.
  *
- * A serving task is taken for a queue: its tail is `idle / (1 - busy)`, and its busy part is its step's load, times one
- * plus the sum over its neighbours of a pair's slope times the neighbour's share of the worker. The slopes are learnt
- * by ridge regression over all reports; names of images mean nothing beyond a day, so all is learnt anew from a
- * cautious first guess. docs/decisions/0011-interference.md has the measurements behind the form.
+ * A serving task is modelled as a queue. Its tail latency is `idle / (1 - busy)`. Its busy part is its step's load, times
+ * one plus the sum over its neighbours of the pair's slope times the neighbour's share of the worker. The slopes are learned
+ * by ridge regression over all reports. Image names mean nothing beyond a day, so everything is learned anew from a cautious
+ * initial guess. docs/decisions/0011-interference.md has the measurements behind the model.
  */
 import * as imageModel from './image-model.js';
 import * as stored from './knowledge.js';
@@ -17,101 +17,104 @@
 import type * as types from './types.js';
 import type * as waveFit from './wave-fit.js';
 
-/** A reading covers so long, in milliseconds: a neighbour that started in between counts in part. */
+/** Time that a reading covers, in milliseconds. A neighbour that started within it counts in part. */
 const readingMs = 600;
 
-/** A profile of a worker is worked out anew after so long, in milliseconds: loads and slopes move slowly. */
+/** Maximum age of a worker's cached profile, in milliseconds: loads and slopes change slowly. */
 const profileMs = 250;
 
-/** Loads are predicted for so long ahead, in milliseconds: half of what a filling task usually runs. */
+/** How far ahead loads are predicted, in milliseconds: half of a preemptible task's usual run time. */
 const aheadMs = 900;
 
 /**
- * Of the tasks that are expected this much busier than their target allows, none, and all, go over it during the next
- * seconds; in between the part rises about evenly.
+ * Bounds for how much busier a task is expected to be than its target allows. Below the first, no such task exceeds its
+ * target during the next seconds; above the second, all do. In between, the share rises about linearly.
  */
 const surelyUnder = -0.16;
 const surelyOver = 0.24;
 
-/** A load that an earlier owner learnt is of use for so long, in milliseconds: one or two of its periods. */
+/** Maximum age of a load that an earlier owner learned, in milliseconds: one or two of its periods. */
 const inheritedMs = 20_000;
 
-/** Above this part of a worker's cores in use, every serving task there is disturbed, whatever uses them. */
+/** Above this share of a worker's cores in use, every serving task there suffers interference, whatever uses the cores. */
 const crowdedUse = 0.9;
 
-/** The part of its reservation that a lasting task of unknown load uses. */
+/** The share of its reservation that a long-running task of unknown load uses. */
 const usualUse = 0.5;
 
 /**
- * After a tail went over its target, readings stay high for a while whatever the neighbours do: what has queued up
- * has to be worked off. Nothing is learnt from readings for so long, in milliseconds.
+ * After a task's tail latency exceeded its target, readings stay high for a while whatever the neighbours do, because the
+ * queue has to be worked off. Nothing is learned from readings during this time, in milliseconds.
  */
 const overloadMs = 1_800;
 
-/** A reading under this part of its target shows that a task is not over it any more. */
+/** A reading below this share of the target shows that a task no longer exceeds the target. */
 const clearlyUnderPart = 0.8;
 
-/** Under this load a tail is too close to that of an idle task to tell anything. */
+/** Below this load, a tail latency is too close to that of an idle task to be informative. */
 const leastLoad = 0.35;
 
-/** Mean difference of slopes from which two serving images count as wholly unlike. */
+/** Mean difference of slopes from which two serving images count as entirely dissimilar. */
 const unlikeSlope = 1;
 
-/** A serving task, its load when a neighbour placed now is at work, and how much those there raise its busy part. */
+/** A serving task with its predicted load, and how much its neighbours raise its busy part. */
 interface ServingProfile {
 	image: string;
 	load: number;
 	disturbance: number;
-	/** How much a whole worker of cores in use beyond `crowdedUse` raises it further. */
+	/** How much contention raises its busy part, per whole worker of cores in use beyond `contentionThreshold`. */
 	crowdingSlope: number;
-	/** Busy part from which it is over its target. */
+	/** Busy part above which it exceeds its target. */
 	limit: number;
 }
 
-/** The serving tasks of a worker, worked out for one state of it. */
+/** The serving tasks of a worker, computed for one revision of its placements. */
 interface Profile {
 	revision: number;
 	at: number;
 	tasks: ServingProfile[];
-	/** Part of the worker's cores in use. */
+	/** Share of the worker's cores in use. */
 	use: number;
 }
 
-/** Unlike shares of a worker, worked out for one state of it. */
+/** Dissimilar shares of a worker by image, computed for one revision of its placements. */
 interface UnlikeShares {
 	revision: number;
 	at: number;
 	byImage: Map<string, number | undefined>;
 }
 
-/** What stood beside a worker's serving tasks during its newest readings. */
+/** What ran beside a worker's serving tasks during its newest readings. */
 interface Surroundings {
 	shares: imageModel.Shares;
-	/** Nothing changed while the readings were taken. */
+	/** The neighbours did not change while the readings were taken. */
 	steady: boolean;
-	/** When a neighbour was last slowed or taken away. */
+	/** Clock time at which a neighbour was last throttled or taken away. */
 	relievedAt: number;
 	now: number;
 }
 
-/** Estimates of disturbance, over all workers of one owner. */
+/** Estimates of interference, over all workers of one owner. */
 export class Interference {
 	private readonly models = new Map<string, imageModel.ImageModel>();
 	private readonly profiles = new WeakMap<sessions.WorkerSession, Profile>();
 	private readonly unlikeShares = new WeakMap<sessions.WorkerSession, UnlikeShares>();
 	private readonly waves = new Map<jobs.StepRun, loadWave.LoadWave>();
-	/** Of steps that have ended, whose tasks may still be stopping: kept no longer than the step. */
+	/** Loads of ended steps whose tasks may still be stopping. They are kept only as long as the step itself. */
 	private readonly endedWaves = new WeakMap<jobs.StepRun, loadWave.LoadWave>();
-	/** By image: its steps swing alike, each in a phase of its own. */
+	/** By image: the loads of its steps oscillate with the same period, each with its own phase. */
 	private readonly periods = new Map<string, loadWave.LoadPeriod>();
 
-	/** By pair of images, as of a moment ago: each choice asks for hundreds of them. */
+	/** Dissimilarities by pair of images, cached for `profileMaxAgeMs`: each choice of a worker reads hundreds of them. */
 	private readonly unlikenesses = new Map<string, number>();
 	private unlikenessAt = -Infinity;
 
-	/** What an earlier owner learnt of loads whose steps have not reported to this one yet. */
+	/** Loads that an earlier owner learned, of steps that have not reported to this owner yet. */
 	private readonly inherited = new Map<string, waveFit.WaveSums>();
-	/** From the steady clock to the wall clock, as it stood at the beginning: later jumps of that clock change nothing. */
+	/**
+	 * Offset from the monotonic clock to the wall clock, taken at creation so that later jumps of the wall clock change
+	 * nothing.
+	 */
 	private readonly wallOffset: number;
 
 	private constructor(private readonly clock: clocks.Clock) {
@@ -122,7 +125,7 @@
 		return new Interference(clock);
 	}
 
-	/** What was learnt so far. */
+	/** Everything learned so far. */
 	knowledge(): stored.Knowledge {
 		const time = this.time();
 		const images = [...this.models].map(([image, model]) => [image, model.learnt] as const);
@@ -139,7 +142,7 @@
 		};
 	}
 
-	/** Goes on from what another owner learnt; false: it is stored in the form of another version. */
+	/** Continues from what another owner learned; false: it is stored in another format version. */
 	adopt(knowledge: stored.Knowledge): boolean {
 		if (knowledge.format !== stored.format) return false;
 		const { images, periods, loads } = knowledge;
@@ -161,7 +164,7 @@
 			.filter((place) => place.reading > 0 && place.percent === 100);
 		const now = this.clock.now();
 		for (const place of atWork) noteOver(session, place, now);
-		// Before the platform has named the worker, its size is not known.
+		// Until the platform has listed the worker, its size is not known.
 		if (atWork.length === 0 || session.entry === undefined) return;
 		const shares = neighbours.sharesOf(session, (place) => partOfReading(place, now));
 		const crowding = crowdingAt(this.useOf(session, this.time() - loadWave.readingAgeMs));
@@ -175,8 +178,8 @@
 	}
 
 	/**
-	 * How many serving tasks of a worker one more neighbour is expected to keep over their targets, beyond those that are
-	 * so already; parts count for those that go over for a part of the time.
+	 * Expected number of serving tasks on a worker that one more neighbour would push over their targets, in addition to
+	 * those that exceed them already. A task that exceeds its target for a part of the time counts for that part.
 	 */
 	harmOf(session: sessions.WorkerSession, image: string, share: number): number {
 		const { tasks, use } = this.profile(session);
@@ -189,19 +192,19 @@
 		return harm;
 	}
 
-	/** Part of a worker's cores that is in use when a neighbour placed now is at work. */
+	/** Share of a worker's cores that is expected to be in use while a neighbour placed at this moment works. */
 	expectedUse(session: sessions.WorkerSession): number {
 		return this.profile(session).use;
 	}
 
-	/** How much a neighbour raises a serving image's busy part, a whole worker of it. */
+	/** How much a neighbour that takes a whole worker raises a serving image's busy part, as a multiple of its load. */
 	slope(serving: string, neighbour: string): number {
 		return this.model(serving).slope(neighbour);
 	}
 
 	/**
-	 * How differently two serving images are disturbed, 0 to 1: 1 where a neighbour that one does not mind overloads the
-	 * other, or nothing is known.
+	 * How differently two serving images react to their neighbours, 0 to 1. It is 1 if a neighbour that one tolerates
+	 * overloads the other, or if nothing is known.
 	 */
 	unlikeness(one: string, other: string): number {
 		if (one === other) return 0;
@@ -219,8 +222,8 @@
 	}
 
 	/**
-	 * Part of the worker's serving cores whose images are disturbed by other neighbours than `image` is; undefined: nothing
-	 * serves there.
+	 * Share of the worker's serving cores whose images react to other neighbours than `image` does; undefined: no serving
+	 * task is placed there.
 	 */
 	unlikeShare(image: string, session: sessions.WorkerSession): number | undefined {
 		const known = this.unlikeShares.get(session);
@@ -265,7 +268,7 @@
 		model.noteTail(place.reading);
 		const isOver = place.reading > targetMs;
 		const relievedLately = now - relievedAt < overloadMs;
-		// Relieved of a neighbour, it still has to work off what has queued up.
+		// After a neighbour was removed or throttled, the task still has to work off its queue.
 		if (relievedLately && now - place.overAt < overloadMs) return;
 		const busy = model.busyPart(place.reading, targetMs);
 		const wave = this.wave(place.task.step);
@@ -274,18 +277,18 @@
 		if (!wave.isComparable(time)) return;
 		const load = wave.loadAt(time - loadWave.readingAgeMs, time);
 		if (load <= leastLoad) return;
-		// Of readings under changed neighbours, only those over the target are evidence.
+		// A reading taken while neighbours changed is evidence only if it exceeds the target.
 		if (steady || isOver) model.learn(shares, busy / load - 1);
 	}
 
-	/** A lasting step has ended: nothing that is learnt of its load from now on is of use to others. */
+	/** Sets the load of an ended long-running step aside: it is of no use to other steps. */
 	forget(step: jobs.StepRun): void {
 		const wave = this.waves.get(step);
 		this.waves.delete(step);
 		if (wave !== undefined) this.setAside(step, wave);
 	}
 
-	/** The serving tasks of a worker beside what is placed there. */
+	/** The serving tasks of a worker as they affect the placement of a neighbour; cached for `profileMaxAgeMs`. */
 	private profile(session: sessions.WorkerSession): Profile {
 		const known = this.profiles.get(session);
 		const now = this.clock.now();
@@ -311,7 +314,10 @@
 		return profile;
 	}
 
-	/** Part of a worker's cores in use at a time: what fills and short tasks use all, lasting ones by their loads. */
+	/**
+	 * Share of a worker's cores in use at a time. Preemptible and short tasks use all they reserve; long-running ones use a
+	 * part that follows their load.
+	 */
 	private useOf(session: sessions.WorkerSession, time: number): number {
 		let idle = 0;
 		for (const { task } of session.placements.values()) {
@@ -327,7 +333,7 @@
 		return this.wave(step).loadAt(time, this.time());
 	}
 
-	/** Now, in the time that loads are kept in. */
+	/** Wall-clock time by the monotonic clock, in which loads are kept. */
 	private time(): number {
 		return this.clock.now() + this.wallOffset;
 	}
@@ -341,7 +347,7 @@
 		return created;
 	}
 
-	/** Until the tasks of an ended step have stopped, looks at their worker still ask for its load. */
+	/** Keeps an ended step's load out of the choice of the period. It is still read until the step's tasks have stopped. */
 	private setAside(step: jobs.StepRun, wave: loadWave.LoadWave): void {
 		this.period(step.spec.image).remove(wave);
 		this.endedWaves.set(step, wave);
@@ -371,31 +377,31 @@
 	}
 }
 
-/** Name of a step at one of its job's times. */
+/** Name of a step at one occurrence of its job. */
 function nameOf(step: jobs.StepRun): string {
 	return `${step.job.id}.${String(step.time)}.${String(step.number)}`;
 }
 
-/** Part of the newest reading during which a neighbour was at work. */
+/** Share of the newest reading's time in which a neighbour was working. */
 function partOfReading(place: types.Placement, now: number): number {
 	if (place.confirmedAt === 0) return 0;
 	return Math.min(1, (now - Math.max(place.confirmedAt, place.pacedAt)) / readingMs);
 }
 
-/** Part of the next seconds that a task is over its target, by its disturbance. */
+/** Share of the next seconds during which a task exceeds its target, given the interference with it. */
 function harmAt(task: ServingProfile, disturbance: number): number {
 	const beyond = task.load * (1 + disturbance) - task.limit;
 	return Math.min(1, Math.max(0, (beyond - surelyUnder) / (surelyOver - surelyUnder)));
 }
 
-/** Part of a worker's cores in use beyond what goes without disturbance. */
+/** Share of a worker's cores in use beyond the contention threshold. */
 function crowdingAt(use: number): number {
 	return Math.max(0, use - crowdedUse);
 }
 
 /**
- * Notes whether a task is over its target, and since when. It may have been over it for as long as nothing was heard of
- * its worker. Readings are rough: one just under the target ends nothing.
+ * Records whether a task exceeds its target, and since when. It may have done so since the worker's previous report.
+ * Readings are noisy: a single one just below the target does not end the excess.
  */
 function noteOver(session: sessions.WorkerSession, place: types.Placement, now: number): void {
 	const { reading, overSince, hasDipped } = place;
@@ -406,13 +412,13 @@
 		place.hasDipped = false;
 		return;
 	}
-	// Time without reports is no calm.
+	// Time without reports does not count as time below the target.
 	place.overAt = session.withoutUnheard(place.overAt);
 	place.hasDipped = overSince !== undefined && !hasDipped && reading > targetMs * clearlyUnderPart;
 	if (!place.hasDipped) place.overSince = undefined;
 }
 
-/** Clock time before which a run cannot have been over its target. */
+/** Clock time before which a run can't have exceeded its target. */
 function knownSince(place: types.Placement): number {
 	return placements.isFound(place) ? -Infinity : place.confirmedAt;
 }
--- a/src/core/dispatch/job-book.ts
+++ b/src/core/dispatch/job-book.ts
@@ -1,32 +1,35 @@
-/** The jobs that the owner knows: their states as callers are told, times that come due, and clearing away. */
+/** The jobs that the owner knows: reports their states to callers, opens due occurrences and deletes old jobs. */
 import * as jobs from '../jobs/index.js';
 import type * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 import type * as ledger from '../ledger/index.js';
 
-/** Ended jobs cleared from the store in one write: three keys each of 32. */
+/** Ended jobs deleted from the store in one write. Each takes three keys, of 32 in a write. */
 const clearBatch = 10;
 
-/** A job is known for so long after it was cleared from the store, in milliseconds: a list asked for before may name it. */
+/**
+ * How long a job stays known after it was deleted from the store, in milliseconds. A listing requested before the deletion
+ * may still name it.
+ */
 const forgetAfterMs = 10_000;
 
-/** Settings of a book. */
+/** Options of a registry. */
 export interface JobBookOptions {
 	clock: clocks.Clock;
 	events: events.EventLog;
-	/** A finished job's state is kept this long, in milliseconds. */
+	/** How long the state of an ended job is kept, in milliseconds. */
 	keepStateMs: number;
 	clearJobs: (ids: string[]) => Promise<ledger.WriteOutcome>;
-	/** Tasks that may be started from now on. */
+	/** Called for each task that may be started from now on. */
 	onReady: (task: jobs.Task) => void;
 }
 
 /** All jobs under one owner. */
 export class JobBook {
 	private readonly jobs = new Map<string, jobs.ActiveJob>();
-	/** Scheduled jobs whose next time has not come. */
+	/** Scheduled jobs whose next occurrence is not due yet. */
 	private readonly scheduled = new Set<jobs.ActiveJob>();
-	/** Jobs that the store keeps no more, with the clock time of that, the longest ago first. */
+	/** Jobs deleted from the store, each with the clock time of the deletion, oldest first. */
 	private readonly cleared = new Map<string, number>();
 	private clearing = false;
 
@@ -41,7 +44,7 @@
 		return this.jobs.get(id);
 	}
 
-	/** Takes in a job that an earlier owner may have started (`inherited`), or none. */
+	/** Adds a job and opens its due occurrences. `inherited`: an earlier owner may have started it. */
 	add(
 		record: jobs.JobRecord,
 		progress: jobs.ProgressRecord | undefined,
@@ -63,27 +66,30 @@
 		return job;
 	}
 
-	/** The task of that name; of a job that ended under an earlier owner only if a run of it was there. */
+	/**
+	 * The task of that name. For a job that ended under an earlier owner: only if `findTaskOfRun` was asked for the task's
+	 * occurrence before.
+	 */
 	findTask(name: string): jobs.Task | undefined {
 		return this.find(name, (job) => !job.ended);
 	}
 
-	/** The task of a run that is there, also of a job that has long ended: how much it takes is needed. */
+	/** The task of a reported run, even if its job ended long ago: the run's resource usage has to be counted. */
 	findRunning(name: string): jobs.Task | undefined {
 		return this.find(name, () => true);
 	}
 
-	/** How a job stands; undefined: not known here. */
+	/** Current state of a job as callers see it; undefined: the job is not known here. */
 	stateOf(id: string): jobs.JobState | undefined {
 		const job = this.jobs.get(id);
 		if (job === undefined) return undefined;
 		if (job.cancelled) return job.storedState === 'completed' ? 'completed' : 'cancelled';
-		// An end is told once it is stored: a successor must not run the job again.
+		// An end is reported only once it is stored: otherwise a successor might run the job again.
 		if (job.ended && job.storedState !== job.state) return 'running';
 		return job.state;
 	}
 
-	/** How a job stands, and why it has failed; undefined: not known here. */
+	/** Current state of a job, and why it failed; undefined: the job is not known here. */
 	viewOf(id: string): jobs.JobView | undefined {
 		const state = this.stateOf(id);
 		const failure = this.jobs.get(id)?.failure ?? '';
@@ -95,7 +101,7 @@
 		return [...this.jobs.values()].filter((job) => job.inherited && !job.ended);
 	}
 
-	/** Tasks that have not finished, by the priority of their jobs; lasting ones never do, and are left out. */
+	/** Number of unfinished tasks by the priority of their jobs. Long-running tasks never finish and are not counted. */
 	owed(priorityOf: (job: jobs.ActiveJob) => number): Map<number, number> {
 		const owed = new Map<number, number>();
 		for (const job of this.jobs.values()) {
@@ -107,7 +113,7 @@
 		return owed;
 	}
 
-	/** Jobs of a queue of which no task has begun. */
+	/** Number of a queue's jobs of which no task has begun. */
 	pendingOf(queue: string): number {
 		let count = 0;
 		for (const job of this.jobs.values())
@@ -115,7 +121,7 @@
 		return count;
 	}
 
-	/** A job has ended: no more of its times come. */
+	/** Marks a job as ended. Its scheduled occurrences are not opened any more. */
 	close(job: jobs.ActiveJob, state: jobs.JobState): void {
 		job.state = state;
 		job.endedAt = this.opts.clock.wall();
@@ -123,13 +129,16 @@
 		this.opts.events.emit('job.ended', { job: job.id, reason: state });
 	}
 
-	/** To be called now and then: opens times that have come, clears away what ended long ago. */
+	/** Opens due occurrences and deletes jobs that ended long ago. Called periodically. */
 	tick(): void {
 		for (const job of [...this.scheduled]) this.openTimes(job);
 		this.clearOld();
 	}
 
-	/** A worker knows tasks of times that an owner has begun; they are made now if `mayMake` says so. */
+	/**
+	 * Finds a task by name. A worker may name a task of an occurrence that an earlier owner opened: that occurrence is
+	 * opened here if `mayOpen` allows it.
+	 */
 	private find(name: string, mayMake: (job: jobs.ActiveJob) => boolean): jobs.Task | undefined {
 		const parsed = jobs.parseTaskName(name);
 		const job = parsed && this.jobs.get(parsed.job);
@@ -138,7 +147,7 @@
 		return job.findTask(parsed.time, parsed.step, parsed.index);
 	}
 
-	/** Makes the tasks of every time that has come. */
+	/** Creates the tasks of every due occurrence. */
 	private openTimes(job: jobs.ActiveJob): void {
 		const { clock } = this.opts;
 		for (;;) {
@@ -155,7 +164,10 @@
 		}
 	}
 
-	/** Forgets jobs that ended long ago, in the store and then here: one that is stored and not known would run again. */
+	/**
+	 * Deletes jobs that ended long ago, first from the store and later here: a job that is stored but not known here would
+	 * run again.
+	 */
 	private clearOld(): void {
 		this.forgetCleared();
 		if (this.clearing) return;
@@ -173,7 +185,7 @@
 		this.clearing = true;
 		const outcome = await this.opts.clearJobs(old);
 		this.clearing = false;
-		// Without an answer they are tried again: clearing twice changes nothing.
+		// Without a confirmed write the next tick tries again: deleting twice changes nothing.
 		if (outcome !== 'committed') return;
 		const now = this.opts.clock.now();
 		for (const id of old) this.cleared.set(id, now);
--- a/src/core/dispatch/knowledge.ts
+++ b/src/core/dispatch/knowledge.ts
@@ -1,18 +1,18 @@
-/** What an owner learnt of disturbance and loads, in the form in which the next one goes on from it. */
+/** What an owner learned of interference and loads, in the form from which the next owner continues. */
 import type * as imageModel from './image-model.js';
 import type * as waveFit from './wave-fit.js';
 
-/** Form of what is stored of the knowledge; to be counted up with each change of it. */
+/** Format version of the stored record. Increase it with every change of the format. */
 export const format = 1;
 
-/** All that was learnt; another owner may go on from it. Times are of the wall clock: boxes share no other. */
+/** Everything that an owner learned. Times are wall-clock times, because boxes share no other clock. */
 export interface Knowledge {
-	/** Form of this record: an owner of another version learns anew. */
+	/** Format version of this record. An owner with another version learns anew. */
 	format: number;
-	/** How neighbours disturb each serving image. */
+	/** How neighbours interfere with each serving image. */
 	images: Record<string, imageModel.LearntImage>;
-	/** Number of the period in which the loads of each serving image swing. */
+	/** Index of the period with which the loads of each serving image oscillate. */
 	periods: Record<string, number>;
-	/** The loads of lasting steps, by name. */
+	/** The loads of long-running steps, by name. */
 	loads: Record<string, waveFit.WaveSums>;
 }
--- a/src/core/dispatch/load-meter.ts
+++ b/src/core/dispatch/load-meter.ts
@@ -1,27 +1,27 @@
-/** What an owner does in a second, for the log and for the boxes: starts, reports, rounds of placing and how long they took. */
+/** Counts what an owner does, for the log and for the boxes: starts, reports, and placement rounds with their durations. */
 
-/** What was done since the meter was last read. */
+/** What was done since the previous reading. */
 export interface LoadReading {
-	/** Starts that were sent. */
+	/** Starts sent. */
 	starts: number;
-	/** Starts that were answered. */
+	/** Starts answered. */
 	answers: number;
-	/** Questions for reports, stops, and orders on pace that were sent. */
+	/** Report requests, stops and pace commands sent. */
 	holds: number;
 	stops: number;
 	paces: number;
-	/** Calls without an answer that were sent once more. */
+	/** Unanswered calls that were sent again. */
 	repeats: number;
-	/** Reports of workers that were taken in, and the time that this took together, in milliseconds. */
+	/** Reports processed, and the total time that this took, in milliseconds. */
 	reports: number;
 	reportMs: number;
 	/** Tasks that finished. */
 	finished: number;
-	/** Runs that ended and neither finished nor failed: stopped, lapsed, or broken off with others. */
+	/** Runs that exited and neither finished nor failed: stopped, expired, or ended together with their gang. */
 	abandoned: number;
-	/** Rounds of placing. */
+	/** Placement rounds. */
 	rounds: number;
-	/** Time that the rounds took together, and the longest, in milliseconds. */
+	/** Total duration of the rounds, and the longest, in milliseconds. */
 	roundMs: number;
 	longestRoundMs: number;
 }
@@ -42,11 +42,11 @@
 	longestRoundMs: 0,
 };
 
-/** What is counted one by one. */
+/** What `count` can count. */
 export type Counted =
 	'starts' | 'answers' | 'holds' | 'stops' | 'paces' | 'repeats' | 'finished' | 'abandoned';
 
-/** Counts between two readings. */
+/** Counts what is done between two readings. */
 export class LoadMeter {
 	private counts: LoadReading = { ...nothing };
 
@@ -58,25 +58,25 @@
 		return new LoadMeter();
 	}
 
-	/** Something was done once more. */
+	/** Counts one more. */
 	count(what: Counted): void {
 		this.counts[what] += 1;
 	}
 
-	/** Taking in a report took so long. */
+	/** Counts a processed report. */
 	report(tookMs: number): void {
 		this.counts.reports += 1;
 		this.counts.reportMs += tookMs;
 	}
 
-	/** A round of placing took so long. */
+	/** Counts a placement round. */
 	round(tookMs: number): void {
 		this.counts.rounds += 1;
 		this.counts.roundMs += tookMs;
 		this.counts.longestRoundMs = Math.max(this.counts.longestRoundMs, tookMs);
 	}
 
-	/** What was done since the last reading. */
+	/** Returns what was done since the previous reading, and resets the counts. */
 	read(): LoadReading {
 		const { counts } = this;
 		this.counts = { ...nothing };
--- a/src/core/dispatch/load-wave.ts
+++ b/src/core/dispatch/load-wave.ts
@@ -1,61 +1,70 @@
 /**
- * The load of a lasting step over time. Its tasks share their users, so at one moment their busy parts differ only by
- * what disturbs each, and disturbances only raise them: the load lies low among them. Loads swing in waves of many
- * seconds, so a wave that fits the past tells the load of the next second better than the newest readings do.
+ * Estimates the load of a long-running step over time. The step's tasks share their users, so at any moment their busy parts
+ * differ only by interference. Interference only raises a busy part, so the load lies low among them. Loads oscillate over
+ * many seconds: a wave fitted to the past predicts the load of the next second better than the newest readings do.
  */
 import * as waveFit from './wave-fit.js';
 
-/** Periods that a load may swing in, in milliseconds, each a ninth longer than the one before. */
+/** Periods with which a load may oscillate, in milliseconds, each a ninth longer than the one before. */
 const periodsMs = Array.from({ length: 19 }, (_, i) => 5_000 * (10 / 9) ** i);
 
-/** First guess of a load: a queue that is half busy. */
+/** Initial guess of a load: a queue that is half busy. */
 const firstLoad = 0.5;
 
-/** The least and most that a load is taken for. */
+/** Bounds of an estimated load. */
 const leastLoad = 0.05;
 const mostLoad = 0.95;
 
-/** A busy part so far above the expected load is taken for noise; one further above, for a disturbance. */
+/** A busy part up to this much above the expected load counts as noise, one further above as interference. */
 const noise = 0.04;
 
-/** Weight of a disturbed sample next to one at the load, at the limit of the noise; it falls with the distance. */
+/**
+ * Weight of a sample with interference, relative to one at the load, right at the noise threshold. The weight falls with the
+ * distance.
+ */
 const disturbedWeight = 0.35;
 
-/** A report counts for so long when tasks are compared, in milliseconds. */
+/** Maximum age of a report that counts when tasks are compared, in milliseconds. */
 const freshMs = 1_300;
 
-/** Fewer tasks than this can't tell a load from a disturbance. */
+/** Fewer tasks than this can't tell load from interference. */
 const leastTasks = 3;
 
-/** A reading covers the last half second: it tells the value of so long ago, in milliseconds. */
+/** A reading covers the last half second, so on average it shows the value of this long ago, in milliseconds. */
 export const readingAgeMs = 250;
 
-/** Times so close are one moment to a load, in milliseconds: it swings over five seconds at least. */
+/** Times closer than this get the same load, in milliseconds: a load's period is five seconds at least. */
 const sameMomentMs = 50;
 
-/** The period is chosen anew after so long, in milliseconds: it is a lasting property of what runs. */
+/** Interval at which the period is chosen again, in milliseconds: it is a stable property of what runs. */
 const choiceMs = 1_000;
 
-/** Before loads were seen for so long, in milliseconds, a short period would fit their noise better than their swing. */
+/**
+ * Time before the first choice of a period, in milliseconds. With a shorter history, a short period would fit the noise
+ * better than the oscillation.
+ */
 const leastHistoryMs = 9_000;
 
-/** A period that an earlier owner chose is taken for so long, in milliseconds: until the others are seen as well. */
+/**
+ * How long the period chosen by an earlier owner is kept, in milliseconds: until the other periods have been observed as
+ * well.
+ */
 const inheritedMs = 20_000;
 
-/** Number of the period that is taken at first: the middle one, of 13 seconds. */
+/** Index of the initial period: the middle one, of 13 seconds. */
 const firstPeriod = Math.floor(periodsMs.length / 2);
 
 /**
- * A sample enters the fit of the chosen period; those of the other periods take one of so many, as they only serve to
- * choose.
+ * Every sample enters the fit of the chosen period. The other periods are only compared, so their fits take one of this many
+ * samples.
  */
 const samplesPerOther = 6;
 
-/** The period that the loads of one image swing in, chosen over all its steps. */
+/** The period with which the loads of one image oscillate, chosen over all its steps. */
 export class LoadPeriod {
 	private readonly waves = new Set<LoadWave>();
 
-	/** `choiceAt`: time of the next choice. */
+	/** `nextChoiceAt`: time of the next choice. */
 	private constructor(
 		private chosen: number,
 		private choiceAt: number,
@@ -65,24 +74,24 @@
 		return new LoadPeriod(firstPeriod, now + leastHistoryMs);
 	}
 
-	/** Goes on with the period that an earlier owner chose. */
+	/** Continues with the period that an earlier owner chose. */
 	static restore(chosen: number, now: number): LoadPeriod {
 		return new LoadPeriod(chosen, now + inheritedMs);
 	}
 
-	/** A step whose load swings in this period; `sums`: what an earlier owner learnt of it. */
+	/** Adds a step whose load oscillates with this period. `sums`: what an earlier owner learned of its load. */
 	createWave(sums?: waveFit.WaveSums): LoadWave {
 		const wave = LoadWave.create(this, sums && { period: this.chosen, sums });
 		this.waves.add(wave);
 		return wave;
 	}
 
-	/** A step has ended. */
+	/** Removes the load of an ended step. */
 	remove(wave: LoadWave): void {
 		this.waves.delete(wave);
 	}
 
-	/** Number of the period that leaves least unexplained. */
+	/** Index of the period whose fits leave the least unexplained. */
 	index(now: number): number {
 		if (now < this.choiceAt) return this.chosen;
 		this.choiceAt = now + choiceMs;
@@ -96,20 +105,20 @@
 	}
 }
 
-/** What an earlier owner learnt of a load in one period. */
+/** What an earlier owner learned of a load, with the index of its period. */
 interface InheritedWave {
 	period: number;
 	sums: waveFit.WaveSums;
 }
 
-/** One step's load. */
+/** The load of one step. */
 export class LoadWave {
 	private readonly fits: waveFit.WaveFit[];
-	/** How many samples were taken. */
+	/** Number of samples taken. */
 	private samples = 0;
-	/** The newest answer of `loadAt`, which is asked for the same moment by every worker that holds a task. */
+	/** The newest result of `loadAt`. Every worker that holds a task of the step asks for the same moment. */
 	private newest: { time: number; load: number } | undefined;
-	/** When each task last reported. */
+	/** Time of each task's newest report. */
 	private readonly reportedAt = new Map<number, number>();
 
 	private constructor(
@@ -127,7 +136,7 @@
 		return new LoadWave(period, inherited);
 	}
 
-	/** Takes in a task's busy part from a reading that was just reported. */
+	/** Takes in a task's busy part from a new reading. */
 	note(task: number, busy: number, now: number): void {
 		const at = now - readingAgeMs;
 		const above = busy - this.loadAt(at, now);
@@ -143,7 +152,7 @@
 		this.reportedAt.set(task, now);
 	}
 
-	/** The load at a time not far from now. */
+	/** The load at a time close to `now`. */
 	loadAt(time: number, now: number): number {
 		const { newest } = this;
 		if (newest !== undefined && Math.abs(time - newest.time) < sameMomentMs) return newest.load;
@@ -153,19 +162,19 @@
 		return load;
 	}
 
-	/** Whether enough tasks report to tell the load from a disturbance. */
+	/** Whether enough tasks have reported to tell load from interference. */
 	isComparable(now: number): boolean {
 		let fresh = 0;
 		for (const at of this.reportedAt.values()) if (now - at < freshMs) fresh += 1;
 		return fresh >= leastTasks;
 	}
 
-	/** What a wave of the period with that number leaves unexplained, as a mean of squares. */
+	/** Mean squared error that a wave of the period with that index leaves. */
 	unexplained(period: number): number {
 		return this.fits[period]?.unexplained ?? 0;
 	}
 
-	/** What was learnt of the load in its period; undefined: nothing yet. */
+	/** What was learned of the load with the chosen period; undefined: nothing yet. */
 	learnt(now: number): waveFit.WaveSums | undefined {
 		const sums = this.fits[this.period.index(now)]?.learnt;
 		return sums?.updatedAt === undefined ? undefined : sums;
--- a/src/core/dispatch/neighbours.ts
+++ b/src/core/dispatch/neighbours.ts
@@ -1,34 +1,34 @@
-/** Who stands beside whom on a worker: the tasks that serve users there, and what the others use, by image. */
+/** The neighbours of serving tasks on a worker, and the share of the worker that they use, by image. */
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** Name under which tasks that neither serve nor fill are counted. */
+/** Key under which tasks that are neither serving nor preemptible are counted. */
 export const ordinary = '';
 
-/** Name under which the cores in use beyond what goes without disturbance are counted; images have other names. */
+/** Key under which cores in use beyond the contention threshold are counted. No image has this name. */
 export const crowding = ' crowding';
 
-/** Up to this part of its cores in use, a run that fills stands still: readings are rough. */
+/** A preemptible run that uses at most this share of its cores counts as idle: readings are noisy. */
 const idlePart = 0.05;
 
-/** Placements that serve users on a worker. */
+/** Placements of serving tasks on a worker. */
 export function servingOf(session: sessions.WorkerSession): types.Placement[] {
 	return [...session.placements.values()].filter(isServing);
 }
 
-/** Placements that fill on a worker, were started there and are not known to be stopping. */
+/** Placements of preemptible tasks that were started on a worker and are not known to be stopping. */
 export function fillingOf(session: sessions.WorkerSession): types.Placement[] {
 	return [...session.placements.values()].filter(
 		({ task, phase, stoppedAt }) => task.step.spec.fills && phase !== 'starting' && stoppedAt === 0,
 	);
 }
 
-/** Whether a run that fills works, by its own reading. */
+/** Whether a preemptible run is working, by its own reading. */
 export function isAtWork({ task, reading }: types.Placement): boolean {
 	return reading > task.step.spec.milliCores * idlePart;
 }
 
-/** What the neighbours of the serving tasks use, by image; `partOf` weighs each. */
+/** Share of the worker that the neighbours of its serving tasks use, by image. `weightOf` weights each placement. */
 export function sharesOf(
 	session: sessions.WorkerSession,
 	partOf: (place: types.Placement) => number,
@@ -43,7 +43,6 @@
 	return shares;
 }
 
-/** Whether a placement's task serves users. */
 function isServing(place: types.Placement): boolean {
 	return place.task.step.spec.targetMs > 0;
 }
--- a/src/core/dispatch/probation.ts
+++ b/src/core/dispatch/probation.ts
@@ -1,8 +1,8 @@
 /**
- * How tasks under suspicion of crashing their workers are started: one on a worker, where little would go down with it and
- * nothing else is started until it has outlived the moment at which it seemed to crash the last one. So a second crash
- * names the task alone, tasks that went down together do not meet again, and a job of a thousand such tasks takes down few
- * workers at a time.
+ * Starts tasks suspected of crashing workers on probation: one to a worker, where a crash would lose little, and with no
+ * other start on that worker until the run has outlasted the moment at which it seemed to crash the last one. A second crash
+ * can then be attributed to that task alone, tasks that crashed together do not meet again, and a job of a thousand such
+ * tasks crashes few workers at a time.
  */
 import * as clocks from '../clock.js';
 import * as placement from './placement.js';
@@ -11,50 +11,53 @@
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** A run on probation is on its worker for so long before it has passed, and nothing was started there for so long before, in milliseconds. */
+/**
+ * A run on probation passes after it has worked for this long, in milliseconds. For the same time before its start, nothing
+ * else is started on its worker.
+ */
 const probationMs = 500;
 
-/** Workers with a run on probation at the same time: this part of those that may run it, and always one. */
+/** Maximum share of the workers able to run suspects that have one at the same time, at first. At least one worker may. */
 const firstPart = 0.1;
 
 /**
- * One more for each run that passes, up to this part, until one of them goes down with its worker. After many crashes by
- * chance there are more suspects than could be tried in time otherwise.
+ * Upper bound of that share. Each run that passes allows one more worker, until a run on probation crashes its worker. After
+ * many coincidental crashes there are more suspects than the initial share could test in time.
  */
 const mostPart = 0.5;
 
-/** Runs of a step on probation at the same time: one, and so many more for each that has passed. */
+/** Maximum number of a step's runs on probation at the same time: one, plus this many for each that has passed. */
 const morePerPass = 2;
 
-/** A step of which so many tasks are suspected is suspected whole. */
+/** A step with this many suspected tasks is suspected as a whole. */
 const mostSuspectsOfStep = 2;
 
-/** After a second crash a task waits so long before its next start, after a third twice as long, in milliseconds. */
+/** Delay of a task's next start after its second crash, in milliseconds. Each further crash adds the same again. */
 const pauseMs = 250;
 
-/** What is lost with a lasting task, or a member of a gang, as a multiple of its cores. */
+/** Loss of a long-running task, or of a gang's member, as a multiple of its cores. */
 const lastingLoss = 4;
 const gangLoss = 4;
 
-/** What probations use. */
+/** What probations read and change. */
 export interface ProbationOptions {
 	clock: clocks.Clock;
 	events: events.EventLog;
 	workers: () => sessions.WorkerSession[];
-	/** What is stored of a job has changed. */
+	/** Called when the stored state of a job has changed. */
 	onChanged: (job: jobs.ActiveJob) => void;
 }
 
-/** What is known of a step's suspects. */
+/** The suspected tasks of a step, and how many of its runs have passed. */
 interface StepRecord {
 	suspects: Set<jobs.Task>;
 	passed: number;
 }
 
-/** Tasks under suspicion, and the runs by which they are tried. */
+/** Tasks under suspicion, and the runs on probation that test them. */
 export class Probations {
 	private readonly steps = new WeakMap<jobs.StepRun, StepRecord>();
-	/** Runs that have passed since one on probation last went down with its worker. */
+	/** Runs that have passed since a run on probation last crashed its worker. */
 	private passedInRow = 0;
 
 	private constructor(private readonly opts: ProbationOptions) {}
@@ -63,7 +66,7 @@
 		return new Probations(opts);
 	}
 
-	/** A worker went down under a task, `onProbation` or not; the task is not started again for a while. */
+	/** Records that a worker crashed under a task. From its second crash on, the task's next start is delayed. */
 	noteCrash(task: jobs.Task, onProbation: boolean): void {
 		const { crashed = 0, blamed = 0 } = task.crashes ?? {};
 		if (onProbation) this.passedInRow = 0;
@@ -71,7 +74,7 @@
 		if (blamed > 0) this.recordOf(task.step).suspects.add(task);
 	}
 
-	/** Whether a task is to be started on probation. Gangs are not: their members need each other. */
+	/** Whether a task is to be started on probation. Gangs never are: their members need each other. */
 	isSuspect(task: jobs.Task): boolean {
 		if (task.step.spec.gang) return false;
 		const { crashed = 0, blamed = 0 } = task.crashes ?? {};
@@ -80,23 +83,23 @@
 		return record?.passed === 0 && record.suspects.size >= mostSuspectsOfStep;
 	}
 
-	/** Whether one more run of the step may be on probation now, in a pool of so many open workers. */
+	/** Whether one more run of the step may be on probation, in a pool with `workers` open workers. */
 	isFree(step: jobs.StepRun, workers: number): boolean {
 		const tried = this.opts.workers().filter((one) => one.probation !== undefined);
-		// A worker that has ceased to answer is tried by nobody any more, and may take long to be proved dead.
+		// A worker that stopped answering tests nothing any more, and it may take long until it is proved dead.
 		const underWay = tried.filter((one) => one.failedAt === undefined).length;
 		if (underWay >= this.limitAmong(workers)) return false;
 		const ofStep = tried.filter((one) => one.probation?.task.step === step).length;
 		return ofStep <= (this.steps.get(step)?.passed ?? 0) * morePerPass;
 	}
 
-	/** Runs that may be on probation at the same time in a pool of so many open workers. */
+	/** Maximum number of runs on probation at the same time, in a pool with `workers` open workers. */
 	private limitAmong(workers: number): number {
 		const first = Math.max(1, Math.floor(workers * firstPart));
 		return Math.max(first, Math.min(first + this.passedInRow, Math.floor(workers * mostPart)));
 	}
 
-	/** The worker that takes a suspect at the least loss to others. */
+	/** The worker on which a crash under this suspect would lose the least. */
 	choose(task: jobs.Task, choice: placement.Choice): sessions.WorkerSession | placement.NoPlace {
 		const terms = placement.termsOf(task, choice.now);
 		const able = choice.workers.filter(
@@ -107,13 +110,16 @@
 		return others.reduce((best, one) => (lossAt(one) < lossAt(best) ? one : best), first);
 	}
 
-	/** Until then a run on probation is not sent: a crash would be held against what was started there before it. */
+	/**
+	 * Resolves once no other start was sent to the worker for the time of a probation. A crash would otherwise be attributed
+	 * to an earlier start too.
+	 */
 	quietAt(session: sessions.WorkerSession): Promise<void> {
 		const ms = session.newestStartAt + probationMs - this.opts.clock.now();
 		return ms > 0 ? clocks.sleep(this.opts.clock, ms) : Promise.resolve();
 	}
 
-	/** A worker has just reported: runs that have outlived what they were suspected of are cleared. */
+	/** Clears the runs of a worker that have outlasted what they were suspected of. Called after each report. */
 	look(session: sessions.WorkerSession): void {
 		const { probation } = session;
 		if (probation !== undefined && this.hasWorked(probation, probationMs)) {
@@ -127,7 +133,7 @@
 		}
 	}
 
-	/** Whether a run has been at work for so long. */
+	/** Whether a run has been working for longer than `ms`. */
 	private hasWorked(place: types.Placement, ms: number): boolean {
 		const isAtWork = place.phase === 'running' && place.confirmedAt > 0 && place.pace > 0;
 		return isAtWork && this.opts.clock.now() - place.confirmedAt > ms;
@@ -156,7 +162,7 @@
 	}
 }
 
-/** Tasks of a step in the order in which they are tried: one more crash of the most suspect tells most. */
+/** Sorts a step's tasks by suspicion, the most suspect first: one more crash under that one decides most. */
 export function inTurn(tasks: jobs.Task[]): jobs.Task[] {
 	if (tasks.every((task) => task.crashes === undefined)) return tasks;
 	return [...tasks].sort((a, b) => weightOf(b) - weightOf(a));
@@ -166,7 +172,10 @@
 	return crashes === undefined ? 0 : crashes.blamed + crashes.crashed;
 }
 
-/** What would be lost with a worker, in thousandths of a core: tasks that can't go on elsewhere weigh by how far they are. */
+/**
+ * What a crash of the worker would lose, in thousandths of a core. A task that can't resume elsewhere weighs more the
+ * further it has progressed.
+ */
 function lossAt(session: sessions.WorkerSession): number {
 	let loss = 0;
 	for (const { task, percent } of session.placements.values()) loss += lossOf(task.step.spec, percent);
--- a/src/core/dispatch/relief-log.ts
+++ b/src/core/dispatch/relief-log.ts
@@ -1,21 +1,24 @@
-/** Log lines about tasks that serve users and are about to be harmed: when that was noticed, and when they were relieved. */
+/** Logs when a serving task is noticed close to an SLO violation, and when it is relieved. */
 import * as neighbours from './neighbours.js';
 import type * as events from '../events/index.js';
 import type * as sessions from './worker-session.js';
 import type * as types from './types.js';
 
-/** What was noticed of a serving task. */
+/** State of a serving task. */
 export interface Overload {
 	served: types.Placement;
 	/** How long it has been over its target, in milliseconds. */
 	overMs: number;
-	/** All that fills beside it has to stand still. */
+	/** All preemptible tasks on its worker have to be paused. */
 	isNearHarm: boolean;
 }
 
-/** Writes the lines of one owner. */
+/** Logs relief of serving tasks for one owner. */
 export class ReliefLog {
-	/** Tasks that have come near harm since they went over their targets; `relieved`: all beside them stood still since. */
+	/**
+	 * Tasks that came close to a violation since they exceeded their targets. `relieved`: all their preemptible neighbours
+	 * have been seen idle since.
+	 */
 	private readonly open = new WeakMap<types.Placement, 'overloaded' | 'relieved'>();
 
 	private constructor(
@@ -27,7 +30,7 @@
 		return new ReliefLog(log, epoch);
 	}
 
-	/** How a serving task stands beside what fills there, after a report of its worker. */
+	/** Logs how a serving task's state changed, after a report of its worker. */
 	note(session: sessions.WorkerSession, overload: Overload, filling: readonly types.Placement[]): void {
 		const { served } = overload;
 		const state = this.open.get(served);
@@ -45,7 +48,7 @@
 		else this.open.set(served, isRelieved ? 'relieved' : (state ?? 'overloaded'));
 	}
 
-	/** An order on pace was left without an answer, or refused. */
+	/** A pace command was not answered, or was refused. */
 	unanswered(session: sessions.WorkerSession, place: types.Placement, percent: number, reason: string): void {
 		const { task } = place;
 		this.log.emit('pace.unanswered', {
@@ -57,7 +60,7 @@
 		});
 	}
 
-	/** A run's own reading says that it does not work at the pace that its worker was told. */
+	/** A run's own reading shows that it does not work at the pace that its worker was sent. */
 	contradicted(session: sessions.WorkerSession, place: types.Placement, orderedMs: number): void {
 		const { task, pace, reading } = place;
 		this.log.emit('pace.contradicted', {
@@ -83,7 +86,7 @@
 	}
 }
 
-/** Whole milliseconds; undefined: for how long is not known. */
+/** Whole milliseconds; undefined: the duration is not known. */
 function wholeMs(ms: number): number | undefined {
 	return Number.isFinite(ms) ? Math.round(ms) : undefined;
 }
--- a/src/core/dispatch/wave-fit.ts
+++ b/src/core/dispatch/wave-fit.ts
@@ -1,19 +1,19 @@
 /**
- * Weighted least squares of a constant and one sine wave of a given period. Old samples fade, and a first guess counts
+ * Weighted least-squares fit of a constant plus one sine wave of a given period. Old samples decay. An initial guess counts
  * as a sample of small weight, so that the fit is defined from its first sample on.
  */
 
-/** Value at phase 0 and the wave's sine and cosine parts. */
+/** The constant, and the amplitudes of the wave's sine and cosine parts. */
 type Coefficients = readonly [mean: number, sine: number, cosine: number];
 
-/** A sample's weight falls to a third in so long, in milliseconds: one to four periods of the loads that are known. */
+/** Time in which a sample's weight falls to about a third, in milliseconds: one to four periods of the known loads. */
 const fadeMs = 20_000;
 
-/** Weight of the first guess of the mean, and of a wave of no height, in samples. */
+/** Weights of the initial guesses, in samples: of the mean, and of a wave with amplitude zero. */
 const firstMeanWeight = 0.3;
 const firstWaveWeight = 1;
 
-/** The sums of a fit, in a form that another owner can go on from. */
+/** The sums of a fit, in the form from which another owner continues. */
 export interface WaveSums {
 	/** Weighted sums of products of 1, sine and cosine: the upper half of a symmetric matrix, by rows. */
 	products: number[];
@@ -25,7 +25,7 @@
 	updatedAt?: number;
 }
 
-/** One fit at one period. */
+/** Fit with one period. */
 export class WaveFit {
 	private solution: Coefficients | undefined;
 
@@ -35,7 +35,7 @@
 		private readonly sums: WaveSums,
 	) {}
 
-	/** `firstMean`: first guess of the constant. */
+	/** `firstMean`: initial guess of the constant. */
 	static create(periodMs: number, firstMean: number): WaveFit {
 		return new WaveFit(periodMs, firstMean, {
 			products: [firstMeanWeight, 0, 0, firstWaveWeight, 0, firstWaveWeight],
@@ -44,12 +44,12 @@
 		});
 	}
 
-	/** Goes on from the sums of another fit of that period. */
+	/** Continues from the sums of another fit with the same period. */
 	static restore(periodMs: number, firstMean: number, sums: WaveSums): WaveFit {
 		return new WaveFit(periodMs, firstMean, structuredClone(sums));
 	}
 
-	/** What was summed up so far; it stays in use here, so whoever goes on from it copies it. */
+	/** The sums so far. They are still updated here, so a caller that keeps them has to copy them. */
 	get learnt(): WaveSums {
 		return this.sums;
 	}
@@ -79,7 +79,7 @@
 		return mean + sinePart * sine + cosinePart * cosine;
 	}
 
-	/** Weighted mean of squares that the fit leaves unexplained. */
+	/** Weighted mean squared error of the fit. */
 	get unexplained(): number {
 		const [mean, sinePart, cosinePart] = this.solve();
 		const { products, results, squares } = this.sums;
@@ -88,7 +88,7 @@
 		return Math.max(0, sum / (products[0] ?? 1));
 	}
 
-	/** Lets old samples fade; what they lose, the first guess gains. */
+	/** Lets old samples decay. The initial guess gains the weight that they lose. */
 	private fadeTo(at: number): void {
 		const { sums, firstMean } = this;
 		const { products, results } = sums;
@@ -104,7 +104,7 @@
 		sums.squares = sums.squares * kept + firstMeanWeight * firstMean ** 2 * gained;
 	}
 
-	/** Solves the normal equations by Cholesky's method; the first guess keeps them regular. */
+	/** Solves the normal equations by Cholesky decomposition. The initial guess keeps them regular. */
 	private solve(): Coefficients {
 		if (this.solution !== undefined) return this.solution;
 		const [a = 1, b = 0, c = 0, d = 1, e = 0, f = 1] = this.sums.products;
@@ -126,7 +126,7 @@
 	}
 }
 
-/** Sine and cosine at a time. */
+/** Sine and cosine of the phase at a time. */
 function phaseOf(time: number, periodMs: number): [number, number] {
 	const angle = (2 * Math.PI * time) / periodMs;
 	return [Math.sin(angle), Math.cos(angle)];
