--- a/src/core/box/box.ts
+++ b/src/core/box/box.ts
@@ -1,4 +1,4 @@
-/** A box: answers callers, keeps up with the configuration, and dispatches when it is its turn. */
+/** A box: answers callers, follows the configuration, and dispatches while it is the owner. */
 import * as errors from '../errors/index.js';
 import * as held from './held-pings.js';
 import * as ledger from '../ledger/index.js';
@@ -20,10 +20,10 @@
 import type * as stores from '../platform/types.js';
 import type * as upkeep from '../upkeep/index.js';
 
-/** The owner is asked for its configuration with this time limit, in milliseconds: a megabyte takes 1.2 s of 7 Mbit/s. */
+/** Time limit for fetching the configuration from the owner, in milliseconds: a megabyte takes 1.2 s at 7 Mbit/s. */
 const configurationTimeoutMs = 2_500;
 
-/** One box. */
+/** One box. `create` also starts it. */
 export class Box {
 	readonly service: service.JobService;
 	private readonly store: stores.RecordStore;
@@ -32,14 +32,14 @@
 	private configuration!: configurations.ConfigurationFollower;
 	private ownership!: ownership.Ownership;
 	private server!: wire.PeerServer<protocol.BoxReq>;
-	/** Takes times of ends while this box owns the dispatching; nobody asks until it is set. */
+	/** Records how long exits wait while this box is the owner; does nothing until it is set. */
 	recordTime: dispatch.RecordTime = () => undefined;
-	/** What this box does as long as it owns the dispatching. */
+	/** The owner's part of this box; undefined while it is not the owner. */
 	private role: ownerRole.OwnerRole | undefined;
 	private readonly heldPings: held.HeldPings;
 	private readonly pings: pings.OwnerPings;
 	private readonly waves = new Map<number, upkeep.Wave>();
-	/** The boxes that ask this one while it owns. */
+	/** The boxes that ping this one while it is the owner. */
 	private readonly candidates = ownership.Candidates.create(() => this.clock.now());
 	private stopping = false;
 
@@ -97,7 +97,7 @@
 		return this.configuration.table;
 	}
 
-	/** Whether a newer configuration may be in force elsewhere by now. */
+	/** Whether a newer configuration may already be in force elsewhere. */
 	get isConfigurationInDoubt(): boolean {
 		return this.configuration.isInDoubt;
 	}
@@ -107,38 +107,41 @@
 		return this.configuration.ageMs;
 	}
 
-	/** How long the store has not answered this box, in milliseconds; 0: it does. */
+	/** How long the store has been unresponsive to this box, in milliseconds; 0: it answers. */
 	get storeLostForMs(): number {
 		return this.contact.lostForMs;
 	}
 
-	/** Where the other boxes connect, `host:port`. */
+	/** Address at which the other boxes connect, `host:port`. */
 	get peerAddress(): string {
 		return this.server.address;
 	}
 
-	/** Whether callers are welcome: the configuration is known, and the owner or the store can be reached. */
+	/**
+	 * Whether the box takes callers: it is not stopping, the configuration is known, and the owner or the store is
+	 * reachable.
+	 */
 	get ready(): boolean {
 		if (this.stopping || this.queues === undefined) return false;
 		return this.contact.reachable || this.ownership.reachable;
 	}
 
-	/** Whether it dispatches now. */
+	/** Whether this box is the owner. */
 	get owning(): boolean {
 		return this.role !== undefined;
 	}
 
-	/** Whether it is about to stop. */
+	/** Whether a planned stop has begun. */
 	get leaving(): boolean {
 		return this.stopping;
 	}
 
-	/** The owner's last second; undefined: another box owns the dispatching, or this one has just begun. */
+	/** The owner's load in the last second; undefined: this box is not the owner, or has just become it. */
 	get ownerLoad(): ownerRole.OwnerLoad | undefined {
 		return this.role?.load;
 	}
 
-	/** Planned stop: callers go elsewhere, and another box dispatches. */
+	/** Begins a planned stop: callers go elsewhere, and another box takes over dispatching. */
 	async leave(): Promise<void> {
 		this.stopping = true;
 		this.events.emit('process.stopping');
@@ -181,7 +184,7 @@
 		});
 	}
 
-	/** Listens for the other boxes on the first of our ports that is free. */
+	/** Listens for the other boxes on the first free port of `peerPorts`. */
 	private async listen(): Promise<wire.PeerServer<protocol.BoxReq>> {
 		const [first, last] = this.settings.ownPorts;
 		for (let port = first; ; port += 1) {
@@ -212,7 +215,7 @@
 		return results.ok(res.value.value);
 	}
 
-	/** Asks an owner for its configuration. */
+	/** Fetches the configuration from an owner; undefined: it gave none. */
 	private async readConfiguration(owner: string): Promise<Uint8Array | undefined> {
 		const req = { type: 'configuration.read' as const };
 		const res = await this.peers.call<protocol.ConfigurationReply>(owner, req, configurationTimeoutMs);
@@ -243,7 +246,7 @@
 	}
 
 	private onLost(): void {
-		// What this owner knows of the boxes serves the next race.
+		// What this owner knows of the boxes counts in the next race to become the owner.
 		this.pings.strongest = this.candidates.strongest(this.settings.processor);
 		this.role?.close();
 		this.role = undefined;
--- a/src/core/box/configuration-sharing.ts
+++ b/src/core/box/configuration-sharing.ts
@@ -1,21 +1,21 @@
-/** What an owner gives of the configuration to boxes that the store does not answer. */
+/** Limits the rate at which an owner sends its configuration to boxes that the store does not answer. */
 
 /**
- * So many bytes a second are given at most: a tenth of what the slowest stated link of a box carries (7 Mbit/s), so that an
- * owner whom many boxes ask for a large configuration at once goes on renewing its lease and sending orders.
+ * Rate limit, in bytes a second: a tenth of the slowest stated link of a box (7 Mbit/s). An owner that many boxes ask for a
+ * large configuration at once can still renew its lease and send commands.
  */
 const bytesPerS = 87_500;
 
-/** The configuration as an owner tells of it with each answer to another box. */
+/** The configuration as an owner advertises it in each answer to another box. */
 export interface ToldConfiguration {
 	version: number;
 	/** How long ago the store last confirmed it to the owner, in milliseconds. */
 	ageMs: number;
 }
 
-/** Paces what is given. */
+/** A rate limit over all boxes that ask. */
 export class ConfigurationSharing {
-	/** Clock time before which nothing more is given. */
+	/** Clock time before which nothing more is sent. */
 	private freeAt = -Infinity;
 
 	private constructor(private readonly now: () => number) {}
@@ -25,7 +25,7 @@
 		return new ConfigurationSharing(now);
 	}
 
-	/** The value, if it is its turn; undefined: asked again with the next question to the owner. */
+	/** The value if the rate limit allows it now; undefined: not yet, and the box asks again after its next ping. */
 	give(value: Uint8Array): Uint8Array | undefined {
 		const now = this.now();
 		if (now < this.freeAt) return undefined;
--- a/src/core/box/configuration.ts
+++ b/src/core/box/configuration.ts
@@ -1,4 +1,4 @@
-/** Keeps a box up to date with what operators write to the store, and tells how long ago that was last confirmed. */
+/** Keeps a box up to date with what operators write to the store, and knows how long ago that was last confirmed. */
 import * as clocks from '../clock.js';
 import * as followers from '../platform/record-follower.js';
 import * as limits from '../platform/limits.js';
@@ -10,24 +10,26 @@
 import type * as stores from '../platform/types.js';
 import type * as upkeep from '../upkeep/index.js';
 
-/** The operators' keys are asked for with no longer and no shorter wait, in milliseconds: each call has its price. */
+/** Longest and shortest wait of a long poll on the operators' keys, in milliseconds: each call has a cost. */
 const longestWaitMs = 2_500;
 const shortestWaitMs = 250;
 
 /**
- * Left for reading the list once a wait was given up, in milliseconds: a connection is opened anew, and the store answers
- * in 250 in its slow hours.
+ * Time left for reading the list after a long poll has timed out, in milliseconds. It covers a new connection and an answer
+ * of the store, which takes 250 ms in its slow hours.
  */
 const rereadMs = 600;
 
-/** How often it is looked whether it is overdue, and after how long that is logged again, in milliseconds. */
+/**
+ * Interval between checks whether the confirmation is overdue, and interval at which that is logged again, in milliseconds.
+ */
 const lookGapMs = 500;
 const reminderMs = 5_000;
 
-/** So many queues and pools of a version that can't be read are logged one by one. */
+/** At most this many unreadable queues and pools of a version are logged one by one. */
 const mostLeftOutLogged = 10;
 
-/** What following needs. */
+/** Options of `ConfigurationFollower`. */
 export interface ConfigurationOptions {
 	adapter: Pick<
 		adapters.PlatformAdapter,
@@ -37,7 +39,7 @@
 	contact: Pick<contacts.StoreContact, 'reachable'>;
 	clock: clocks.Clock;
 	events: events.EventLog;
-	/** A stored configuration has to be in force after this long, in milliseconds. */
+	/** A stored configuration has to be in force within this time, in milliseconds. */
 	applyMs: number;
 	onWave: (wave: upkeep.Wave) => void;
 }
@@ -45,12 +47,12 @@
 /** Where a configuration was read. */
 interface Source {
 	source: 'list' | 'change' | 'owner';
-	/** The store's revision of that answer; absent: the owner gave it. */
+	/** The store's revision of that answer; absent: the owner sent it. */
 	revision?: number;
 }
 
 /**
- * How long a question for the operators' keys waits, in milliseconds. Its connection may go silent as it begins: then the
+ * Wait of a long poll on the operators' keys, in milliseconds. Its connection may become unresponsive as it begins: then the
  * wait, the time for a late answer and a list over another connection have to fit into `applyMs`.
  */
 export function waitFor(applyMs: number): number {
@@ -62,17 +64,20 @@
 export class ConfigurationFollower {
 	/** The configuration in force; undefined before the first is known. */
 	table: queues.QueueTable | undefined;
-	/** Clock time of the store's newest answer, or of the one that an owner with the same version told of. */
+	/**
+	 * Clock time of the last confirmation: by an answer of the store, or by one that an owner with the same version
+	 * advertised.
+	 */
 	private confirmedAt: number;
-	/** The newest version that another box told of. */
+	/** The highest version that another box has advertised. */
 	private toldVersion = 0;
-	/** The newest version for which the list was read as another box told of it. */
+	/** The highest version for which the list was read because another box has it. */
 	private soughtVersion = 0;
 	private readonly follower: followers.RecordFollower;
-	/** The configuration in force as it stands in the store. */
+	/** The configuration in force, encoded as in the store. */
 	private stored: Uint8Array | undefined;
 	private isAskingOwner = false;
-	/** Clock time of the newest line that says that it is overdue; undefined: it is not. */
+	/** Clock time of the last log line about an overdue confirmation; undefined: it is not overdue. */
 	private overdueToldAt: number | undefined;
 	private readonly sharing: sharing.ConfigurationSharing;
 
@@ -111,33 +116,37 @@
 		return this.table?.configuration.version ?? 0;
 	}
 
-	/** How long ago the store, or an owner with the same version, last confirmed it, in milliseconds. */
+	/** How long ago the store, or an owner with the same version, last confirmed the version in force, in milliseconds. */
 	get ageMs(): number {
 		return Math.round(this.opts.clock.now() - this.confirmedAt);
 	}
 
 	/**
-	 * Whether a newer one may be in force elsewhere: another box told of it, or this one is overdue for being confirmed.
+	 * Whether a newer configuration may be in force elsewhere: another box has one, or the confirmation of this one is
+	 * overdue.
 	 */
 	get isInDoubt(): boolean {
 		return this.toldVersion > this.version || this.isOverdue;
 	}
 
-	/** What this box, as the owner, tells others; undefined: it has none. */
+	/** What this box, as the owner, advertises to others; undefined: it has none. */
 	get told(): sharing.ToldConfiguration | undefined {
 		const { version, ageMs } = this;
 		return this.table && { version, ageMs };
 	}
 
-	/** What this box, as the owner, gives to one that asks; undefined: not now. */
+	/**
+	 * The stored configuration for a box that asks this owner; undefined: there is none, or the rate limit does not allow it
+	 * now.
+	 */
 	give(): Uint8Array | undefined {
 		return this.stored && this.sharing.give(this.stored);
 	}
 
 	/**
-	 * The owner told of its configuration, in answer to a question of `askedAt` (clock time). What is newer than this box's
-	 * is looked for in the store, which bears that better than the owner; without the store, or when that was no use, the
-	 * owner gives it by `read`.
+	 * Handles what the owner advertised in answer to a ping sent at `sentAt` (clock time). A version newer than this box's
+	 * is read from the store, which bears that better than the owner. Without the store, or if that brought nothing,
+	 * `fetchFromOwner` gets it from the owner.
 	 */
 	async hear(
 		told: sharing.ToldConfiguration,
@@ -156,8 +165,9 @@
 	}
 
 	/**
-	 * Another box has this version. If it is newer than this box's, the list is read, once a version: the wait for changes
-	 * may never bring it, over a connection that has gone silent or where the store's answer passed over a change.
+	 * Another box has this version. If it is newer than this box's, reads the list, once a version, and returns true. The
+	 * long poll may never bring the version: its connection may have become unresponsive, or the store's answer may have
+	 * skipped a change.
 	 */
 	seek(version: number): boolean {
 		this.toldVersion = Math.max(this.toldVersion, version);
@@ -167,12 +177,12 @@
 		return true;
 	}
 
-	/** Whether nobody has confirmed it for longer than a newer one may take to be in force. */
+	/** Whether nobody has confirmed the version in force for longer than a newer one may take to come into force. */
 	private get isOverdue(): boolean {
 		return !clocks.isFresh(this.opts.clock, this.confirmedAt, this.opts.applyMs);
 	}
 
-	/** The version in force was the newest at a clock time. */
+	/** The version in force was the newest at the clock time `at`. */
 	private confirmed(at: number): void {
 		const { ageMs, version } = this;
 		if (at <= this.confirmedAt) return;
@@ -206,7 +216,7 @@
 			return;
 		}
 		const { version, routes, leftOut } = decoded.value;
-		// Only ever forward: an older answer may arrive late.
+		// Versions only go forward: an older answer may arrive late.
 		if (this.table !== undefined && version <= this.version) return;
 		this.table = queues.QueueTable.create(decoded.value);
 		this.stored = value;
--- a/src/core/box/evacuation-list.ts
+++ b/src/core/box/evacuation-list.ts
@@ -1,16 +1,16 @@
 /**
- * Reads which zones operators evacuate. The list is short, and is read whole each time: a wait for changes may hang on a
- * connection that has gone silent, or start from a revision that the store has forgotten.
+ * Reads which zones operators evacuate. The list is short and is read whole each time: a long poll for changes may hang on
+ * an unresponsive connection, or start from a revision that the store no longer keeps.
  */
 import * as clocks from '../clock.js';
 import type * as adapters from './platform-adapter.js';
 import type * as events from '../events/index.js';
 import type * as stores from '../platform/types.js';
 
-/** How often the list is read, in milliseconds. */
+/** Interval between reads of the list, in milliseconds. */
 const readGapMs = 700;
 
-/** What reading needs. */
+/** Options of `EvacuationList`. */
 export interface EvacuationListOptions {
 	adapter: Pick<adapters.PlatformAdapter, 'evacuationPrefix' | 'decodeEvacuation'>;
 	store: stores.RecordStore;
@@ -18,18 +18,18 @@
 	events: events.EventLog;
 	/** Zones of the deployment. */
 	zones: readonly string[];
-	/** Told of each list: the zones, and the clock time at which it held at the latest. */
+	/** Called with the zones of each list, which is at least as recent as the clock time `asOf`. */
 	onRead: (zones: ReadonlySet<string>, heldAt: number) => void;
 }
 
-/** The list, until it is closed. */
+/** Reads the list at intervals until it is closed. */
 export class EvacuationList {
 	private readonly timer: clocks.Timer;
 	private isReading = false;
 	private closed = false;
 	/** The zones of the newest list. */
 	private zones: ReadonlySet<string> = new Set();
-	/** Entries that were told of as unusable, by key, with their version. */
+	/** Version of each unusable entry that was logged, by key. */
 	private readonly unusable = new Map<string, number>();
 
 	private constructor(private readonly opts: EvacuationListOptions) {
@@ -53,13 +53,13 @@
 		const askedAt = clock.now();
 		const res = await store.list(adapter.evacuationPrefix);
 		this.isReading = false;
-		// A store that does not answer is logged where it is watched.
+		// Failed calls to the store are logged where its contact is watched.
 		if (!res.ok || this.isClosed()) return;
 		this.zones = new Set(res.value.items.flatMap((item) => this.zoneOf(item) ?? []));
 		onRead(this.zones, askedAt);
 	}
 
-	/** The zone that an entry evacuates; one that can't be read leaves its zone as it was. */
+	/** The zone that an entry evacuates; undefined: none. An unreadable entry leaves its zone as it was. */
 	private zoneOf({ key, value, version }: stores.Stored): string | undefined {
 		const { zone, isReadable } = this.opts.adapter.decodeEvacuation(key, value);
 		if (!isReadable) this.tell(key, version, 'unreadable');
@@ -73,7 +73,7 @@
 		this.opts.events.emit('evacuation.rejected', { key, version, reason });
 	}
 
-	/** Read after an `await`, where the compiler thinks the field can't have changed. */
+	/** A method, as the compiler assumes that the field can't change during an `await`. */
 	private isClosed(): boolean {
 		return this.closed;
 	}
--- a/src/core/box/held-pings.ts
+++ b/src/core/box/held-pings.ts
@@ -1,7 +1,7 @@
-/** Questions of the other boxes that the owner holds, so that each notices at once when the owner goes away. */
+/** Pings of the other boxes that the owner holds, so that each box notices at once when the owner goes away. */
 import type * as clocks from '../clock.js';
 
-/** Questions that have not been answered yet. */
+/** Pings that are not answered yet. */
 export class HeldPings {
 	private held: (() => void)[] = [];
 
@@ -25,7 +25,7 @@
 		});
 	}
 
-	/** Lets all be answered now. */
+	/** Answers all held pings now. */
 	release(): void {
 		for (const answer of this.held) answer();
 	}
