--- a/src/core/box/configuration.ts
+++ b/src/core/box/configuration.ts
@@ -10,7 +10,7 @@
 import type * as stores from '../platform/types.js';
 import type * as upkeep from '../upkeep/index.js';
 
-/** Longest and shortest wait of a long poll on the operators' keys, in milliseconds: each call has a cost. */
+/** Longest and shortest wait of a long poll on the operators' keys, in milliseconds: each call is charged for. */
 const longestWaitMs = 2_500;
 const shortestWaitMs = 250;
 
--- a/src/core/box/job-service.ts
+++ b/src/core/box/job-service.ts
@@ -1,4 +1,4 @@
-/** What callers may ask of any box, and the true answer whoever the owner is. */
+/** Requests that callers may make of any box. The answers are true whichever box is the owner. */
 import * as admission from '../admission/index.js';
 import * as ledger from '../ledger/index.js';
 import * as protocol from './peer-protocol.js';
@@ -10,56 +10,56 @@
 import type * as contacts from '../platform/contact.js';
 import type * as results from '../result.js';
 
-/** A question to the owner is given up after this many milliseconds; peers are 3 ms away. */
+/** Timeout of a call to the owner other than a write, in milliseconds; peers are 3 ms away. */
 const stateTimeoutMs = 500;
 
-/** A write through the owner is given up after this many milliseconds: the store's own limit and the way. */
+/** Timeout of a write through the owner, in milliseconds: the store's own limit and the time on the network. */
 const relayTimeoutMs = 1_300;
 
-/** The store is asked for so long at most, in milliseconds, as its client gives up then. */
+/** Timeout of a call to the store, in milliseconds; its client gives up then. */
 const storeTimeoutMs = 1_000;
 
-/** No answer takes longer, in milliseconds: a write of the box's own, then one through the owner. */
+/** Longest time to an answer, in milliseconds: a write by this box, then one through the owner. */
 export const longestAnswerMs = storeTimeoutMs + relayTimeoutMs;
 
 /** An answer for a caller. `unavailable`: nothing was done. `unknown`: it may have been done. */
 export type Answer<T> =
 	| { type: 'ok'; value: T }
 	| { type: 'no-such-job' }
-	/** `retryAfterS`: when the caller is to come back. */
+	/** `retryAfterS`: seconds after which the caller should retry. */
 	| { type: 'unavailable'; reason: string; retryAfterS: number }
-	/** Not taken in, as it could not be in time; nothing of it is stored. */
+	/** Not accepted, as it would wait longer than it may; nothing of it is stored. */
 	| { type: 'overloaded'; reason: string; retryAfterS: number }
 	| { type: 'unknown'; reason: string };
 
-/** What the service uses. */
+/** Options of `JobService`. */
 export interface JobServiceOptions {
 	store: platform.RecordStore;
 	contact: contacts.StoreContact;
 	clock: clocks.Clock;
 	events: events.EventLog;
-	/** The dispatcher, while this box owns it. */
+	/** The dispatcher while this box is the owner; else undefined. */
 	dispatcher: () => dispatch.Dispatcher | undefined;
-	/** Asks the owner; undefined: none is known. */
+	/** Calls the owner; fails if none is known or it gives no usable answer. */
 	askOwner: <T>(req: protocol.BoxReq, timeoutMs: number) => Promise<results.Result<T, OwnerFailure>>;
 	/** Generation of the owner as this box knows it; 0: it knows none. */
 	ownerGeneration: () => number;
-	/** The work that is owed, as far as this box knows. */
+	/** The outstanding work, as far as this box knows. */
 	backlog: () => admission.Backlog;
 	/** A number from 0 to 1; seeded in tests. */
 	random: () => number;
-	/** Whether the owner said lately that the store answers it. */
+	/** Whether the owner lately reported that the store answers it. */
 	ownerHasStore: () => boolean;
 }
 
-/** The owner gave no usable answer. */
+/** Why the owner gave no usable answer. */
 export interface OwnerFailure {
-	/** It may have acted on the request. */
+	/** Whether it may have acted on the request. */
 	sent: boolean;
 	reason: string;
 }
 
-/** Jobs, as callers see them. */
+/** Serves requests of callers about jobs. */
 export class JobService {
 	private constructor(private readonly opts: JobServiceOptions) {}
 
@@ -67,7 +67,7 @@
 		return new JobService(opts);
 	}
 
-	/** Takes a job in. It is accepted once it is stored. */
+	/** Submits a job. It is accepted once it is stored. */
 	async submit(
 		queue: jobs.QueuePolicy,
 		id: string,
@@ -88,7 +88,8 @@
 			return this.answerUnstored(outcome, queue.priority);
 		}
 		log.emit('job.accepted', { job: id, queue: queue.name, outcome: outcome.type, tookMs });
-		// A known job's record is another one: it may name an earlier owner, who may have started the job.
+		// The stored record of a known job may differ from this one: it may name an earlier owner, which may have started
+		// the job.
 		if (outcome.type === 'accepted')
 			this.tell({ type: 'job.stored', record }, (own) => {
 				own.addJob(record);
@@ -96,7 +97,7 @@
 		return { type: 'ok', value: 'accepted' };
 	}
 
-	/** How a job stands. */
+	/** State of a job, from the owner or else from the store. */
 	async state(id: string): Promise<Answer<jobs.JobView>> {
 		const known = await this.ownersView(id);
 		if (known !== undefined) {
@@ -113,7 +114,7 @@
 		return { type: 'ok', value: view };
 	}
 
-	/** Cancels a job. It is cancelled once that is stored. */
+	/** Cancels a job. The cancellation takes effect once it is stored. */
 	async cancel(id: string): Promise<Answer<'cancelled'>> {
 		const outcome = await this.storeCancel(id);
 		this.opts.events.emit('job.cancel', {
@@ -129,7 +130,7 @@
 		return { type: 'ok', value: 'cancelled' };
 	}
 
-	/** Accepted jobs of a queue of which no task has begun. */
+	/** Number of a queue's accepted jobs of which no task has started. */
 	async pending(queue: string): Promise<Answer<number>> {
 		const own = this.opts.dispatcher();
 		if (own !== undefined) return { type: 'ok', value: own.pendingOf(queue) };
@@ -137,12 +138,12 @@
 		return res.ok ? { type: 'ok', value: res.value } : this.unavailable(res.err.reason);
 	}
 
-	/** Why a job is not taken in; undefined: it is, or has been already. */
+	/** Why a job is not accepted; undefined: it may be, or was already. */
 	private async refusal(record: jobs.JobRecord): Promise<Answer<never> | undefined> {
 		const verdict = admission.decide(record, this.opts.backlog());
 		if (verdict.type === 'admit') return undefined;
-		// A job that was taken in before, and whose answer was lost, must not be called refused. Where the store does not tell,
-		// the job is handed in as any other.
+		// A job that was accepted before, and whose answer was lost, must not be reported as refused. If the store gives no
+		// answer, the job is submitted like any other.
 		const known = await ledger.isKept(this.opts.store, record.id);
 		if (!known.ok || known.value) return undefined;
 		const { waitMs, limitMs } = verdict;
@@ -150,7 +151,7 @@
 		const seconds = this.retryAfterS({ type: 'backlog', excessMs: waitMs - limitMs }, priority);
 		const fields = { job: record.id, queue: name, waitMs, limitMs, retryAfterS: seconds };
 		this.opts.events.emit('job.turned-away', fields);
-		const reason = `what is owed takes ${String(waitMs)} ms, and the job may wait for ${String(limitMs)} ms`;
+		const reason = `outstanding work takes ${String(waitMs)} ms, and the job may wait for ${String(limitMs)} ms`;
 		return { type: 'overloaded', reason, retryAfterS: seconds };
 	}
 
@@ -167,7 +168,7 @@
 		return admission.retryAfterS(obstruction, priority, this.opts.random());
 	}
 
-	/** What a caller is told of a write that failed. */
+	/** The answer to a caller whose write failed. */
 	private answerUnstored(outcome: ledger.Unstored, priority = 0): Answer<never> {
 		const { type, reason } = outcome;
 		return type === 'unknown' ? { type, reason } : this.unavailable(reason, priority);
@@ -183,7 +184,7 @@
 		return this.write(own, { type: 'job.cancel', job: id });
 	}
 
-	/** A write of this box, or through the owner (`relay`) if the store turns this box away. */
+	/** Writes directly, or through the owner (`relay`) if the store does not take a write of this box. */
 	private async write<T extends { type: string }>(
 		own: () => Promise<T | ledger.Unstored>,
 		relay: protocol.BoxReq,
@@ -213,7 +214,7 @@
 		return { ...res.value, state: res.value.state };
 	}
 
-	/** Tells the owner what was stored, to save it the wait until it reads it; no harm if that fails. */
+	/** Notifies the owner of what was stored, so that it need not wait until it reads it. A failure does no harm. */
 	private tell(req: protocol.BoxReq, local: (own: dispatch.Dispatcher) => void): void {
 		const own = this.opts.dispatcher();
 		if (own !== undefined) local(own);
--- a/src/core/box/lease-ends.ts
+++ b/src/core/box/lease-ends.ts
@@ -1,26 +1,26 @@
 /**
- * What the owner told this box of workers that were silent for it, for the time after that owner. It holds for the next
- * owner only, and only while the roster in the store is as that owner knew it: with each write of the roster it may have
- * given leases again.
+ * Lease expiries at workers that were unresponsive to the owner, as it reported them to this box, for the time after that
+ * owner. They hold for the next owner only, and only while the roster in the store is as that owner knew it: with each write
+ * of the roster it may have granted leases again.
  */
 import * as dispatch from '../dispatch/index.js';
 import type * as protocol from './peer-protocol.js';
 
-/** Added to each end: covers timers that fire late, in milliseconds. */
+/** Added to each expiry: covers timers that fire late, in milliseconds. */
 const marginMs = dispatch.settings.leaseMarginMs;
 
-/** The boxes' clocks may differ by this part of the time that passes: as much as a worker's may from ours. */
+/** Boxes' clocks may differ by this fraction of the time that passes: as much as a worker's clock may from a box's. */
 const clockDrift = dispatch.settings.clockSlowness;
 
-/** What the newest answer of an owner said. */
+/** What the newest answer of an owner reported. */
 interface Statement {
 	generation: number;
 	rosterVersion: number;
-	/** Clock time of this box by which all leases at a worker are over. */
+	/** Clock time of this box by which all leases at a worker have expired. */
 	endsAt: Map<string, number>;
 }
 
-/** The ends of leases as the owner last told them. */
+/** Lease expiries by worker, as the owner last reported them. */
 export class LeaseEnds {
 	private newest: Statement | undefined;
 
@@ -30,21 +30,21 @@
 		return new LeaseEnds(now);
 	}
 
-	/** Takes in an answer of the owner; what it said before is void. */
+	/** Replaces what the owner reported before by its newest answer. */
 	take(reply: protocol.PingReply): void {
 		const { generation, silent } = reply;
 		if (silent === undefined) {
 			this.newest = undefined;
 			return;
 		}
-		// Counted from the answer's arrival: never earlier than the owner meant.
+		// Counted from the arrival of the answer: never earlier than the owner meant.
 		const base = this.now() + marginMs;
 		const ends = Object.entries(silent.leftMs);
 		const endsAt = new Map(ends.map(([worker, leftMs]) => [worker, base + leftMs * (1 + clockDrift)]));
 		this.newest = { generation, rosterVersion: silent.rosterVersion, endsAt };
 	}
 
-	/** What an owner of this generation, which read the roster in this version, may rely on. */
+	/** What an owner of this generation, which read the roster in this version, may rely on; empty: nothing. */
 	for(generation: number, rosterVersion: number): ReadonlyMap<string, number> {
 		const { newest } = this;
 		const holds = newest?.generation === generation - 1 && newest.rosterVersion === rosterVersion;
--- a/src/core/box/owner-pings.ts
+++ b/src/core/box/owner-pings.ts
@@ -1,4 +1,4 @@
-/** Questions to the owner whether it still is, and what it told with its answers. */
+/** Pings that check whether the owner still is the owner, and what it reported in its answers. */
 import * as ownership from '../owner/index.js';
 import * as leaseEnds from './lease-ends.js';
 import type * as admission from '../admission/index.js';
@@ -8,33 +8,33 @@
 import type * as wire from '../wire/frames-only.js';
 
 /**
- * What the owner told of its backlog counts for so long, in milliseconds: it answers twice a second, and a box that has
- * lost it for longer had better take work in than turn it away for a backlog that may be gone.
+ * How long a backlog that the owner reported counts, in milliseconds. The owner answers twice a second. A box that has lost
+ * it for longer had better accept work than turn it away for a backlog that may be gone.
  */
 const backlogCountsMs = 5_000;
 
-/** What the questions need. */
+/** Options of `OwnerPings`. */
 export interface OwnerPingsOptions {
 	peers: wire.PeerClient<protocol.BoxReq>;
 	contact: contacts.StoreContact;
 	box: string;
-	/** Cores' worth of processor that this box may use. */
+	/** Processor that this box may use, in cores. */
 	processor: number;
 	/** Clock time. */
 	now: () => number;
 	/** Version of the configuration in force here; 0: none is known. */
 	configuration: () => number;
-	/** The owner at an address told of its configuration; `askedAt`: clock time of the question. */
+	/** The owner at an address advertised its configuration; `sentAt`: clock time of the ping. */
 	onConfiguration: (told: sharing.ToldConfiguration, askedAt: number, address: string) => void;
 }
 
-/** This box's questions to the owner. */
+/** This box's pings of the owner. */
 export class OwnerPings {
-	/** Whether the store answers the owner, as it last told. */
+	/** Whether the store answers the owner, as the owner last reported. */
 	storeReachable = false;
-	/** The strongest processor among all boxes, as the owner last told. */
+	/** The highest processor of all boxes, in cores, as the owner last reported; undefined: not known yet. */
 	strongest: number | undefined;
-	/** What the owner last told of silent workers. */
+	/** Lease expiries at unresponsive workers, as the owner last reported. */
 	readonly leaseEnds: leaseEnds.LeaseEnds;
 	private told: { backlog: admission.Backlog; at: number } | undefined;
 
@@ -46,21 +46,21 @@
 		return new OwnerPings(opts);
 	}
 
-	/** The work that is owed, as the owner told lately. */
+	/** The outstanding work, as the owner lately reported; empty: there is none, or it is not known. */
 	get backlog(): admission.Backlog {
 		const { told } = this;
 		const isFresh = told !== undefined && this.opts.now() - told.at < backlogCountsMs;
 		return isFresh ? told.backlog : [];
 	}
 
-	/** Asks the owner at an address; answered late while it is. */
+	/** Pings the owner at an address; a box that is the owner answers late. */
 	async ping(address: string): Promise<ownership.PingOutcome> {
 		const { pingWaitMs, pingTimeoutMs } = ownership.settings;
 		const req = this.request(pingWaitMs);
 		const askedAt = this.opts.now();
 		const res = await this.opts.peers.call<protocol.PingReply>(address, req, pingTimeoutMs);
 		if (!res.ok) {
-			// A connection that broke: whether the process is gone shows when it is opened anew.
+			// The connection broke: opening a new one shows whether the process is gone.
 			return res.err.cause === 'broken' ? this.pingAgain(address) : res.err.cause;
 		}
 		if (!res.value.ok) return 'not-owner';
--- a/src/core/box/owner-role.ts
+++ b/src/core/box/owner-role.ts
@@ -1,4 +1,4 @@
-/** What a box does while it owns the dispatching: it dispatches, reads what the boxes stored, and keeps machines up. */
+/** What a box does while it is the owner: it dispatches, reads what the boxes stored, and carries out upkeep of machines. */
 import * as admission from '../admission/index.js';
 import * as clocks from '../clock.js';
 import * as dispatch from '../dispatch/index.js';
@@ -16,18 +16,24 @@
 import type * as queues from '../queues/index.js';
 import type * as stores from '../platform/types.js';
 
-/** Jobs that other boxes stored are read this often at most, in milliseconds; the boxes also tell them at once. */
+/**
+ * Shortest interval between reads of the jobs that other boxes stored, in milliseconds; the boxes also notify the owner at
+ * once.
+ */
 const requestGapMs = 250;
 
-/** What was learnt is stored this often, in milliseconds: loads move little in that time, and each call is paid for. */
+/**
+ * Interval at which the learned models are stored, in milliseconds: loads change little in that time, and each call is
+ * charged for.
+ */
 const learntGapMs = 3_000;
 
-/** The owner logs its load this often, in milliseconds. */
+/** Interval at which the owner logs its load, in milliseconds. */
 const loadGapMs = 1_000;
 
 /**
- * A start may be on its way to its worker for so long after the last look at what is evacuated, in milliseconds: an order
- * without an answer is given up by then.
+ * Longest time that a start may be in flight to its worker after the last check of the evacuated zones, in milliseconds: a
+ * command without an answer has timed out by then.
  */
 const startOnItsWayMs = 1_500;
 
@@ -38,19 +44,19 @@
 	store: stores.RecordStore;
 	clock: clocks.Clock;
 	events: events.EventLog;
-	/** The queues in force. */
+	/** The queues in force; undefined: none are known. */
 	table: () => queues.QueueTable | undefined;
-	/** A newer owner was seen. */
+	/** Called when a newer owner was seen. */
 	onFenced: (reason: string) => void;
-	/** Records how long ends waited. */
+	/** Records how long exits waited. */
 	recordTime: dispatch.RecordTime;
 }
 
-/** What an owner did in a second, times in whole milliseconds. */
+/** An owner's load in one second, times in whole milliseconds. */
 export interface OwnerLoad extends dispatch.DispatchLoad {
-	/** Processor that the whole box used. */
+	/** Processor time that the whole box used. */
 	cpuMs: number;
-	/** How long what is owed takes; 0: it is not known, or nothing is. */
+	/** How long the outstanding work takes; 0: it is not known, or there is none. */
 	backlogMs: number;
 }
 
@@ -65,10 +71,10 @@
 	private readonly learntTimer: clocks.Timer;
 	private readonly loadTimer: clocks.Timer;
 	private readonly finishRate = admission.FinishRate.create();
-	/** The work that is owed, as of the last second. */
+	/** The outstanding work, as of the last second. */
 	backlog: admission.Backlog = [];
 	private cpuBefore = process.cpuUsage();
-	/** The last second; undefined: the first has not passed. */
+	/** Load of the last second; undefined: the first second has not passed. */
 	load: OwnerLoad | undefined;
 
 	private constructor(
@@ -97,7 +103,7 @@
 		this.evacuations = this.createEvacuations();
 	}
 
-	/** `leaseEnds`: clock time by which all leases at a worker are over, where the owner before said so. */
+	/** `leaseExpiries`: clock time by which all leases at a worker have expired, where the previous owner reported it. */
 	static create(
 		deps: OwnerRoleDeps,
 		owned: ledger.OwnerLedger,
@@ -107,19 +113,19 @@
 		return new OwnerRole(deps, owned, contents, leaseEnds);
 	}
 
-	/** What the next owner may rely on about workers that do not answer this one. */
+	/** What the next owner may rely on about workers that do not answer this one; undefined: nothing to report. */
 	silentWorkers(): protocol.SilentWorkers | undefined {
 		const leftMs = this.dispatcher.silentLeases();
 		if (Object.keys(leftMs).length === 0) return undefined;
 		return { rosterVersion: this.owned.rosterVersion, leftMs };
 	}
 
-	/** Takes in a wave of upkeep, unless an earlier owner saw it through. */
+	/** Takes in a wave of upkeep, unless an earlier owner completed it. */
 	addWave(wave: upkeep.Wave): void {
 		if (this.upkeep !== undefined) void this.resumeWave(wave, this.upkeep);
 	}
 
-	/** Gives no more orders. */
+	/** Sends no more commands. */
 	close(): void {
 		this.workerList.close();
 		this.requests.close();
@@ -130,7 +136,7 @@
 		this.dispatcher.close();
 	}
 
-	/** Works out what is owed, and logs a line a second while anything is done or waits. */
+	/** Computes the outstanding work, and logs a line a second while workers report or tasks wait. */
 	private noteLoad(): void {
 		const { roundMs, longestRoundMs, reportMs, ...load } = this.dispatcher.load();
 		this.finishRate.note(load.finished, load.waitingShort);
@@ -149,7 +155,7 @@
 		this.deps.events.emit('owner.load', { epoch: this.owned.generation, ...this.load });
 	}
 
-	/** Stores what was learnt, for the next owner; a write that fails is made good by the next one. */
+	/** Stores the learned models for the next owner; the next write makes up for one that fails. */
 	private async storeLearnt(): Promise<void> {
 		const outcome = await this.owned.publish(
 			ledger.keys.learntKey,
@@ -200,7 +206,7 @@
 		);
 	}
 
-	/** Whether the epoch was shown in force lately, and not before the machine was last suspended. */
+	/** Whether the epoch was confirmed lately, and after the machine was last suspended. */
 	private mayAct(): boolean {
 		return clocks.isFresh(this.deps.clock, this.owned.confirmedAt, dispatch.settings.renewalHorizonMs);
 	}
@@ -249,7 +255,7 @@
 		started.add(wave);
 	}
 
-	/** Jobs and cancellations that the boxes stored. */
+	/** Follows the jobs and cancellations that the boxes stored. */
 	private followRequests(from: number): followers.RecordFollower {
 		const take = (key: string, value: Uint8Array): void => {
 			const parsed = ledger.keys.parseKey(key);
@@ -268,7 +274,7 @@
 			isShort: false,
 			from,
 			onList: (items) => {
-				// Jobs first: a cancellation of an unknown job is passed over.
+				// Jobs first: a cancellation of an unknown job is ignored.
 				const rank = (key: string): number => (ledger.keys.parseKey(key)?.kind === 'job' ? 0 : 1);
 				for (const item of items.sort((a, b) => rank(a.key) - rank(b.key))) take(item.key, item.value);
 			},
@@ -279,7 +285,7 @@
 	}
 }
 
-/** How old the list of evacuated zones may be at a start, in milliseconds; undefined: zones are not evacuated. */
+/** Greatest age of the list of evacuated zones at a start, in milliseconds; undefined: zones are not evacuated. */
 function evacuationAge(evacuateMs: number | undefined): number | undefined {
 	return evacuateMs === undefined ? undefined : Math.max(evacuateMs / 2, evacuateMs - startOnItsWayMs);
 }
--- a/src/core/box/peer-protocol.ts
+++ b/src/core/box/peer-protocol.ts
@@ -1,4 +1,4 @@
-/** What the boxes ask of each other. The owner answers; any other box says that it is not the owner. */
+/** Requests between boxes. The owner answers them; any other box answers that it is not the owner. */
 import * as zod from 'zod/mini';
 import * as results from '../result.js';
 import type * as admission from '../admission/index.js';
@@ -15,22 +15,22 @@
 	z.object({
 		type: z.literal('owner.ping'),
 		waitMs: z.number(),
-		/** Who asks, and how strong it is. */
+		/** The box that pings, and its processor in cores. */
 		candidate: z.object({ box: z.string(), processor: z.number(), storeReachable: z.boolean() }),
-		/** Version of the configuration in force there; absent: it has none, or is of an older version. */
+		/** Version of the configuration in force there; absent: that box has none, or runs an older release. */
 		configuration: z.optional(z.number()),
 	}),
 	/** A job was stored. */
 	z.object({ type: z.literal('job.stored'), record }),
-	/** Store this job for a box that the store turns away. */
+	/** Store this job for a box whose writes the store does not take. */
 	z.object({ type: z.literal('job.accept'), record }),
 	/** A cancellation was stored. */
 	z.object({ type: z.literal('job.cancelled'), job: z.string() }),
-	/** Store this cancellation for a box that the store turns away. */
+	/** Store this cancellation for a box whose writes the store does not take. */
 	z.object({ type: z.literal('job.cancel'), job: z.string() }),
 	z.object({ type: z.literal('job.state'), job: z.string() }),
 	z.object({ type: z.literal('queue.pending'), queue: z.string() }),
-	/** The configuration in force at the owner, for a box that the store does not answer. */
+	/** Read the configuration in force at the owner, for a box that the store does not answer. */
 	z.object({ type: z.literal('configuration.read') }),
 ]);
 
@@ -40,39 +40,42 @@
 /** The answer to `owner.ping`. */
 export interface PingReply {
 	generation: number;
-	/** The store answers the owner. */
+	/** Whether the store answers the owner. */
 	storeReachable: boolean;
-	/** The strongest processor (cores) among the boxes that ask the owner, and its own. */
+	/** The highest processor, in cores, of the owner and the boxes that ping it. */
 	strongest: number;
-	/** The work that is owed; absent: the owner is of an older version. */
+	/** The outstanding work; absent: the owner runs an older release. */
 	backlog?: admission.Backlog;
-	/** What the owner says of silent workers; absent: none is. */
+	/** Leases at unresponsive workers; absent: no worker is unresponsive. */
 	silent?: SilentWorkers;
-	/** The configuration in force at the owner; absent: it has none, or is of an older version. */
+	/** The configuration in force at the owner; absent: it has none, or runs an older release. */
 	configuration?: sharing.ToldConfiguration;
 }
 
-/** The answer to `configuration.read`; absent: the owner gives it to others just now. */
+/**
+ * The answer to `configuration.read`; without a value the owner has no configuration, or its rate limit does not allow it
+ * yet.
+ */
 export interface ConfigurationReply {
-	/** As it stands in the store. */
+	/** Encoded as in the store. */
 	value?: Uint8Array;
 }
 
 /**
- * What an owner says of workers that do not answer it. Until its next roster write it gives none of them a lease, so the
- * next owner need not wait for them from its own takeover on.
+ * What an owner reports of workers that do not answer it. Until its next roster write it grants none of them a lease, so the
+ * next owner need not count their leases from its own takeover.
  */
 export interface SilentWorkers {
-	/** Version of the roster in the store, as the owner knows it: a later write of it voids what is said here. */
+	/** Version of the roster in the store, as the owner knows it; a later write of the roster voids this report. */
 	rosterVersion: number;
-	/** By worker: how long until every lease there is over, in milliseconds. */
+	/** By worker: how long until every lease there has expired, in milliseconds. */
 	leftMs: Record<string, number>;
 }
 
 /** The answer to `job.state`; without a state the owner does not know the job. */
 export type StateReply = Partial<jobs.JobView>;
 
-/** Checks a request of a box. */
+/** Validates a request of a box. */
 export function parseBoxReq(body: unknown): results.Result<BoxReq, string> {
 	const req = request.safeParse(body);
 	if (req.success) return results.ok(req.data);
--- a/src/core/box/settings.ts
+++ b/src/core/box/settings.ts
@@ -1,4 +1,4 @@
-/** What a box is told about itself and its platform. */
+/** Settings of a box and of its platform. */
 
 /** Settings of a box; `platform/settings.ts` reads them from the platform's file. */
 export interface BoxSettings {
@@ -9,36 +9,36 @@
 	ip: string;
 	/** Where callers connect, `host:port`. */
 	callers: string;
-	/** Where the platform asks whether the box takes callers, `host:port`. */
+	/** Where the platform checks whether the box takes callers, `host:port`. */
 	readiness: string;
-	/** Ports free for our own connections: first and last. */
+	/** Ports on which a box may listen for other boxes: first and last. */
 	ownPorts: [number, number];
 	storeAddress: string;
-	/** Lowest lifetime that the store grants a lease, in milliseconds. */
+	/** Shortest lifetime that the store grants a lease, in milliseconds. */
 	minLeaseMs: number;
 	/** Where the adviser answers; absent: there is none. */
 	adviser?: string;
 	/** Where the machines of the pools are listed and moved; absent: there is none. */
 	machines?: string;
-	/** Cores' worth of processor that the box may use. */
+	/** Processor that the box may use, in cores. */
 	processor: number;
 	bounds: BoxBounds;
 }
 
 /** Time limits of the deployment, in milliseconds. */
 export interface BoxBounds {
-	/** A stored configuration has to be in force after this long. */
+	/** A stored configuration has to be in force within this time. */
 	applyMs: number;
-	/** Longest lease that workers give their tasks. */
+	/** Longest lease that workers grant their tasks. */
 	maxLeaseMs: number;
-	/** A stopped process is killed after this. */
+	/** A process that was asked to stop is killed after this time. */
 	graceMs: number;
-	/** A finished job's state is answered for at least this long. */
+	/** The state of a finished job is available for at least this long. */
 	keepStateMs: number;
-	/** A lasting task over its target for this long because of what fills beside it breaks its promise. */
+	/** Interference by preemptible tasks that keeps a long-running task over its target for this long violates its SLO. */
 	harmMs: number;
-	/** Going on from a checkpoint takes a task so long; absent: it is not stated. */
+	/** Time that a task takes to resume from a checkpoint; absent: it is not stated. */
 	restoreMs?: number;
-	/** A zone's workers are sent nothing more so long after its evacuation was stored; absent: zones are not evacuated. */
+	/** A zone's workers are sent nothing more this long after its evacuation was stored; absent: zones are not evacuated. */
 	evacuateMs?: number;
 }
--- a/src/core/box/worker-list.ts
+++ b/src/core/box/worker-list.ts
@@ -8,15 +8,15 @@
 import type * as fleet from '../fleet/types.js';
 import type * as stores from '../platform/types.js';
 
-/** What following needs. */
+/** Options of `followWorkers`. */
 export interface WorkerListOptions {
 	adapter: Pick<adapters.PlatformAdapter, 'workerPrefix' | 'decodeWorker'>;
 	store: stores.RecordStore;
 	clock: clocks.Clock;
 	events: events.EventLog;
-	/** Told what the list says, in part or whole. */
+	/** Called with what the list says, in part or whole. */
 	setWorkers: dispatch.Dispatcher['setWorkers'];
-	/** Told of each answer: what the list said held at that clock time. */
+	/** Called with each answer of the store: the list is known as of the clock time `asOf`. */
 	onRead: (heldAt: number) => void;
 }
 
@@ -24,12 +24,12 @@
 type ListedWorker = { type: 'listed'; entry: fleet.WorkerEntry } | { type: 'absent'; name: string };
 
 /**
- * The list, until the follower is closed. Others write it too: an entry that can't be read names no worker to use, just as
- * one that is absent, and as that one it proves nothing about what runs there.
+ * Follows the list until the follower is closed. Others write it too: an entry that can't be read names no usable worker,
+ * just like an absent one. Like that one, it proves nothing about what runs there.
  */
 export function followWorkers(opts: WorkerListOptions): followers.RecordFollower {
 	const { workerPrefix, decodeWorker } = opts.adapter;
-	/** Version of the entry that was last found unreadable, by key: each is told of once, however often it is read. */
+	/** Version of the entry last found unreadable, by key: each version is logged once, however often it is read. */
 	const unreadable = new Map<string, number>();
 	const read = (key: string, value: Uint8Array | undefined, version: number): ListedWorker => {
 		const entry = value && decodeWorker(key, value);
