--- a/src/cli/box/connections.ts
+++ b/src/cli/box/connections.ts
@@ -4,18 +4,18 @@
 
 /** What is known of one connection. */
 interface ConnectionUse {
-	/** Requests that are not answered. */
+	/** Requests that are not answered yet. */
 	underWay: number;
 	/** Bytes that had been read when the last answer was complete. */
 	answeredBytes: number;
 }
 
-/** Follows the connections of one server from the moment at which it listens. */
+/** Tracks the connections of one server from the moment at which it listens. */
 export class ConnectionTracker {
 	private readonly open = new Map<net.Socket, ConnectionUse>();
 
 	private constructor() {
-		// Filled by the server's events.
+		// Filled by the server's events, which `create` registers.
 	}
 
 	static create(server: net.Server): ConnectionTracker {
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * Connections on which nothing has arrived that is not answered. Unlike those that `http.Server` calls idle, they may
+	 * Connections on which everything that has arrived is answered. Unlike those that `http.Server` calls idle, they may
 	 * never have carried a request.
 	 */
 	unused(): net.Socket[] {
--- a/src/cli/box/figures.ts
+++ b/src/cli/box/figures.ts
@@ -1,13 +1,16 @@
-/** A box's counters and histograms, on an address of their own: one counter an event, and what times the events carry. */
+/**
+ * Serves a box's counters, gauges and histograms on an address of their own: one counter for each event name, and the times
+ * that events carry.
+ */
 import * as http from 'node:http';
 import * as listening from './listening.js';
 import type * as boxes from '../../core/box/box.js';
 import type * as events from '../../core/events/index.js';
 
-/** Figures are served so long after the start, in milliseconds. */
+/** Metrics are served from this long after the start, in milliseconds. */
 export const startAfterMs = 3_000;
 
-/** Fields of events that are times, and the histograms they go to. */
+/** Events that carry a time, and the histogram that records it. */
 const times: Record<string, string> = {
 	'task.placed': 'task_wait',
 	'job.taken': 'job_age_at_owner',
@@ -15,7 +18,7 @@
 	'task.relieved': 'users_relieved',
 };
 
-/** Serves the figures at `address` (`host:port`) under every path. */
+/** Serves the metrics at `address` (`host:port`) under every path. */
 export async function serveFigures(box: boxes.Box, log: events.EventLog, address: string): Promise<void> {
 	const metrics = await import('../../core/metrics/index.js');
 	const figures = metrics.Metrics.create();
@@ -37,7 +40,7 @@
 	server.listen(listening.toListenOptions(address));
 }
 
-/** What is read off at the moment of a question. */
+/** Gauges, read at the moment of a request. */
 function ownFigures(box: boxes.Box): Record<string, number> {
 	const { rss } = process.memoryUsage();
 	const { user, system } = process.cpuUsage();
@@ -53,7 +56,7 @@
 	};
 }
 
-/** The owner's last second, one figure a field. */
+/** The owner's load in the last second, one gauge for each field. */
 function ownerFigures(load: boxes.Box['ownerLoad']): Record<string, number> {
 	const fields: [string, number][] = Object.entries({ ...load });
 	return Object.fromEntries(fields.map(([field, value]) => [`owner_${toSnakeCase(field)}`, value]));
--- a/src/cli/box/listening.ts
+++ b/src/cli/box/listening.ts
@@ -1,16 +1,16 @@
-/** Servers on addresses as the settings write them, `host:port`. */
+/** Servers on addresses of the form `host:port`, and their graceful close. */
 import type * as http from 'node:http';
 import * as net from 'node:net';
 import * as connections from './connections.js';
 import * as reading from '../../core/after-reading.js';
 
-/** A connection that was ended is read for so long until its caller has ended it too, in milliseconds. */
+/** A connection that was ended here is still read for this long until its caller ends it too, in milliseconds. */
 const lingerMs = 500;
 
-/** The connections of what listens. */
+/** The connections of each listening server. */
 const trackers = new WeakMap<net.Server, connections.ConnectionTracker>();
 
-/** Listens, and says where: port 0 lets the kernel choose. Fails if the address can't be used. */
+/** Listens, and returns the address; port 0 lets the kernel choose a port. Fails if the address can't be used. */
 export async function listen(server: net.Server, address: string): Promise<string> {
 	trackers.set(server, connections.ConnectionTracker.create(server));
 	await new Promise<void>((resolve, reject) => {
@@ -22,18 +22,19 @@
 }
 
 /**
- * Takes no new connections, ends those that carry no request after `quietMs` milliseconds, and resolves once every request
- * under way has been answered, after `mostMs` milliseconds at the latest. Meanwhile connections in use are to be closed by
- * their answers.
+ * Accepts no new connections, ends those that carry no request after `unusedCloseDelayMs` milliseconds, and resolves once
+ * every pending request is answered, after `timeoutMs` milliseconds at the latest. Answers sent meanwhile have to close
+ * their connections.
  *
- * A connection that carries no request ends with `lastAnswer`, a whole answer in HTTP/1.1 that refuses: a request that is on
- * its way then would be left without any. It is not run: what arrives after the close has to be refused anyway. Callers
- * without a request take the text for the end that it is (RFC 9112, 9.2; RFC 9110, 15.5.9 has the same for 408).
+ * A connection that carries no request ends with `lastAnswer`, a complete HTTP/1.1 response that refuses. Without it, a
+ * request already on its way would get no answer. That request is not run: what arrives after the close has to be refused
+ * anyway. Callers without a request take the text as the end of the connection (RFC 9112, 9.2; RFC 9110, 15.5.9 has the same
+ * for 408).
  */
 export function finish(server: http.Server, quietMs: number, mostMs: number, lastAnswer = ''): Promise<void> {
 	return new Promise((resolve) => {
-		// Not the close of `http.Server`, which would end the idle connections at once: on some of them a request may have
-		// arrived that is not read yet, the more the busier this process is.
+		// Not `close` of `http.Server`, which ends idle connections at once: a request may have arrived on one of them that
+		// is not read yet, more likely the busier this process is.
 		net.Server.prototype.close.call(server, () => {
 			resolve();
 		});
@@ -49,7 +50,7 @@
 /** Ends a connection that carries no request. */
 function endUnused(socket: net.Socket, lastAnswer: string): void {
 	socket.end(lastAnswer);
-	// A close while requests arrive would reset the connection, and the last answer might be lost with it.
+	// Closing while requests arrive would reset the connection, and the last answer might be lost with it.
 	const timer = setTimeout(() => socket.destroy(), lingerMs).unref();
 	socket.once('close', () => {
 		clearTimeout(timer);
--- a/src/cli/box/main.ts
+++ b/src/cli/box/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
-/** The `woodcross-box` binary: a whole box on the users' platform, as one process. */
-// First: until it is loaded, signals end the process.
+/** The `woodcross-box` binary: runs a whole box on the users' platform as one process. */
+// Imported first: until this module is loaded, signals end the process.
 import * as signals from './signals.js';
 import * as acceptQueues from '../../core/accept-queue.js';
 import * as adapters from '../../../platform/adapter.js';
@@ -17,22 +17,25 @@
 /** Exit status for settings that can't be used. */
 const badSettings = 2;
 
-/** For timers that fire late, and the last bytes of an answer, in milliseconds. */
+/** Allowance for timers that fire late and for the last bytes of an answer, in milliseconds. */
 const marginMs = 100;
 
-/** Connections that are established when a stopping box is about to close its address are accepted for so long, in milliseconds. */
+/**
+ * Longest time for which a stopping box accepts connections already established before it closes its address, in
+ * milliseconds.
+ */
 const acceptMs = 300;
 
-/** Requests that are under way when a stopping box closes its address have this long to be answered, in milliseconds. */
+/** Requests pending when a stopping box closes its address have this long to be answered, in milliseconds. */
 const finishMs = service.longestAnswerMs + marginMs;
 
 /**
- * Connections that carry no request are ended so long after it closed the address, in milliseconds. What comes over them
- * until then is refused at once, so it needs none of the time that answers may take.
+ * Connections that carry no request are ended this long after the address was closed, in milliseconds. Requests that arrive
+ * on them until then are refused at once, so they need none of the time that answers may take.
  */
 const quietMs = 1_500;
 
-/** It begins to close the address this long before it would be killed, in milliseconds. */
+/** The address starts to close this long before the process would be killed, in milliseconds. */
 const finishBeforeKillMs = acceptMs + finishMs + marginMs;
 
 const path = process.env[platformSettings.settingsVariable] ?? '';
@@ -51,7 +54,7 @@
 
 stalls.watchStalls(clock.systemClock, log);
 
-// Nothing of the first second needs figures, and loading what keeps them costs start-up time.
+// Nothing needs metrics in the first second, and loading their code costs start-up time.
 setTimeout(() => {
 	void figures.serveFigures(box, log, `${settings.ip}:${platformSettings.metricsPort}`);
 }, figures.startAfterMs);
@@ -70,7 +73,7 @@
 
 const lastAnswer = ingress.lastAnswer();
 const queued = await acceptQueues.acceptQueued(callersServer, acceptMs);
-// Nothing may come between the turn that found the queue empty and the close.
+// The close has to happen in the turn of the event loop that found the queue empty.
 const finished = listening.finish(callersServer, quietMs, finishMs, lastAnswer);
 log.emit('callers.closed', { ...queued, emptied: String(queued.emptied) });
 await finished;
--- a/src/cli/box/signals.ts
+++ b/src/cli/box/signals.ts
@@ -1,15 +1,15 @@
 /**
- * Signals of the platform, taken from the moment at which this module is loaded: a signal that nobody takes ends the process
- * at once, and a box opens its addresses before it is complete.
+ * Handlers of the platform's signals, installed when this module is loaded: a signal without a handler ends the process at
+ * once, and a box opens its addresses before it is complete.
  */
 
-/** Set once settings can be read again. */
+/** Undefined until settings can be read again. */
 let reload: (() => void) | undefined;
 let isReloadAsked = false;
 
-/** Resolves once a planned stop is asked for, to the time of `performance.now()` at which it was. */
+/** Resolves when a planned stop is requested, to the `performance.now()` time of the request. */
 export const stopAsked = new Promise<number>((resolve) => {
-	// Not only the first: another one must not end a stop that is under way.
+	// `on`, not `once`: a further signal must not end a stop in progress.
 	process.on('SIGTERM', () => {
 		resolve(performance.now());
 	});
@@ -20,7 +20,7 @@
 	else reload();
 });
 
-/** Calls `fn` whenever settings are to be read again, also if that was asked for before. */
+/** Calls `fn` whenever settings are to be read again, and at once if that was requested before. */
 export function onReload(fn: () => void): void {
 	reload = fn;
 	if (isReloadAsked) fn();
--- a/src/cli/box/stalls.ts
+++ b/src/cli/box/stalls.ts
@@ -1,14 +1,14 @@
 /**
- * Tells a box's own standstills from the silence of others: after one, its time limits have passed without a reason. The
- * same for times in which its machine may have been suspended, which no monotonic clock shows.
+ * Logs stalls of this process, to tell them from unresponsiveness of others: after a stall, its time limits have passed
+ * without a reason. Also logs times in which its machine may have been suspended, which no monotonic clock shows.
  */
 import * as clocks from '../../core/clock.js';
 import type * as events from '../../core/events/index.js';
 
-/** How often it is looked, in milliseconds. */
+/** Interval between checks, in milliseconds. */
 const lookGapMs = 500;
 
-/** A look that comes so much later is logged, in milliseconds: half of the shortest time limit of a call. */
+/** A check that is at least this late is logged, in milliseconds: half of the shortest time limit of a call. */
 const stallMs = 500;
 
 /** Watches until the process ends. */
--- a/src/core/owner/candidates.ts
+++ b/src/core/owner/candidates.ts
@@ -1,24 +1,24 @@
-/** The boxes that ask the owner, and how strong they are: who could dispatch in its place. */
+/** The boxes that ping the owner, and the processor that each may use: they could dispatch in its place. */
 import * as settings from './settings.js';
 import * as strength from './strength.js';
 
-/** What a box tells of itself with each question to the owner. */
+/** What a box reports of itself with each ping of the owner. */
 export interface Candidate {
 	box: string;
-	/** Cores' worth of processor that it may use. */
+	/** Processor that it may use, in cores. */
 	processor: number;
-	/** The store answers it. */
+	/** Whether the store answers it. */
 	storeReachable: boolean;
 }
 
 interface Seen extends Candidate {
-	/** Clock time since which it has asked without a gap. */
+	/** Clock time since which it has pinged without interruption. */
 	since: number;
-	/** Clock time of its newest question. */
+	/** Clock time of its newest ping. */
 	at: number;
 }
 
-/** Boxes heard of lately. */
+/** Boxes that have pinged lately. */
 export class Candidates {
 	private readonly seen = new Map<string, Seen>();
 
@@ -28,7 +28,7 @@
 		return new Candidates(now);
 	}
 
-	/** A box asked. */
+	/** Records a ping of a box. */
 	heard(candidate: Candidate): void {
 		const at = this.now();
 		const before = this.seen.get(candidate.box);
@@ -36,12 +36,15 @@
 		this.seen.set(candidate.box, { ...candidate, since: goesOn ? before.since : at, at });
 	}
 
-	/** The strongest processor among the boxes heard of lately, and `own`. */
+	/** The highest processor among `own` and the boxes that have pinged lately, in cores. */
 	strongest(own: number): number {
 		return Math.max(own, ...this.recent().map((one) => one.processor));
 	}
 
-	/** A box that is clearly stronger than `own`, has been up for a while and reaches the store. */
+	/**
+	 * The box with the most processor that is clearly stronger than `own`, has been up for a while and reaches the store;
+	 * undefined: there is none.
+	 */
 	stronger(own: number): Candidate | undefined {
 		const at = this.now();
 		const proven = this.recent().filter(
--- a/src/core/owner/lease-keeper.ts
+++ b/src/core/owner/lease-keeper.ts
@@ -1,24 +1,26 @@
 /**
- * Renews the lease of the owner's name on a beat of its own.
+ * Renews the lease of the owner record on a schedule of its own.
  *
- * Load pattern: the store's answers take a second because the owner's link is full. A renewal that waits for the answer
- * to the one before, or to another call, then reaches the store more than a lease after it, and an owner that works is
- * replaced. What counts for the lease is when a renewal arrives, not when its answer does.
+ * Load pattern: the store's answers take a second because the owner's link is full. If a renewal waited for the answer to
+ * the previous one, or to another call, it would reach the store more than a lease after the previous one, and a working
+ * owner would be replaced. What counts for the lease is when a renewal arrives, not when its answer does.
  */
 import * as settings from './settings.js';
 import type * as clocks from '../clock.js';
 import type * as platform from '../platform/types.js';
 
-/** What renewing needs. */
+/** Options of `LeaseKeeper`. */
 export interface LeaseKeeperOptions {
 	store: Pick<platform.RecordStore, 'keepLease'>;
 	clock: clocks.Clock;
 	lease: string;
-	/** The store says that the lease is over; resolves to the one to keep from now on, if there is one. */
+	/**
+	 * Called when the store says that the lease has expired; resolves to the lease to renew from then on, undefined if none.
+	 */
 	onGone: () => Promise<string | undefined>;
 }
 
-/** The renewals of one owner. */
+/** Renews the lease of one owner. */
 export class LeaseKeeper {
 	private lease: string;
 	private replacing = false;
@@ -34,7 +36,7 @@
 		return new LeaseKeeper(opts);
 	}
 
-	/** Renews no more. */
+	/** Stops renewing. */
 	close(): void {
 		this.closed = true;
 		this.timer.cancel();
@@ -50,7 +52,7 @@
 	private async keep(): Promise<void> {
 		const { lease } = this;
 		const kept = await this.opts.store.keepLease(lease);
-		// Without an answer the next beat tries again.
+		// Without an answer, the next renewal tries again.
 		const isAnswered = kept.ok && !kept.value && lease === this.lease;
 		if (!isAnswered || this.replacing || this.closed) return;
 		this.replacing = true;
