--- a/src/core/accept-queue.ts
+++ b/src/core/accept-queue.ts
@@ -2,8 +2,9 @@
 import type * as net from 'node:net';
 
 /**
- * Connections arrive unseen from the moment at which the event loop asks the kernel for events to the end of that turn: a
- * turn counts as brief up to this many milliseconds, and up to this part of the time that a brief one has been waited for.
+ * Connections that arrive after the event loop has asked the kernel for events stay unseen until the end of that turn. A
+ * turn counts as brief up to this many milliseconds, or up to this fraction of the time spent so far waiting for a brief
+ * one.
  */
 const briefTurnMs = 0.2;
 const briefTurnPart = 0.02;
@@ -18,8 +19,8 @@
 
 /**
  * Accepts what is queued, one connection a turn of the event loop, and resolves in the turn that finds the queue empty,
- * after `mostMs` milliseconds at the latest. To be closed in that same turn: the kernel resets connections that are in the
- * queue of a listener when it is closed, with the requests that callers have written to them.
+ * after `timeoutMs` milliseconds at the latest. Close the server in that same turn: on close the kernel resets the
+ * connections in a listener's queue, with the requests that callers have written to them.
  */
 export function acceptQueued(server: net.Server, mostMs: number): Promise<AcceptedConnections> {
 	return new Promise((resolve) => {
@@ -41,7 +42,7 @@
 			server.off('connection', count);
 			resolve({ accepted, emptied, tookMs: Math.round(waitedMs) });
 		};
-		// The first look begins a turn; what is queued now is accepted from then on.
+		// The first check begins a turn; connections queued before it are accepted from then on.
 		setImmediate(look, -Infinity, accepted);
 	});
 }
--- a/src/core/admission/backlog.ts
+++ b/src/core/admission/backlog.ts
@@ -1,22 +1,22 @@
 /**
- * How fast an owner's work is finished while there is more of it than can be started, and how long what is owed takes at
- * that rate. Seconds in which nothing waits tell how much there was to do, not how much could be done.
+ * The rate at which an owner's tasks finish while more of them wait than can be started, and how long outstanding work takes
+ * at that rate. Seconds in which nothing waits show how much there was to do, not how much could be done.
  */
 import type * as types from './types.js';
 
-/** Busy seconds that count, the newest: a fleet changes within half a minute. */
+/** Number of busy seconds that count, the newest: a fleet changes within half a minute. */
 const mostSamples = 15;
 
-/** So many busy seconds have to be seen before anything is told: the first ones still fill the workers. */
+/** Busy seconds needed before a rate is given: in the first ones the workers are still filling up. */
 const leastSamples = 4;
 
-/** A second in which fewer tasks wait than finish in so many seconds is not busy. */
+/** A second is not busy if the tasks that wait are no more than finish in this many seconds. */
 const busyS = 1;
 
-/** Tasks that are owed, by priority. */
+/** Outstanding tasks, by priority. */
 export type OwedTasks = ReadonlyMap<number, number>;
 
-/** The rate at which an owner's work is finished. */
+/** The rate at which an owner's tasks finish. */
 export class FinishRate {
 	private readonly samples: number[] = [];
 
@@ -28,10 +28,10 @@
 		return new FinishRate();
 	}
 
-	/** A second has passed. */
+	/** Records a second: tasks that finished in it, and tasks that wait at its end. */
 	note(finished: number, waiting: number): void {
 		if (waiting <= finished * busyS) {
-			// What waited has found its place: the next backlog is another one.
+			// All that waited has been placed: the next backlog is another one.
 			if (waiting === 0) this.samples.length = 0;
 			return;
 		}
@@ -40,8 +40,9 @@
 	}
 
 	/**
-	 * Tasks a second, of the better half of the seconds; undefined: not known. The others, in which workers fill up, an
-	 * owner has just started or the store is slow, tell less than what can be done, and jobs would be turned away for it.
+	 * Tasks finished a second, averaged over the better half of the seconds; undefined: not known. In the others workers
+	 * fill up, an owner has just started or the store is slow: they show less than can be done, and jobs would be turned
+	 * away for it.
 	 */
 	get perS(): number | undefined {
 		if (this.samples.length < leastSamples) return undefined;
@@ -50,7 +51,7 @@
 	}
 }
 
-/** How long what is owed takes; nothing is told without a rate. */
+/** How long the outstanding work takes, by priority; empty without a rate. */
 export function backlogOf(owed: OwedTasks, perS: number | undefined): types.Backlog {
 	if (perS === undefined) return [];
 	const rate = Math.max(1, perS);
--- a/src/core/admission/decide.ts
+++ b/src/core/admission/decide.ts
@@ -1,34 +1,33 @@
 /**
- * Whether a job is taken in.
+ * Decides whether a job is accepted.
  *
- * Load pattern: for as long as half a minute more is handed in than the fleet, or its owner, can start. Whatever is taken
- * in is finished one day, so each further job makes those before it wait, and after the load's end the backlog is still
- * being worked off. A job of which it is known that it will not be of use to its caller is refused at once, so that the
- * caller can turn elsewhere.
+ * Load pattern: for as long as half a minute more is submitted than the fleet, or its owner, can start. Whatever is accepted
+ * gets finished eventually, so each further job makes those before it wait, and the backlog outlasts the load. A job that is
+ * known to finish too late for its caller is refused at once, so that the caller can turn elsewhere.
  */
 import * as jobs from '../jobs/index.js';
 import type * as types from './types.js';
 
 /**
- * No job is taken in that would wait longer than this, in milliseconds, however patient its caller is: operators expect
- * that 14 s after the last hand-in all that was accepted is under way, and estimates are rough.
+ * No job is accepted that would wait longer than this, in milliseconds, however long its caller would wait: operators expect
+ * that 14 s after the last submission all accepted work is under way, and estimates are rough.
  */
 export const mostWaitMs = 10_000;
 
-/** How long what a job waits behind may take, in milliseconds: afterwards it is worth nothing to its caller. */
+/** How long the work ahead of a job may take, in milliseconds: later the job is worth nothing to its caller. */
 export function waitLimitMs(record: Pick<jobs.JobRecord, 'queue' | 'steps'>): number {
 	const { chainMs, worthlessMs } = jobs.patienceOf(record);
 	return Math.min(mostWaitMs, Math.max(0, worthlessMs - chainMs));
 }
 
-/** What a job of this priority waits for, in milliseconds. */
+/** How long a job of this priority waits, in milliseconds. */
 export function waitMsAt(priority: number, backlog: types.Backlog): number {
 	let waitMs = 0;
 	for (const owed of backlog) if (owed.priority <= priority) waitMs = Math.max(waitMs, owed.waitMs);
 	return waitMs;
 }
 
-/** Decides on a job by what the owner last told. */
+/** Decides on a job by the backlog that the owner last reported. */
 export function decide(
 	record: Pick<jobs.JobRecord, 'queue' | 'steps'>,
 	backlog: types.Backlog,
--- a/src/core/admission/index.ts
+++ b/src/core/admission/index.ts
@@ -1,4 +1,4 @@
-/** Admission: which jobs are taken in under load, and when those turned away are to come back. */
+/** Admission: which jobs are accepted under load, and when callers that are turned away should retry. */
 export { backlogOf, FinishRate } from './backlog.js';
 export type { OwedTasks } from './backlog.js';
 export { decide, mostWaitMs, waitLimitMs, waitMsAt } from './decide.js';
--- a/src/core/admission/retry-after.ts
+++ b/src/core/admission/retry-after.ts
@@ -1,30 +1,30 @@
 /**
- * When a caller whose request was not taken is to come back.
+ * When a caller whose request was turned away should retry.
  *
- * Load pattern: hundreds of callers are turned away in the same second, by a backlog or an outage, and all come back in
- * one moment. So the time follows from what they wait for, and callers are spread over half of it again; those of urgent
- * queues are not, and come first.
+ * Load pattern: a backlog or an outage turns away hundreds of callers in the same second, and all of them retry at the same
+ * moment. So the time depends on what they wait for, with up to half of it added as jitter. Callers of urgent queues
+ * (priority 0) get no jitter, and come first.
  */
 
-/** No caller is sent away for less, in milliseconds: the header counts whole seconds. */
+/** Shortest time to a retry, in milliseconds: the header counts whole seconds. */
 const leastMs = 1_000;
 
-/** Nor for longer: by then the estimate is worth nothing. */
+/** Longest time to a retry, in milliseconds: by then the estimate is worth nothing. */
 const mostMs = 30_000;
 
 /**
- * An outage that has lasted for so long is no hiccup, and is taken to last for half its age again; before that callers
- * who wait for three seconds in all had better try each second.
+ * An outage that has lasted this long, in milliseconds, is presumed to last for half its age again. Before that, callers who
+ * wait for three seconds in all had better retry each second.
  */
 const hiccupMs = 5_000;
 
-/** Callers are spread over this part of the time. */
+/** Largest jitter, as a fraction of the time to a retry. */
 const spreadPart = 0.5;
 
-/** What turned a caller away: a backlog that is so much too long, or an outage of this age; in milliseconds. */
+/** What turned a caller away: a backlog that is too long by `excessMs`, or an outage that has lasted for `ageMs`. */
 export type Obstruction = { type: 'backlog'; excessMs: number } | { type: 'outage'; ageMs: number };
 
-/** Seconds until a caller is to come back; `random`: 0 to 1. */
+/** Seconds until a caller should retry; `random`: 0 to 1. */
 export function retryAfterS(obstruction: Obstruction, priority: number, random: number): number {
 	const expected = expectedMs(obstruction);
 	const spread = priority === 0 ? 0 : expected * spreadPart * random;
--- a/src/core/admission/types.ts
+++ b/src/core/admission/types.ts
@@ -1,18 +1,18 @@
-/** What an owner tells the boxes of the work that it owes. */
+/** The outstanding work that an owner reports to the boxes. */
 
-/** Work of one priority and all that comes before it. */
+/** Outstanding work of one priority and of all that come before it. */
 export interface OwedWork {
 	/** 0 comes first. */
 	priority: number;
-	/** How long it takes until what is owed is finished, in milliseconds. */
+	/** How long it takes until this work is finished, in milliseconds. */
 	waitMs: number;
 }
 
-/** The work that is owed, by priority, the first first; empty: the fleet keeps up, or that is not known. */
+/** Outstanding work by priority, the most urgent first; empty: the fleet keeps up, or that is not known. */
 export type Backlog = readonly OwedWork[];
 
-/** Whether a job is taken in. */
+/** Whether a job is accepted. */
 export type Verdict =
 	| { type: 'admit' }
-	/** It would begin later than it may; nothing of it was stored or run. */
+	/** It would start later than it may; nothing of it was stored or run. */
 	| { type: 'refuse'; waitMs: number; limitMs: number };
--- a/src/core/clock.ts
+++ b/src/core/clock.ts
@@ -5,11 +5,14 @@
 	cancel(): void;
 }
 
-/** What the programs know of time. */
+/** Source of time and timers. */
 export interface Clock {
 	/** Monotonic milliseconds since an arbitrary start; differences only. Time in which the machine is suspended does not count. */
 	now(): number;
-	/** Clock time until which the machine may have been suspended, last; `-Infinity`: it was not. What was known before may be old. */
+	/**
+	 * Clock time until which the machine may last have been suspended; `-Infinity`: it was not. What was known before that
+	 * may be out of date.
+	 */
 	resumedAt(): number;
 	/** Wall-clock milliseconds since 1970; for people and logs, never for safety. */
 	wall(): number;
@@ -17,10 +20,13 @@
 	after(ms: number, fn: () => void): Timer;
 }
 
-/** The wall clock is taken to have jumped if it runs ahead of the monotonic one by more than this between two looks, in milliseconds. */
+/**
+ * The wall clock is presumed to have jumped if it gains more than this on the monotonic one between two checks, in
+ * milliseconds.
+ */
 const jumpMs = 100;
 
-/** Tells when a machine may have been suspended. */
+/** Detects when a machine may have been suspended. */
 export class SuspensionWatch {
 	private offset: number;
 	private resumedAt = -Infinity;
@@ -37,9 +43,9 @@
 	}
 
 	/**
-	 * Looks at both clocks; returns when the machine may last have resumed. A wall clock that was set forward looks the same:
-	 * then what is known is asked for once more, and nothing is lost. Waiting for leases of others to run out does not rest on
-	 * this, as a jump proves no time to have passed.
+	 * Compares both clocks; returns when the machine may last have resumed. A wall clock that was set forward looks the
+	 * same: then what is known is requested once more, and nothing is lost. Waiting for others' leases to expire does not
+	 * depend on this, as a jump proves no time to have passed.
 	 */
 	look(): number {
 		const now = this.now();
@@ -50,7 +56,7 @@
 	}
 }
 
-/** Whether what was known at a clock time is no older than `maxAgeMs`, and the machine was not suspended since. */
+/** Whether what was known at the clock time `at` is younger than `maxAgeMs`, and the machine was not suspended since. */
 export function isFresh(clock: Clock, at: number, maxAgeMs: number): boolean {
 	return clock.now() - at < maxAgeMs && at > clock.resumedAt();
 }
--- a/src/core/owner/ownership.ts
+++ b/src/core/owner/ownership.ts
@@ -1,7 +1,7 @@
 /**
- * Who dispatches: one box, named in the store under a lease. Every other box keeps a question open at the owner; when
- * that breaks, or the name goes away with its lease, the boxes race to be next. Safety does not rest on this: the
- * epoch does it, in the store and on every worker.
+ * Election of the owner, the one box that dispatches; the owner record in the store names it under a lease. Every other box
+ * keeps a ping open at the owner. When that breaks, or the record goes away with its lease, the boxes race to become the
+ * next owner. Safety does not depend on this: the epoch ensures it, in the store and on every worker.
  */
 import * as clocks from '../clock.js';
 import * as keeping from './lease-keeper.js';
@@ -13,33 +13,35 @@
 import type * as events from '../events/index.js';
 import type * as platform from '../platform/types.js';
 
-/** What a question to the owner came to. */
+/** Outcome of a ping of the owner. */
 export type PingOutcome = 'alive' | 'not-owner' | 'refused' | 'silent';
 
-/** What the race needs. */
+/** Options of `Ownership`. */
 export interface OwnershipOptions {
 	store: platform.RecordStore;
 	clock: clocks.Clock;
 	events: events.EventLog;
 	box: string;
-	/** Where peers connect to this box, `host:port`. */
+	/** Address at which peers connect to this box, `host:port`. */
 	peer: string;
 	leaseMs: number;
-	/** Cores' worth of processor that this box may use. */
+	/** Processor that this box may use, in cores. */
 	processor: number;
-	/** The strongest processor of all boxes, as the owner last told; undefined: not told yet. */
+	/** The highest processor of all boxes, in cores, as the owner last reported; undefined: not reported yet. */
 	strongestKnown: () => number | undefined;
-	/** A stronger box that could dispatch in this one's place; asked while this box owns. */
+	/**
+	 * A stronger box that could dispatch in this one's place; called while this box is the owner. Undefined: there is none.
+	 */
 	strongerBox: () => string | undefined;
-	/** Asks the owner at an address whether it still is; answers late if it is. */
+	/** Pings the owner at an address; a box that is the owner answers late. */
 	ping: (address: string) => Promise<PingOutcome>;
-	/** Whether the owner, asked last, was without the store while this box has it. */
+	/** Whether the owner, at its last ping, had lost the store while this box has it. */
 	ownerLacksStore: () => boolean;
-	/** This box owns the dispatching now. */
+	/** Called when this box becomes the owner. */
 	onOwned: (owned: ledger.OwnerLedger, contents: ledger.LedgerContents) => void;
-	/** It no longer does. */
+	/** Called when it stops being the owner. */
 	onLost: () => void;
-	/** A delay in milliseconds between 0 and the argument; seeded in tests. */
+	/** Returns a delay in milliseconds between 0 and the argument; seeded in tests. */
 	random: (below: number) => number;
 }
 
@@ -49,11 +51,11 @@
 	contents: ledger.LedgerContents;
 }
 
-/** This box's part in the race. */
+/** This box's part in the election of the owner. */
 export class Ownership {
-	/** The owner as last read; this box itself if it owns. */
+	/** The owner as last read, or this box while it is the owner; undefined: not known. */
 	owner: ledger.OwnerRecord | undefined;
-	/** Whether the owner answered its last question. */
+	/** Whether the owner answered the last ping. */
 	reachable = false;
 	private owned: ledger.OwnerLedger | undefined;
 	private lease: string | undefined;
@@ -61,9 +63,9 @@
 	private stopping = false;
 	/** Generation of the owner last logged as found. */
 	private lastFound = 0;
-	/** The store's revision when the owner's name was last read; 0: not read. */
+	/** The store's revision at the last read of the owner record; 0: not read. */
 	private nameRevision = 0;
-	/** The owner before fell silent: its loss shows to each box at another moment. */
+	/** Whether the previous owner became unresponsive: boxes notice that loss at different times. */
 	private wasSilent = false;
 	/** Clock time at which this box last became owner. */
 	private ownedSince = -Infinity;
@@ -76,7 +78,7 @@
 		return new Ownership(opts);
 	}
 
-	/** The ledger, while this box owns. */
+	/** The ledger while this box is the owner; else undefined. */
 	get current(): ledger.OwnerLedger | undefined {
 		return this.owned;
 	}
@@ -93,7 +95,7 @@
 		this.opts.onLost();
 	}
 
-	/** Planned stop: gives the name back at once, so that another box goes on. */
+	/** Planned stop: releases ownership at once, so that another box takes over. */
 	async release(): Promise<void> {
 		this.stopping = true;
 		if (this.owned === undefined) return;
@@ -109,7 +111,7 @@
 		}
 	}
 
-	/** One turn of a box that does not own; returns how long to wait. */
+	/** One turn of a box that is not the owner; returns how long to wait, in milliseconds. */
 	private async follow(): Promise<number> {
 		if (this.owner === undefined) return this.findOwner();
 		const outcome = await this.askOwner(this.owner);
@@ -117,36 +119,39 @@
 		if (outcome === 'name-gone') return this.findOwner();
 		if (outcome === 'alive') {
 			this.reachable = true;
-			// An owner that the store turns away can neither store ends nor renew leases for long.
+			// An owner that has lost the store can neither store exits nor renew leases for long.
 			return this.opts.ownerLacksStore() ? this.findOwner() : 0;
 		}
 		if (this.isSettledMeanwhile()) return 0;
 		this.reachable = false;
 		this.opts.events.emit('owner.missed', { box: this.owner.box, reason: outcome });
-		// A refused connection: its process is gone, and its lease need not be waited out.
+		// The connection was refused: the owner's process is gone, and its lease need not be waited out.
 		const dead = outcome === 'refused' ? this.owner : undefined;
 		this.owner = undefined;
 		return this.findOwner(dead);
 	}
 
-	/** Asks the owner. Once it was silent, its name is watched meanwhile: it goes away with its lease. */
+	/** Pings the owner. After a ping without an answer it also watches the owner record, which goes away with the lease. */
 	private async askOwner(owner: ledger.OwnerRecord): Promise<PingOutcome | 'name-gone'> {
 		const asked = this.opts.ping(owner.peer);
 		if (this.reachable || this.nameRevision === 0) return asked;
 		return Promise.race([asked, this.nameGone(asked)]);
 	}
 
-	/** Resolves when the owner's name changes in the store; else as `asked` does. */
+	/** Resolves to `name-gone` when the owner record changes in the store; else as `pinged` does. */
 	private async nameGone(asked: Promise<PingOutcome>): Promise<PingOutcome | 'name-gone'> {
 		return (await names.changes(this.opts.store, this.nameRevision)) ? 'name-gone' : asked;
 	}
 
-	/** Whether this box stopped, or learnt of another owner, during an `await`. */
+	/** Whether this box is stopping, or no longer has that owner, after an `await`. */
 	private isSettledMeanwhile(): boolean {
 		return this.owner === undefined || this.stopping;
 	}
 
-	/** Reads who owns; takes over if nobody does, or if only `dead` does. */
+	/**
+	 * Reads the owner record; takes over if there is none, or if it names `deadOwner`. Returns how long to wait, in
+	 * milliseconds.
+	 */
 	private async findOwner(dead?: ledger.OwnerRecord): Promise<number> {
 		const name = await names.read(this.opts.store);
 		if (!name.ok) return settings.findRetryMs;
@@ -162,7 +167,7 @@
 		return dead === undefined && !this.reachable ? settings.findRetryMs : 0;
 	}
 
-	/** Leaves stronger boxes the time to be first; true: one was. */
+	/** Gives stronger boxes time to take over first; true if another box did. */
 	private async waitTurn(replaces: number | undefined): Promise<boolean> {
 		const { clock, random } = this.opts;
 		const isWeaker = await this.isWeaker();
@@ -178,18 +183,21 @@
 		return true;
 	}
 
-	/** Whether a clearly stronger box is known; a box that no owner has told yet asks the store. */
+	/** Whether a clearly stronger box is known; until an owner has reported on that, the store is read. */
 	private async isWeaker(): Promise<boolean> {
 		const strongest = this.opts.strongestKnown() ?? (await strength.readStrongest(this.opts.store));
 		return strength.isWeaker(this.opts.processor, strongest);
 	}
 
-	/** Runs in the race; `replaces`: generation of an owner whose process is gone though it is still named. */
+	/**
+	 * Runs in the race; returns how long to wait, in milliseconds. `replacedGeneration`: generation of an owner whose
+	 * process is gone though its record is still there.
+	 */
 	private async take(replaces: number | undefined): Promise<number> {
 		if (await this.waitTurn(replaces)) return 0;
 		const lease = await this.opts.store.grantLease(this.opts.leaseMs);
 		if (!lease.ok) return settings.findRetryMs;
-		// From now on, as reading what is kept of many jobs may take longer than the lease.
+		// The lease is renewed from here on, as reading many stored jobs may take longer than the lease.
 		this.keeper = this.createKeeper(lease.value);
 		const taken = await this.takeUnder(lease.value, replaces);
 		if (taken.ok && !this.isStopping()) {
@@ -203,12 +211,12 @@
 		return settings.findRetryMs;
 	}
 
-	/** Read after an `await`, where the compiler thinks the field can't have changed. */
+	/** A method, as the compiler assumes that the field can't change during an `await`. */
 	private isStopping(): boolean {
 		return this.stopping;
 	}
 
-	/** Names this box in the store and reads what is kept there; fails if another box was first. */
+	/** Writes this box into the owner record and reads the ledger; fails if another box was first. */
 	private async takeUnder(
 		lease: string,
 		replaces: number | undefined,
@@ -222,7 +230,7 @@
 		return contents.ok ? results.ok({ owned: owned.value, contents: contents.value }) : contents;
 	}
 
-	/** This box owns from now on. */
+	/** This box is the owner from here on. */
 	private begin(lease: string, taken: Takeover): void {
 		const { box, peer, clock, events, onOwned } = this.opts;
 		const { owned, contents } = taken;
@@ -246,7 +254,10 @@
 		return keeping.LeaseKeeper.create({ store, clock, lease, onGone });
 	}
 
-	/** One turn of the owner: asks the store whether it still owns. */
+	/**
+	 * One turn of the owner: hands over to a stronger box, or checks in the store that it still is the owner. Returns how
+	 * long to wait, in milliseconds.
+	 */
 	private async keep(owned: ledger.OwnerLedger): Promise<number> {
 		const stronger = this.strongerInTurn();
 		if (stronger !== undefined) {
@@ -263,13 +274,13 @@
 		return settings.keepGapMs;
 	}
 
-	/** The stronger box to hand over to now. */
+	/** The stronger box to hand over to now; undefined: none. */
 	private strongerInTurn(): string | undefined {
 		if (this.opts.clock.now() - this.ownedSince < settings.handoverGapMs) return undefined;
 		return this.opts.strongerBox();
 	}
 
-	/** Gives the name back while this box goes on serving callers: the stronger box is first in the race that follows. */
+	/** Releases ownership while this box goes on serving callers: the stronger box is first in the race that follows. */
 	private async handOver(owned: ledger.OwnerLedger, to: string): Promise<void> {
 		this.opts.events.emit('owner.handed-over', { generation: owned.generation, box: to });
 		await this.giveBack();
@@ -277,7 +288,7 @@
 		this.reachable = false;
 	}
 
-	/** Stops owning and lets the name go away, so that another box can be first at once. */
+	/** Stops being the owner and ends the lease, so that another box can take over at once. */
 	private async giveBack(): Promise<void> {
 		this.owned = undefined;
 		this.keeper?.close();
@@ -285,7 +296,10 @@
 		if (this.lease !== undefined) await this.opts.store.endLease(this.lease);
 	}
 
-	/** The lease lapsed while the store was away: names this box again, under the lease returned, unless another has taken over. */
+	/**
+	 * The lease expired while the store was unresponsive: writes the owner record again, unless another box has taken over.
+	 * Returns the new lease; undefined: this failed.
+	 */
 	private async renew(owned: ledger.OwnerLedger): Promise<string | undefined> {
 		const lease = await this.opts.store.grantLease(this.opts.leaseMs);
 		if (!lease.ok || this.owned !== owned) return undefined;
--- a/src/core/owner/settings.ts
+++ b/src/core/owner/settings.ts
@@ -1,40 +1,40 @@
-/** Time limits of the race for the dispatching, in milliseconds. */
+/** Settings of the election of the owner, times in milliseconds. */
 
-/** Lease of the owner's name: an owner that dies without closing its connections is replaced after it. */
+/** Lease of the owner record: an owner that dies without closing its connections is replaced after it. */
 export const leaseMs = 2_000;
 
-/** Between renewals of the lease: three tries within it. */
+/** Interval between renewals of the lease: three tries within it. */
 export const keepGapMs = 600;
 
 /** The owner asks the store whether it still is the owner when no write has shown it for this long. */
 export const confirmAfterMs = 800;
 
-/** After a try that came to nothing. */
+/** Delay after an attempt that failed. */
 export const findRetryMs = 250;
 
-/** Boxes that find no owner wait up to this long, so that one of them usually is first. */
+/** Boxes that find no owner wait a random time up to this, so that one of them usually is first. */
 export const raceSpreadMs = 60;
 
 /**
- * A box with clearly less processor than the strongest known leaves that one this much time to be first: it may
- * start at the same time. Where the owner fell silent, its question to the owner first has to run out of time.
+ * A box with clearly less processor than the highest known gives the stronger box this much time to take over first, as both
+ * may start at the same time. Where the owner became unresponsive, the stronger box's ping first has to time out.
  */
 export const weakerWaitMs = 350;
 
-/** A box counts as weaker below this part of the strongest known processor. */
+/** A box counts as weaker below this fraction of the highest known processor. */
 export const weakerPart = 0.7;
 
-/** A stronger box has to have asked for so long before the owner hands over to it: it is up, and stays up. */
+/** A stronger box has to have pinged for this long before the owner hands over to it: it is up, and stays up. */
 export const provenAfterMs = 1_500;
 
-/** A box that has not asked for so long is no candidate: three questions. */
+/** A box that has not pinged for this long is no candidate: three pings. */
 export const askedWithinMs = 2_000;
 
-/** Handing over stops all placing for some tenths of a second: at most once in this time. */
+/** Shortest interval between handovers: each stops all placement for some tenths of a second. */
 export const handoverGapMs = 8_000;
 
-/** How long the owner holds a question of a box. */
+/** How long the owner holds a ping. */
 export const pingWaitMs = 500;
 
-/** A question without an answer after this means that the owner is silent. */
+/** A ping without an answer after this means that the owner is unresponsive. */
 export const pingTimeoutMs = 1_300;
--- a/src/core/owner/strength.ts
+++ b/src/core/owner/strength.ts
@@ -3,12 +3,14 @@
 import * as settings from './settings.js';
 import type * as platform from '../platform/types.js';
 
-/** Whether a box with `own` cores' worth of processor is clearly weaker than one with `other`. */
+/** Whether a box that may use `own` cores is clearly weaker than one that may use `other`. */
 export function isWeaker(own: number, other: number): boolean {
 	return own < other * settings.weakerPart;
 }
 
-/** The strongest processor of all boxes, as the newest owner knew it when it took over; 0: not stored, or not read. */
+/**
+ * The highest processor of all boxes, in cores, as the newest owner knew it when it took over; 0: not stored, or not read.
+ */
 export async function readStrongest(store: platform.RecordStore): Promise<number> {
 	const epoch = await store.get(ledger.keys.epochKey);
 	if (!epoch.ok || epoch.value === undefined) return 0;
--- a/src/core/result.ts
+++ b/src/core/result.ts
@@ -1,6 +1,6 @@
 /** Outcomes are values: every call that may fail for an outside reason returns one of these. */
 
-/** Either a value or the failure that stood in its place. */
+/** Either a value or the failure in its place. */
 export type Result<T, E> = { ok: true; value: T } | { ok: false; err: E };
 
 /** Wraps a value as a success. */
--- a/src/core/upkeep/index.ts
+++ b/src/core/upkeep/index.ts
@@ -1,4 +1,4 @@
-/** Upkeep of machines, in waves that operators ask for. */
+/** Upkeep of machines, in waves that operators request. */
 export { Upkeep } from './upkeep.js';
 export type { UpkeepOptions } from './upkeep.js';
 export type * from './types.js';
--- a/src/core/upkeep/types.ts
+++ b/src/core/upkeep/types.ts
@@ -1,14 +1,14 @@
-/** Waves of upkeep: machines that are all to be taken down once, few at a time. */
+/** Waves of upkeep: each machine of a wave is to be taken down once, few at a time. */
 
-/** A wave as an operator asks for it. */
+/** A wave as an operator requests it. */
 export interface Wave {
 	number: number;
 	machines: string[];
-	/** The operator wants it done within so long, in milliseconds. */
+	/** Time within which the operator wants it done, in milliseconds. */
 	withinMs: number;
-	/** Most machines down for it at once. */
+	/** Most machines that may be down for it at once. */
 	maximum: number;
 }
 
-/** How a wave stands, as operators read it. */
+/** State of a wave, as operators read it. */
 export type WaveState = 'running' | 'completed';
--- a/src/core/upkeep/upkeep.ts
+++ b/src/core/upkeep/upkeep.ts
@@ -1,51 +1,54 @@
 /**
- * Carries out waves of upkeep. A machine's worker first gets no new work and what runs there is moved; then the
- * machine goes down. A machine that is gone from the list needs no upkeep; one whose order had no answer is asked again,
- * which the platform takes for done if it was.
+ * Carries out waves of upkeep. A machine's worker first gets no new work, and what runs there is migrated; then the machine
+ * is taken down. A machine that is no longer listed needs no upkeep. A command without an answer is sent again; the platform
+ * treats it as done if it was.
  */
 import * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 import type * as fleet from '../fleet/types.js';
 import type * as types from './types.js';
 
-/** How often open waves are looked at, in milliseconds: each look reads the list of machines. */
+/** Interval between checks of open waves, in milliseconds: each check reads the list of machines. */
 const lookMs = 700;
 
-/** What runs on a machine gets so long to move before it goes down, in milliseconds: a stop and the way. */
+/**
+ * Longest time that tasks on a machine have to migrate before it is taken down, in milliseconds: a stop and the time on the
+ * network.
+ */
 const moveMs = 2_500;
 
-/** What the upkeep uses. */
+/** Options of `Upkeep`. */
 export interface UpkeepOptions {
 	clock: clocks.Clock;
 	events: events.EventLog;
 	machines: fleet.MachineCalls;
-	/** Who gives the orders, and under which epoch. */
+	/** Who sends the commands, and under which epoch. */
 	holder: string;
 	epoch: number;
-	/** Whether machines may be taken down: the epoch was shown in force lately. */
+	/** Whether machines may be taken down: the epoch was confirmed lately. */
 	mayAct: () => boolean;
-	/** Closes a worker to new work and moves what runs there; `protected`: something there must stay for now. */
+	/** Closes a worker to new work and migrates what runs there; `protected`: something there must stay for now. */
 	vacate: (worker: string) => 'empty' | 'moving' | 'protected';
 	/** Opens a worker again. */
 	reopen: (worker: string) => void;
-	/** Tells the operators how a wave stands. */
+	/** Reports the state of a wave to the operators; resolves to whether that succeeded. */
 	report: (wave: number, state: types.WaveState) => Promise<boolean>;
 	onFenced: () => void;
 }
 
-/** A machine on its way down. */
+/** A machine that is being drained for its upkeep. */
 interface Leaving {
 	worker: string;
 	since: number;
 }
 
-/** A wave, and how far it is. */
+/** A wave and its progress. */
 interface OpenWave {
 	wave: types.Wave;
 	/** Machines whose upkeep has begun. */
 	begun: Set<string>;
 	leaving: Map<string, Leaving>;
-	/** The state that operators were last told. */
+	/** The state last reported to operators; undefined: none was. */
 	reported: types.WaveState | undefined;
 }
 
@@ -62,7 +65,7 @@
 		return new Upkeep(opts);
 	}
 
-	/** Takes in a wave; one known already changes nothing. */
+	/** Takes in a wave; one already known changes nothing. */
 	add(wave: types.Wave): void {
 		if (this.waves.has(wave.number)) return;
 		this.opts.events.emit('wave.taken', { wave: wave.number, machines: wave.machines.length });
@@ -85,11 +88,11 @@
 		for (const one of open) await this.advance(one, byName);
 	}
 
-	/** Lets further machines leave, and takes those down that are ready. */
+	/** Drains further machines, and takes down those that are ready. */
 	private async advance(open: OpenWave, machines: Map<string, fleet.Machine>): Promise<void> {
 		const { wave, begun, leaving } = open;
 		await this.tell(open, 'running');
-		// A machine that has left needs nothing any more.
+		// A machine that is no longer listed needs nothing more.
 		const present = wave.machines.filter((name) => machines.has(name));
 		this.startLeaving(open, present, machines);
 		for (const [name, one] of [...leaving]) {
@@ -98,7 +101,7 @@
 				leaving.delete(name);
 				continue;
 			}
-			// Its worker may have started anew meanwhile, with new work.
+			// Its worker may have restarted meanwhile, with new work.
 			one.worker = machine.worker;
 			const state = one.worker === '' ? 'empty' : this.opts.vacate(one.worker);
 			if (state === 'protected') continue;
@@ -108,10 +111,10 @@
 		if (present.every((name) => begun.has(name))) await this.tell(open, 'completed');
 	}
 
-	/** As many machines leave at once as may be down. */
+	/** Drains as many machines at once as may be down. */
 	private startLeaving(open: OpenWave, present: string[], machines: Map<string, fleet.Machine>): void {
 		const { wave, begun, leaving } = open;
-		// Also those that an earlier owner took down.
+		// Includes machines that an earlier owner took down.
 		const isDown = (name: string): boolean => !leaving.has(name) && machines.get(name)?.state !== 'up';
 		const down = present.filter(isDown).length;
 		let free = wave.maximum - down - leaving.size;
@@ -124,10 +127,10 @@
 		}
 	}
 
-	/** Orders a machine's upkeep. */
+	/** Sends the command for a machine's upkeep. */
 	private async takeDown(open: OpenWave, name: string, one: Leaving): Promise<void> {
 		const { machines, holder, epoch, mayAct } = this.opts;
-		// Not every platform turns the orders of a replaced owner away.
+		// Not every platform rejects the commands of a replaced owner.
 		if (!mayAct()) return;
 		const outcome = await machines.upkeep(name, open.wave.number, holder, epoch);
 		this.opts.events.emit('machine.upkeep', { machine: name, wave: open.wave.number, outcome });
@@ -135,10 +138,10 @@
 			this.opts.onFenced();
 			return;
 		}
-		// Without an answer the place stays taken until the order is known to have been carried out.
+		// Without an answer the machine keeps its slot until the command is known to have been carried out.
 		if (outcome === 'unknown' || outcome === 'busy') return;
 		open.leaving.delete(name);
-		// Refused for good: it is tried again while it is listed, and its wave stays open.
+		// Refused for good: it is tried again while the machine is listed, and its wave stays open.
 		if (outcome === 'impossible') return;
 		open.begun.add(name);
 		this.opts.reopen(one.worker);
