--- a/src/core/admission/index.ts
+++ b/src/core/admission/index.ts
@@ -1,4 +1,4 @@
-/** Admission: which jobs are taken in under load, and when those turned away are to come back. */
+/** Admission: which jobs are accepted under load, and when callers that are turned away should retry. */
 export { estimateBacklog, FinishRate } from './backlog.js';
 export type { OutstandingTasks } from './backlog.js';
 export { decide, maxWaitMs, waitLimitMs, estimatedWaitMs } from './decide.js';
--- a/src/core/box/owner-role.ts
+++ b/src/core/box/owner-role.ts
@@ -1,4 +1,4 @@
-/** What a box does while it owns the dispatching: it dispatches, reads what the boxes stored, and keeps machines up. */
+/** What a box does while it is the owner: it dispatches, reads what the boxes stored, and carries out upkeep of machines. */
 import * as admission from '../admission/index.js';
 import * as clocks from '../clock.js';
 import * as dispatch from '../dispatch/index.js';
@@ -16,18 +16,24 @@
 import type * as queues from '../queues/index.js';
 import type * as stores from '../platform/types.js';
 
-/** Jobs that other boxes stored are read this often at most, in milliseconds; the boxes also tell them at once. */
+/**
+ * Shortest interval between reads of the jobs that other boxes stored, in milliseconds; the boxes also notify the owner at
+ * once.
+ */
 const requestReadIntervalMs = 250;
 
-/** What was learnt is stored this often, in milliseconds: loads move little in that time, and each call is paid for. */
+/**
+ * Interval at which the learned models are stored, in milliseconds: loads change little in that time, and each call is
+ * charged for.
+ */
 const learnedStoreIntervalMs = 3_000;
 
-/** The owner logs its load this often, in milliseconds. */
+/** Interval at which the owner logs its load, in milliseconds. */
 const loadLogIntervalMs = 1_000;
 
 /**
- * A start may be on its way to its worker for so long after the last look at what is evacuated, in milliseconds: an order
- * without an answer is given up by then.
+ * Longest time that a start may be in flight to its worker after the last check of the evacuated zones, in milliseconds: a
+ * command without an answer has timed out by then.
  */
 const maxStartInFlightMs = 1_500;
 
@@ -38,19 +44,19 @@
 	store: stores.RecordStore;
 	clock: clocks.Clock;
 	events: events.EventLog;
-	/** The queues in force. */
+	/** The queues in force; undefined: none are known. */
 	table: () => queues.QueueTable | undefined;
-	/** A newer owner was seen. */
+	/** Called when a newer owner was seen. */
 	onFenced: (reason: string) => void;
-	/** Records how long ends waited. */
+	/** Records how long exits waited. */
 	recordTime: dispatch.RecordTime;
 }
 
-/** What an owner did in a second, times in whole milliseconds. */
+/** An owner's load in one second, times in whole milliseconds. */
 export interface OwnerLoad extends dispatch.DispatchLoad {
-	/** Processor that the whole box used. */
+	/** Processor time that the whole box used. */
 	cpuMs: number;
-	/** How long what is owed takes; 0: it is not known, or nothing is. */
+	/** How long the outstanding work takes; 0: it is not known, or there is none. */
 	backlogMs: number;
 }
 
@@ -65,10 +71,10 @@
 	private readonly learnedModelsTimer: clocks.Timer;
 	private readonly loadTimer: clocks.Timer;
 	private readonly finishRate = admission.FinishRate.create();
-	/** The work that is owed, as of the last second. */
+	/** The outstanding work, as of the last second. */
 	backlog: admission.Backlog = [];
 	private lastCpuUsage = process.cpuUsage();
-	/** The last second; undefined: the first has not passed. */
+	/** Load of the last second; undefined: the first second has not passed. */
 	load: OwnerLoad | undefined;
 
 	private constructor(
@@ -101,7 +107,7 @@
 		this.evacuations = this.createEvacuations();
 	}
 
-	/** `leaseEnds`: clock time by which all leases at a worker are over, where the owner before said so. */
+	/** `leaseExpiries`: clock time by which all leases at a worker have expired, where the previous owner reported it. */
 	static create(
 		deps: OwnerRoleDeps,
 		owned: ledger.OwnerLedger,
@@ -111,19 +117,19 @@
 		return new OwnerRole(deps, owned, contents, leaseExpiries);
 	}
 
-	/** What the next owner may rely on about workers that do not answer this one. */
+	/** What the next owner may rely on about workers that do not answer this one; undefined: nothing to report. */
 	unresponsiveWorkers(): protocol.UnresponsiveWorkers | undefined {
 		const leftMs = this.dispatcher.unresponsiveLeases();
 		if (Object.keys(leftMs).length === 0) return undefined;
 		return { rosterVersion: this.ownerLedger.rosterVersion, leftMs };
 	}
 
-	/** Takes in a wave of upkeep, unless an earlier owner saw it through. */
+	/** Takes in a wave of upkeep, unless an earlier owner completed it. */
 	addWave(wave: upkeep.Wave): void {
 		if (this.upkeep !== undefined) void this.resumeWave(wave, this.upkeep);
 	}
 
-	/** Gives no more orders. */
+	/** Sends no more commands. */
 	close(): void {
 		this.workerList.close();
 		this.requests.close();
@@ -134,7 +140,7 @@
 		this.dispatcher.close();
 	}
 
-	/** Works out what is owed, and logs a line a second while anything is done or waits. */
+	/** Computes the outstanding work, and logs a line a second while workers report or tasks wait. */
 	private updateLoad(): void {
 		const { roundMs, longestRoundMs, reportMs, ...load } = this.dispatcher.load();
 		this.finishRate.addSecond(load.finished, load.waitingShort);
@@ -153,7 +159,7 @@
 		this.deps.events.emit('owner.load', { epoch: this.ownerLedger.generation, ...this.load });
 	}
 
-	/** Stores what was learnt, for the next owner; a write that fails is made good by the next one. */
+	/** Stores the learned models for the next owner; the next write makes up for one that fails. */
 	private async storeLearnedModels(): Promise<void> {
 		const outcome = await this.ownerLedger.publish(
 			ledger.keys.learnedModelsKey,
@@ -204,7 +210,7 @@
 		);
 	}
 
-	/** Whether the epoch was shown in force lately, and not before the machine was last suspended. */
+	/** Whether the epoch was confirmed lately, and after the machine was last suspended. */
 	private mayAct(): boolean {
 		return clocks.isFresh(
 			this.deps.clock,
@@ -262,7 +268,7 @@
 		runner.add(wave);
 	}
 
-	/** Jobs and cancellations that the boxes stored. */
+	/** Follows the jobs and cancellations that the boxes stored. */
 	private followRequests(fromRevision: number): followers.RecordFollower {
 		const applyRequest = (key: string, value: Uint8Array): void => {
 			const parsed = ledger.keys.parseKey(key);
@@ -281,7 +287,7 @@
 			isListShort: false,
 			fromRevision,
 			onList: (items) => {
-				// Jobs first: a cancellation of an unknown job is passed over.
+				// Jobs first: a cancellation of an unknown job is ignored.
 				const rank = (key: string): number => (ledger.keys.parseKey(key)?.kind === 'job' ? 0 : 1);
 				for (const item of items.sort((a, b) => rank(a.key) - rank(b.key)))
 					applyRequest(item.key, item.value);
@@ -293,7 +299,7 @@
 	}
 }
 
-/** How old the list of evacuated zones may be at a start, in milliseconds; undefined: zones are not evacuated. */
+/** Greatest age of the list of evacuated zones at a start, in milliseconds; undefined: zones are not evacuated. */
 function maxEvacuationListAgeMs(evacuateMs: number | undefined): number | undefined {
 	return evacuateMs === undefined ? undefined : Math.max(evacuateMs / 2, evacuateMs - maxStartInFlightMs);
 }
