--- a/src/core/fleet/failures.ts
+++ b/src/core/fleet/failures.ts
@@ -1,7 +1,7 @@
-/** What failed calls to workers tell. */
+/** Classification of failed calls to workers. */
 import type * as types from './types.js';
 
-/** Whether a failure says that nobody answered; a refusal is an answer. */
+/** Whether no answer came. A refusal is an answer. */
 export function isUnanswered(err: types.WorkerFailure): boolean {
 	return err.kind === 'no-answer' || err.kind === 'unreachable';
 }
--- a/src/core/fleet/lives.ts
+++ b/src/core/fleet/lives.ts
@@ -1,24 +1,27 @@
 /**
- * Who a worker is. A worker may start again under the name that it had, and knows nothing of before; so a worker's id
- * stands for its name and the start of this life, and whatever is kept by it ends with the life that it was learnt from.
+ * Identity of workers. A worker may restart under its old name and knows nothing of its earlier runs. So a worker's id
+ * consists of its name and the start of its incarnation, and all state kept under that id ends with the incarnation.
  */
 
-/** Stands between a name and a start; a name may have it too. */
+/** Separates a name from a start. A name may contain it too. */
 const separator = '@';
 
-/** Id of a life; `born`: its start in Unix milliseconds by its own time of day, undefined: it does not tell. */
+/**
+ * Id of an incarnation. `startMs`: its start in Unix milliseconds by its own wall clock; undefined: the worker does not
+ * report it.
+ */
 export function idOf(name: string, born: number | undefined): string {
 	if (born !== undefined) return `${name}${separator}${String(born)}`;
 	return name.includes(separator) ? `${name}${separator}` : name;
 }
 
-/** The name that a life shares with those before and after it. */
+/** The name that an incarnation shares with earlier and later ones. */
 export function nameOf(id: string): string {
 	const at = id.lastIndexOf(separator);
 	return at === -1 ? id : id.slice(0, at);
 }
 
-/** Whether the start of a life is known. */
+/** Whether the start of an incarnation is known. */
 export function isBornKnown(id: string): boolean {
 	return id.includes(separator) && !id.endsWith(separator);
 }
--- a/src/core/fleet/types.ts
+++ b/src/core/fleet/types.ts
@@ -1,16 +1,16 @@
-/** Workers as the dispatcher sees them, and the calls it makes to them. */
+/** Workers as the dispatcher sees them, and the calls that it makes to them. */
 import type * as results from '../result.js';
 
-/** An amount of a worker. */
+/** Resources of a worker. */
 export interface Capacity {
 	milliCores: number;
 	memoryMb: number;
 	accelerators: number;
 }
 
-/** One life of a worker, as the platform lists it. */
+/** One incarnation of a worker, as the platform lists it. */
 export interface WorkerEntry {
-	/** New with each start of the worker (`lives.ts`). */
+	/** Differs between incarnations of a worker (see `incarnations.ts`). */
 	id: string;
 	address: string;
 	zone: string;
@@ -18,28 +18,28 @@
 	capacity: Capacity;
 	labels: string[];
 	draining: boolean;
-	/** While it drains: it stays at least this long, in milliseconds. */
+	/** While it drains: the least time that it stays, in milliseconds. */
 	remainingMs?: number;
 }
 
-/** A run that a worker holds. */
+/** A run on a worker. */
 export interface RunningTask {
 	task: string;
 	run: number;
-	/** Newest checkpoint; empty: none. */
+	/** Latest checkpoint; empty: none. */
 	checkpoint: string;
-	/** 100: at work in full; less while it starts, or when paced. */
+	/** Share of full speed: 100 is full speed; less while the run starts, or when it is throttled. */
 	percent: number;
-	/** Tail latency in milliseconds of a task that serves users, else thousandths of a core in use. */
+	/** Of a serving task: its tail latency in milliseconds. Of any other: thousandths of a core in use. */
 	reading: number;
 }
 
-/** Why a run ended. `alone`: a gang member waited too long for the others; `broken`: another member ended. */
+/** Why a run exited. `alone`: a gang member waited too long for the others. `broken`: another gang member exited. */
 export type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone';
 
-/** The end of a run. */
+/** The exit of a run. */
 export interface RunEnd {
-	/** Rises from 1 in each life of the worker. */
+	/** Sequence number; rises from 1 in each incarnation of the worker. */
 	seq: number;
 	task: string;
 	run: number;
@@ -47,38 +47,40 @@
 	checkpoint: string;
 }
 
-/** What a worker says of itself. */
+/** A worker's report on its runs. */
 export interface WorkerReport {
-	/** Start of the life that answers, in Unix milliseconds by its own time of day; absent: it does not tell. */
+	/**
+	 * Start of the answering incarnation, in Unix milliseconds by its own wall clock; absent: the worker does not report it.
+	 */
 	born?: number;
 	/** The worker's monotonic clock, in milliseconds. */
 	clockMs: number;
 	running: RunningTask[];
-	/** The oldest ends that are not forgotten yet. */
+	/** The oldest exits that are not acknowledged yet. */
 	ended: RunEnd[];
-	/** There may be more ends than these: a run that is not listed at all may have ended. */
+	/** The report may not list all exits: a run that it does not list at all may have exited. */
 	hasMoreEnds: boolean;
 }
 
-/** An order to start a run. */
+/** A command to start a run. */
 export interface StartOrder {
 	task: string;
 	run: number;
 	text: string;
-	/** A worker refuses an order with a lower one than it has seen. */
+	/** Fencing token. A worker refuses a command with a lower token than it has seen. */
 	token: number;
-	/** End of the lease of everything there, on the worker's clock; absent before its clock is known. */
+	/** End of the lease of all runs there, on the worker's clock; absent: its clock is not known yet. */
 	leaseUntil?: number;
 	checkpoint: string;
-	/** Permission of the adviser; empty: none needed. */
+	/** The adviser's permission; empty: none is needed. */
 	ticket: string;
-	/** Whether the start may be sent once more where it has no answer; absent: it may. */
+	/** Whether the command may be sent again if it has no answer; absent: it may. */
 	isWanted?: () => boolean;
 }
 
 /**
- * Where an order goes: the worker's address and the life that is meant. The platform keeps orders from workers of other
- * names only; another life of the same name carries them out, unless it has seen a higher token.
+ * Destination of a command: a worker's address and the incarnation that is meant. The platform keeps commands only from
+ * workers of other names. Another incarnation of the same name carries a command out, unless it has seen a higher token.
  */
 export interface WorkerTarget {
 	id: string;
@@ -87,41 +89,41 @@
 
 /** A call to a worker that was not carried out, or of which that is not known. */
 export type WorkerFailure =
-	/** A higher token has been seen there. */
+	/** The worker has seen a higher token. */
 	| { kind: 'fenced' }
-	/** The address belongs to another life of the worker now: the one meant has ended. */
+	/** The address belongs to another incarnation of the worker: the one that was meant has ended. */
 	| { kind: 'other-life' }
-	/** The run is not above one that was stopped or ended there. */
+	/** The run's number is not above that of a run that was stopped or exited there. */
 	| { kind: 'stale-run' }
-	/** The lease named has run out already. */
+	/** The lease in the command has expired already. */
 	| { kind: 'too-late' }
 	| { kind: 'no-room' }
-	/** The adviser's permission is missing or has run out. */
+	/** The adviser's permission is missing or has expired. */
 	| { kind: 'no-ticket' }
-	/** The worker is unhealthy or refuses the call's form; it has done nothing. */
+	/** The worker is unhealthy or rejects the form of the call. It has done nothing. */
 	| { kind: 'refused'; status: number }
 	/** Nothing listens at the address. */
 	| { kind: 'unreachable' }
 	/** The call may have been carried out, or may be later. */
 	| { kind: 'no-answer'; reason: string };
 
-/** The worker's clock, which every answer carries. */
+/** The worker's clock, which is part of every answer. */
 export interface ClockReading {
 	clockMs: number;
 }
 
-/** How to ask for a report. */
+/** Parameters of a report request. */
 export interface HoldOrder {
 	token: number;
-	/** Ends up to here are forgotten by the worker. */
+	/** Exits up to this number are acknowledged; the worker may forget them. */
 	forgetUpTo: number;
-	/** Extends the lease of all that runs there; on the worker's clock. */
+	/** Extends the lease of all runs there; on the worker's clock. */
 	leaseUntil?: number;
-	/** How long the answer may wait for an end, in milliseconds. */
+	/** How long the answer may wait for an exit, in milliseconds. */
 	waitMs: number;
-	/** Called when the worker accepts a connection that is opened for this question. */
+	/** Called when the worker accepts a connection that is opened for this request. */
 	onConnected?: () => void;
-	/** Called when the question is asked once more, to be answered at once. */
+	/** Called when the request is repeated, to be answered at once. */
 	onRepeat?: () => void;
 }
 
@@ -133,7 +135,7 @@
 	start: (at: WorkerTarget, order: StartOrder) => WorkerResult<ClockReading>;
 	stop: (at: WorkerTarget, task: string, run: number, token: number) => WorkerResult<ClockReading>;
 	hold: (at: WorkerTarget, order: HoldOrder) => WorkerResult<WorkerReport>;
-	/** Lets a run work at `percent` of its speed. */
+	/** Sets a run's pace to `percent` of full speed. */
 	pace: (
 		at: WorkerTarget,
 		task: string,
@@ -141,40 +143,40 @@
 		percent: number,
 		token: number,
 	) => WorkerResult<ClockReading>;
-	/** Drops the connections to a worker that is gone. */
+	/** Closes the connections to a worker that is gone. */
 	forget: (at: WorkerTarget) => void;
-	/** Takes the kept connections to a worker out of use; calls on their way are answered as before. */
+	/** Stops using the open connections to a worker. Calls in flight are answered as before. */
 	renew: (at: WorkerTarget) => void;
 }
 
-/** What the adviser says of a step. */
+/** The adviser's answer about a step. */
 export interface Advice {
-	/** Workers that may run it, each with the ticket that a start there has to bring. */
+	/** Workers that may run the step, each with the ticket that a start there has to contain. */
 	good: { worker: string; ticket: string }[];
-	/** The tickets hold so long, in milliseconds. */
+	/** How long the tickets are valid, in milliseconds. */
 	validMs: number;
 }
 
-/** Asks which of the workers may run a step (`job.time.step`). */
+/** Asks the adviser which of the workers may run a step (`job.occurrence.step`). */
 export type AskAdviser = (step: string, workers: string[]) => Promise<results.Result<Advice, string>>;
 
-/** A machine of a pool; workers are its lives. */
+/** A machine of a pool. Its workers are successive incarnations on it. */
 export interface Machine {
 	name: string;
 	pool: string;
 	state: 'up' | 'moving' | 'upkeep' | 'down';
-	/** Name of its present worker; empty: none. */
+	/** Name of its current worker; empty: none. */
 	worker: string;
 }
 
-/** What an order to a machine came to. `busy`: not now. `fenced`: a newer owner gave orders there. */
+/** Outcome of a command to a machine. `busy`: not possible at present. `fenced`: a newer owner has sent commands there. */
 export type MachineOutcome = 'done' | 'busy' | 'fenced' | 'impossible' | 'unknown';
 
 /** Calls that concern machines. */
 export interface MachineCalls {
 	list: () => Promise<results.Result<Machine[], string>>;
-	/** Begins a machine's upkeep: all that runs there ends at once. */
+	/** Begins a machine's upkeep: all runs there end at once. */
 	upkeep: (machine: string, wave: number, holder: string, epoch: number) => Promise<MachineOutcome>;
-	/** Moves a machine to another pool: all that runs there ends at once. */
+	/** Moves a machine to another pool: all runs there end at once. */
 	move: (machine: string, pool: string, holder: string, epoch: number) => Promise<MachineOutcome>;
 }
--- a/src/core/jobs/active-job.ts
+++ b/src/core/jobs/active-job.ts
@@ -1,57 +1,57 @@
-/** A job that the owner works on: its steps and tasks, and what has to be stored of them. */
+/** A job that the owner works on: its steps and tasks, and the progress to be stored. */
 import * as crashes from './crash-history.js';
 import * as types from './types.js';
 
-/** Where a task stands. `stopping`: placed, and told to stop. */
+/** State of a task. `stopping`: placed, and a stop was sent to its worker. */
 export type TaskState = 'blocked' | 'ready' | 'placed' | 'stopping' | 'finished';
 
-/** One task of one step at one of the job's times. */
+/** One task of one step in one of the job's occurrences. */
 export interface Task {
-	/** `id.time.step.index`, as workers know it. */
+	/** `id.occurrence.step.index`, as workers know it. */
 	readonly name: string;
 	readonly index: number;
 	readonly step: StepRun;
 	state: TaskState;
-	/** Number of the newest run; 0 before the first. */
+	/** Number of the latest run; 0 before the first. */
 	run: number;
-	/** Newest checkpoint; empty: none. */
+	/** Latest checkpoint; empty: none. */
 	checkpoint: string;
-	/** Numbers of the runs that ended as failed. */
+	/** Numbers of the runs that failed. */
 	failures: Set<number>;
-	/** Workers where it failed; taken again only if nothing else fits. */
+	/** Workers where it failed; used again only if no other worker fits. */
 	failedOn: Set<string>;
-	/** What became of the workers under it; undefined: none went down. */
+	/** Crashes of workers under its runs; undefined: there were none. */
 	crashes: crashes.CrashHistory | undefined;
 	/** Clock time before which it is not started again. */
 	pausedUntil: number;
 	/** Clock time from which it may be started. */
 	readyAt: number;
-	/** Clock time from which it would have waited if all its waits were one. */
+	/** Clock time at which its waiting would have begun if all its waits were one uninterrupted wait. */
 	waitingSince: number;
-	/** How long it had waited in all when it was last placed, in milliseconds. */
+	/** Its total waiting time when it was last placed, in milliseconds. */
 	waitedMs: number;
-	/** Worker where it may be; empty: none, as far as this owner and the store know. */
+	/** Worker that may run it; empty: none, as far as this owner and the store know. */
 	worker: string;
 }
 
-/** One step at one of the job's times. */
+/** One step in one of the job's occurrences. */
 export interface StepRun {
 	readonly job: ActiveJob;
 	readonly time: number;
 	readonly number: number;
 	readonly spec: types.StepSpec;
 	readonly tasks: Task[];
-	/** Tasks that have not finished. */
+	/** Number of tasks that have not finished. */
 	unfinished: number;
 }
 
-/** From what a job goes on. */
+/** State of the owner and of the job from which an `ActiveJob` is created. */
 export interface JobStart {
-	/** A caller has asked to cancel it. */
+	/** A caller has requested its cancellation. */
 	cancelled: boolean;
-	/** A predecessor may have started tasks of it. */
+	/** An earlier owner may have started some of its tasks. */
 	inherited: boolean;
-	/** Every owner that may have started its lasting tasks stored their workers first. */
+	/** Every owner that may have started its long-running tasks stored their workers first. */
 	workersStored: boolean;
 	/** Clock time. */
 	now: number;
@@ -59,32 +59,38 @@
 	age: number;
 }
 
-/** A job that takes more than this many times its objective is worth nothing to its caller (stated by the users). */
+/** A job that takes more than this many times its objective is worth nothing to its caller. */
 const latestInObjectives = 3;
 
-/** One job under way. */
+/**
+ * A job that the owner works on. A job with a schedule has several occurrences, each with tasks of its own; any other job
+ * has one.
+ */
 export class ActiveJob {
 	readonly steps: StepRun[] = [];
 	state: types.JobState = 'pending';
-	/** The state as stored; callers are told nothing newer. */
+	/** The state as stored. Callers are never given a newer one. */
 	storedState: types.JobState = 'pending';
-	/** A caller has asked to cancel it. */
+	/** A caller has requested its cancellation. */
 	cancelled: boolean;
-	/** Why it has failed, for people; empty: it has not. */
+	/** Why it failed, for people; empty: it has not failed. */
 	failure = '';
-	/** When it reached its end; 0 before. */
+	/** Wall time at which it reached its final state; 0 before. */
 	endedAt: types.WallMs = 0;
-	/** How many times of the schedule have come. */
+	/** Number of occurrences whose tasks have been created. */
 	private timesOpen = 0;
-	/** How many times an owner is known to have begun, whatever this owner's clock says: boxes share no clock. */
+	/**
+	 * Number of occurrences that some owner is known to have started. It may be ahead of this owner's clock, because boxes
+	 * share no clock.
+	 */
 	private timesReached = 0;
-	/** Whether a predecessor may have started tasks of it. */
+	/** Whether an earlier owner may have started some of its tasks. */
 	readonly inherited: boolean;
-	/** Whether the workers of its lasting tasks are stored before each start. */
+	/** Whether the workers of its long-running tasks are stored before each start. */
 	readonly workersStored: boolean;
-	/** Clock time by which it should be done. */
+	/** Clock time by which it should be completed. */
 	readonly dueAt: number;
-	/** Clock time after which being done is worth nothing more to its caller. */
+	/** Clock time after which its completion is worth nothing to its caller. */
 	readonly worthlessAt: number;
 
 	private constructor(
@@ -101,7 +107,7 @@
 		if (progress !== undefined) this.adopt(progress);
 	}
 
-	/** `progress`: what is stored of it, if anything is. */
+	/** `progress`: the stored progress, if there is any. */
 	static create(
 		record: types.JobRecord,
 		progress: types.ProgressRecord | undefined,
@@ -114,31 +120,31 @@
 		return this.record.id;
 	}
 
-	/** Whether nothing of it will ever run again. */
+	/** Whether the job is in a final state: none of its tasks will run again. */
 	get ended(): boolean {
 		return types.isFinal(this.state);
 	}
 
-	/** Whether its end is stored: nothing that is still heard of its runs has to be. */
+	/** Whether its final state is stored. Later reports of its runs need not be stored then. */
 	get endStored(): boolean {
 		return this.ended && this.storedState === this.state;
 	}
 
-	/** How many times the steps run. */
+	/** Number of the job's occurrences. */
 	get times(): number {
 		return this.record.schedule?.times ?? 1;
 	}
 
-	/** Wall time at which the next time comes; undefined: all have come. */
+	/** Wall time at which the next occurrence is due, 0: at once; undefined: there is none. */
 	nextDue(): types.WallMs | undefined {
 		if (this.timesOpen < this.timesReached) return 0;
-		// None comes any more; those that were begun may still have runs.
+		// No further occurrence is due. Those that were started before may still have runs.
 		if (this.timesOpen >= this.times || this.ended) return undefined;
 		const { schedule } = this.record;
 		return schedule === undefined ? 0 : schedule.firstAt + this.timesOpen * schedule.intervalMs;
 	}
 
-	/** Makes the tasks of the next time; those that may start are returned. */
+	/** Creates the tasks of the next occurrence, and returns those that are ready. */
 	openNextTime(now: number): Task[] {
 		const time = this.timesOpen;
 		this.timesOpen += 1;
@@ -147,19 +153,19 @@
 		return steps.flatMap((step) => this.unblock(step, now));
 	}
 
-	/** An owner has begun this time, as its clock told; true: its tasks are not made yet. */
+	/** Notes that an owner has started this occurrence by its own clock; true: its tasks are not created yet. */
 	reach(time: number): boolean {
 		if (time >= this.times) return false;
 		this.timesReached = Math.max(this.timesReached, time + 1);
 		return time >= this.timesOpen;
 	}
 
-	/** The task of that name, if it is one of this job's; opens no new time. */
+	/** The task with these numbers, if it has been created. Does not open an occurrence. */
 	findTask(time: number, step: number, index: number): Task | undefined {
 		return this.steps[time * this.record.steps.length + step]?.tasks[index];
 	}
 
-	/** Notes that a task has finished; returns the tasks that may start because of it. */
+	/** Notes that a task has finished, and returns the tasks that become ready because of it. */
 	finish(task: Task, now: number): Task[] {
 		if (task.state === 'finished') return [];
 		task.state = 'finished';
@@ -177,7 +183,7 @@
 			.flatMap((step) => this.unblock(step, now));
 	}
 
-	/** What has to be stored of it now. */
+	/** The progress to be stored. */
 	toProgress(): types.ProgressRecord {
 		const finished: types.ProgressRecord['finished'] = {};
 		const failures: types.ProgressRecord['failures'] = {};
@@ -257,7 +263,7 @@
 		};
 	}
 
-	/** Makes the tasks of a step ready once the steps before it have finished. */
+	/** Makes the tasks of a step ready if all steps that it depends on have finished. */
 	private unblock(step: StepRun, now: number): Task[] {
 		const base = step.time * this.record.steps.length;
 		const open = step.spec.after.every((number) => this.steps[base + number]?.unfinished === 0);
@@ -279,7 +285,7 @@
 	index: number;
 }
 
-/** The parts of a task's name; undefined if it has another form. */
+/** Splits a task's name; undefined: it has another form. */
 export function parseTaskName(name: string): TaskName | undefined {
 	const match = /^([^.]+)\.(\d+)\.(\d+)\.(\d+)$/.exec(name);
 	if (match === null) return undefined;
@@ -291,27 +297,27 @@
 	};
 }
 
-/** Name of a step in the progress of its job. */
+/** Key of a step in its job's progress. */
 function stepKey(time: number, number: number): string {
 	return `${time}.${number}`;
 }
 
-/** Name of a task in the progress of its job. */
+/** Key of a task in its job's progress. */
 function taskKey(step: StepRun, index: number): string {
 	return `${stepKey(step.time, step.number)}.${index}`;
 }
 
-/** How long a caller waits for a job, in milliseconds from its acceptance. */
+/** Deadlines of a job, in milliseconds from its acceptance. */
 export interface Patience {
-	/** Its longest chain of work, as its caller estimates it. */
+	/** Length of its critical path, by its caller's estimates. */
 	chainMs: number;
-	/** By then it should be done. */
+	/** When it should be completed. */
 	dueMs: number;
-	/** Afterwards being done is worth nothing more. */
+	/** After this its completion is worth nothing to its caller. */
 	worthlessMs: number;
 }
 
-/** How long the caller of a job waits for it. */
+/** Computes a job's deadlines from its queue's objective. */
 export function patienceOf(record: Pick<types.JobRecord, 'queue' | 'steps'>): Patience {
 	const { stretch, objectiveMs } = record.queue;
 	const chainMs = longestChainMs(record);
@@ -319,7 +325,7 @@
 	return { chainMs, dueMs, worthlessMs: latestInObjectives * dueMs };
 }
 
-/** Longest chain of estimated run times through the steps, in milliseconds. */
+/** Estimated run time of the longest chain of dependent steps, in milliseconds. */
 function longestChainMs(record: Pick<types.JobRecord, 'steps'>): number {
 	const ends: number[] = [];
 	for (const step of record.steps) {
--- a/src/core/jobs/crash-history.ts
+++ b/src/core/jobs/crash-history.ts
@@ -1,61 +1,66 @@
 /**
- * What became of the workers under a task's runs. A task may bring each worker down that starts it, and what runs beside
- * it goes down too: so runs whose worker crashed are counted, whatever the estimate says of whose fault it was, and a task
- * that has such a run is stored before each further start. Runs are kept by number, so that one told of twice counts once.
+ * Crashes of workers under a task's runs. A task may crash every worker that starts it, and other tasks on that worker are
+ * lost with it. So each run whose worker crashed is counted, even where the crash is attributed to another task, and once a
+ * task has such a run, each further start is stored before it is sent. Runs are kept by number, so that one reported twice
+ * counts once.
  */
 
-/** Workers that may have crashed under a task before it is given up, whoever is to blame. */
+/** Crashes under a task after which it is abandoned, whatever their cause. */
 const mostCrashes = 4;
 
-/** A task may be given up under which so many workers are known to have crashed. */
+/** Confirmed crashes from which on a task's starts may be limited. */
 const leastKnown = 2;
 
-/** After so many crashes only a few starts are left, also of runs that then end in another way. */
+/**
+ * After this many crashes, confirmed or possible, a task has only a few starts left. A start counts even if its run then
+ * exits in another way.
+ */
 const crashesBeforeBound = 3;
 const startsAfterBound = 2;
 
-/** So many runs of which it is in doubt whether they were there when their worker went down count as one crash. */
+/** This many possible crashes count as one: the run may have exited before its worker crashed. */
 const doubtfulPerCrash = 2;
 
-/** Crashes that name the task itself, after which it is given up. */
+/** Crashes attributed to the task itself after which it is abandoned. */
 const mostBlamed = 2;
 
 /**
- * A run that is at work for long after the moment at which earlier ones went down clears the task: a fault of its own would
- * have struck again. Twice that time and a second, and never more than this, in milliseconds.
+ * A run that works for long enough after the time at which earlier runs crashed clears the task: a fault of its own would
+ * have recurred. Long enough is twice the time to the latest crash plus a second, at most 5 s; in milliseconds.
  */
 const clearFactor = 2;
 const clearMarginMs = 1_000;
 export const mostToClearMs = 5_000;
 
-/** A history as stored. */
+/** A crash history as stored. */
 export interface StoredCrashes {
-	/** Runs under which a worker went down, or may have. */
+	/** Runs under which a worker crashed, or may have. */
 	crashed: number[];
-	/** Those of them that seem to have brought it down. */
+	/** The runs of `crashed` to which the crash is attributed. */
 	blamed: number[];
-	/** Runs that were stored before their start and are not known to have ended otherwise. */
+	/** Runs whose start was stored before it was sent, and whose outcome is not known to be anything but a crash. */
 	tries: number[];
-	/** Runs that may have ended before their worker went down; absent: there are none. */
+	/** Runs that may have exited before their worker crashed; absent: there are none. */
 	doubtful?: number[];
-	/** Workers of the runs that were stored before their start, by run; absent: an older version stored them. */
+	/** Workers of `tries`, by run; absent: an older version stored the history. */
 	triedOn?: Record<string, string>;
 }
 
 /**
- * What became of a run that was started by an earlier owner and is nowhere. `crashed`: its worker went down unheard, or
- * that can't be told. `in-doubt`: its worker hung before it did. `not-started`: its worker lives, and does not know it.
+ * Outcome of a run that an earlier owner started and that no worker reports. `crashed`: its worker crashed before it
+ * reported to this owner, or it is not known what happened. `in-doubt`: its worker hung before it crashed. `not-started`:
+ * its worker is alive and does not know the run.
  */
 export type TryFate = 'crashed' | 'in-doubt' | 'not-started';
 
-/** The history of one task; tasks whose workers stay up have none. */
+/** The crash history of one task. A task under which no worker crashed has none. */
 export class CrashHistory {
 	private readonly crashedRuns: Set<number>;
 	private readonly blamedRuns: Set<number>;
-	/** Runs that were stored before their start, and the worker of each; empty: it is not known. */
+	/** Runs whose start was stored before it was sent, and the worker of each; empty: the worker is not known. */
 	private readonly tries: Map<number, string>;
 	private readonly doubtfulRuns: Set<number>;
-	/** How long after its start the latest of the crashes came, in milliseconds; infinite: not known of each. */
+	/** Longest time from a run's start to its crash, in milliseconds; infinite: it is not known for every crash. */
 	private latestMs: number;
 
 	private constructor(stored: StoredCrashes) {
@@ -70,27 +75,27 @@
 		return new CrashHistory(stored);
 	}
 
-	/** Workers that went down under the task; those of which that is in doubt count for a part. */
+	/** Number of crashes; possible crashes count in part. */
 	get crashed(): number {
 		return this.crashedRuns.size + Math.floor(this.doubtfulRuns.size / doubtfulPerCrash);
 	}
 
-	/** Workers that went down under the task, or may have. */
+	/** Number of crashes, possible ones included. */
 	get lost(): number {
 		return this.crashedRuns.size + this.doubtfulRuns.size;
 	}
 
-	/** How often the task itself seems to have been the cause. */
+	/** Number of crashes attributed to the task itself. */
 	get blamed(): number {
 		return this.blamedRuns.size;
 	}
 
-	/** Whether nothing is held against the task any more. */
+	/** Whether the history holds no crash and no pending start. */
 	get empty(): boolean {
 		return this.lost + this.tries.size === 0;
 	}
 
-	/** Why the task is not to be started again; undefined: it may be. */
+	/** Why the task must not be started again; undefined: it may be. */
 	get verdict(): string | undefined {
 		if (this.blamed >= mostBlamed) return 'it brought them down';
 		const isKnown = this.crashedRuns.size >= crashesBeforeBound;
@@ -105,14 +110,14 @@
 		return this.crashedRuns.size >= leastKnown && this.lost >= crashesBeforeBound;
 	}
 
-	/** A run that has been at work for so long clears the task, in milliseconds. */
+	/** A run that has worked for this many milliseconds clears the task. */
 	get clearedAfterMs(): number {
 		return Math.min(mostToClearMs, clearFactor * this.latestMs + clearMarginMs);
 	}
 
 	/**
-	 * A worker went down under a run; `isBlamed`: the run seems to have brought it down; `afterMs`: so long after its start
-	 * at most, infinite if that is not known.
+	 * Notes that a worker crashed under a run. `isAttributed`: the crash is attributed to this run. `afterMs`: upper bound
+	 * of the time since the run's start; infinite: not known.
 	 */
 	noteCrash(run: number, isBlamed: boolean, afterMs = Infinity): void {
 		this.latestMs = Math.max(this.latestMs, afterMs);
@@ -121,23 +126,23 @@
 		if (isBlamed) this.blamedRuns.add(run);
 	}
 
-	/** A worker went down that had ceased to answer before: the run may have ended unheard by then. */
+	/** Notes that a worker crashed after it had become unresponsive: the run may have exited unreported before the crash. */
 	noteDoubtfulCrash(run: number): void {
 		this.endTry(run);
 		if (!this.crashedRuns.has(run)) this.doubtfulRuns.add(run);
 	}
 
-	/** A run is about to be started on a worker. */
+	/** Notes that a run is about to be started on a worker. */
 	noteTry(run: number, worker: string): void {
 		this.tries.set(run, worker);
 	}
 
-	/** A run was never started. */
+	/** Notes that a run was never started. */
 	noteNotStarted(run: number): void {
 		this.tries.delete(run);
 	}
 
-	/** A run ended and its worker lives, also if it was taken for crashed before. */
+	/** Notes that a run exited and its worker is alive, also if the run was presumed crashed before. */
 	noteEnd(run: number): void {
 		this.crashedRuns.delete(run);
 		this.blamedRuns.delete(run);
@@ -145,15 +150,18 @@
 		this.endTry(run);
 	}
 
-	/** It is known what became of a stored start; where few starts are left, each of them goes on counting. */
+	/** Removes a stored start whose outcome is known. Where starts are limited it stays, and goes on counting. */
 	private endTry(run: number): void {
 		if (!this.hasFewStarts) this.tries.delete(run);
 	}
 
-	/** Runs that were started by an earlier owner are nowhere; `fateOf`: what became of one on that worker, if that is known. */
+	/**
+	 * Resolves the stored starts of runs that no worker reports. `outcomeOf`: outcome of such a run on that worker;
+	 * undefined: not known yet.
+	 */
 	settleTries(fateOf: (worker: string) => TryFate | undefined): void {
 		for (const [run, worker] of [...this.tries]) {
-			// Few starts are left then, and each goes on counting.
+			// Starts are limited from here on, and each goes on counting.
 			if (this.hasFewStarts) return;
 			const fate = fateOf(worker);
 			if (fate === 'crashed') this.noteCrash(run, false);
@@ -162,12 +170,12 @@
 		}
 	}
 
-	/** Whether a run may have been started on that worker by an earlier owner. */
+	/** Whether an earlier owner may have started a run on that worker. */
 	wasTriedOn(worker: string): boolean {
 		return [...this.tries.values()].includes(worker);
 	}
 
-	/** The task outlived the moment at which it seemed to crash its workers. */
+	/** A run worked past the time at which the task seemed to crash its workers. */
 	acquit(): void {
 		this.blamedRuns.clear();
 	}
--- a/src/core/jobs/index.ts
+++ b/src/core/jobs/index.ts
@@ -1,4 +1,4 @@
-/** Jobs of callers: what they ask for, how far they are, and which of their tasks may start. */
+/** Jobs of callers: their specification, their progress, and which of their tasks are ready. */
 export { CrashHistory, mostToClearMs } from './crash-history.js';
 export type { StoredCrashes, TryFate } from './crash-history.js';
 export { ActiveJob, parseTaskName, patienceOf } from './active-job.js';
--- a/src/core/jobs/types.ts
+++ b/src/core/jobs/types.ts
@@ -1,4 +1,4 @@
-/** What a caller hands in as a job, and what is kept of it. */
+/** Jobs as callers submit them, and the records kept of them. */
 import type * as crashes from './crash-history.js';
 
 /** Milliseconds since 1970 on the wall clock. */
@@ -7,41 +7,44 @@
 /** One step: `count` equal tasks that may start once the steps in `after` have finished. */
 export interface StepSpec {
 	count: number;
-	/** Thousandths of a core a task reserves. */
+	/** Thousandths of a core that each task reserves. */
 	milliCores: number;
 	memoryMb: number;
 	accelerators: number;
-	/** The caller's guess of a task's run time, in milliseconds; may be far off. */
+	/** The caller's estimate of a task's run time, in milliseconds; may be far off. */
 	estimateMs: number;
-	/** Numbers of earlier steps. */
+	/** Numbers of the earlier steps that this one depends on. */
 	after: number[];
-	/** The tasks write checkpoints and can resume from one. */
+	/** The tasks write checkpoints and can resume from them. */
 	checkpoints: boolean;
-	/** All tasks run together or not at all. */
+	/** All tasks run at the same time or none does. */
 	gang: boolean;
 	/** The gang is much slower when spread over racks. */
 	sameRack: boolean;
-	/** Label that a worker must carry; empty: any worker. */
+	/** Label that a worker must have; empty: any worker. */
 	requiredLabel: string;
 	/** Rack that holds the data; empty: none. */
 	dataRack: string;
-	/** Most tasks of this step on one worker; 0: no bound. */
+	/** Most tasks of this step on one worker; 0: no limit. */
 	maxPerWorker: number;
-	/** Copies may run side by side; the first to finish counts. */
+	/** Copies of a task may run in parallel; the first to finish counts. */
 	speculative: boolean;
 	/** The tasks run until the job is cancelled. */
 	lasting: boolean;
-	/** What the tasks run; tasks of one image behave alike. */
+	/** Image that the tasks run. Tasks of one image behave alike. */
 	image: string;
-	/** Latency target of a lasting task's own users, in milliseconds; 0: none. */
+	/** Latency target of a long-running task towards its users, in milliseconds; 0: none. */
 	targetMs: number;
-	/** The tasks live on cores that others leave unused; their cores are not counted against a worker. */
+	/**
+	 * Preemptible: the tasks run on cores that others leave unused, and these cores are not counted against a worker's
+	 * capacity.
+	 */
 	fills: boolean;
-	/** How many tasks of a lasting step may be away at once by our doing; absent: no bound. */
+	/** Most tasks of a long-running step that the scheduler may make unavailable at once; absent: no limit. */
 	mayMiss?: number;
 }
 
-/** A job that runs several times, each time with tasks of its own. */
+/** Schedule of a job that runs several times. Each occurrence has tasks of its own. */
 export interface Schedule {
 	times: number;
 	firstAt: WallMs;
@@ -51,64 +54,67 @@
 /** How a queue treats its jobs. */
 export interface QueuePolicy {
 	name: string;
-	/** Pool of workers that run its tasks. */
+	/** Pool of the workers that run its tasks. */
 	pool: string;
-	/** 0 goes first and may preempt. */
+	/** 0 is the highest priority and may preempt. */
 	priority: number;
-	/** Failed runs of one task after which its job has failed. */
+	/** Failed runs of one task after which its job fails. */
 	attempts: number;
-	/** Objective: `stretch` times the longest chain of work, plus `objectiveMs`. */
+	/** The objective is `stretch` times the critical path plus `objectiveMs`. */
 	stretch: number;
 	objectiveMs: number;
-	/** The queue's policy lets only some workers run a step; an adviser names them. */
+	/** The queue's policy allows only some workers for a step. An adviser names them. */
 	advised: boolean;
 }
 
 /** A job as accepted; never changes. */
 export interface JobRecord {
 	id: string;
-	/** The queue's policy at acceptance, in force while no newer one is known. */
+	/** The queue's policy at acceptance, in force until a newer one is known. */
 	queue: QueuePolicy;
-	/** Opaque to us; handed to workers unchanged. */
+	/** Opaque text that is passed to workers unchanged. */
 	text: string;
 	steps: StepSpec[];
 	schedule?: Schedule;
 	acceptedAt: WallMs;
 	/**
-	 * Generation of the owner that the accepting box knew, which alone is told at once; 0: it knew none. Only that owner
-	 * can be sure that no other has started the job.
+	 * Generation of the owner that the accepting box knew, the only one that it notifies at once; 0: it knew none. Only that
+	 * owner can be sure that no other has started the job.
 	 */
 	acceptedUnder: number;
 }
 
-/** How a job stands, as callers see it. */
+/** State of a job as callers see it. */
 export type JobState = 'pending' | 'running' | 'completed' | 'failed' | 'cancelled';
 
-/** How a job stands, as its callers are told. */
+/** State of a job as it is reported to callers. */
 export interface JobView {
 	state: JobState;
-	/** Why it has failed, for people; absent: it has not, or that is not known. */
+	/** Why it failed, for people; absent: it has not failed, or the reason is not known. */
 	failure?: string;
 }
 
-/** What is stored of a job's progress: all that a new owner could not learn from the workers. */
+/** Stored progress of a job: everything that a new owner could not learn from the workers. */
 export interface ProgressRecord {
 	state: JobState;
-	/** Finished tasks by `time.step`: the indices, or `all`. */
+	/** Finished tasks by `occurrence.step`: their indices, or `all`. */
 	finished: Record<string, number[] | 'all'>;
-	/** Numbers of the failed runs by `time.step.index`; by number, so that an end read twice counts once. */
+	/**
+	 * Numbers of the failed runs by `occurrence.step.index`. They are kept by number so that an exit reported twice counts
+	 * once.
+	 */
 	failures: Record<string, number[]>;
-	/** Newest checkpoint of tasks that run nowhere, by `time.step.index`. */
+	/** Latest checkpoints of tasks that no worker runs, by `occurrence.step.index`. */
 	checkpoints: Record<string, string>;
-	/** Of tasks whose workers crashed, by `time.step.index`; absent: there are none. */
+	/** Crash histories by `occurrence.step.index`, of tasks whose workers crashed; absent: there are none. */
 	crashes?: Record<string, crashes.StoredCrashes>;
-	/** Why the job has failed, for people; absent: it has not, or an older version stored it. */
+	/** Why the job failed, for people; absent: it has not failed, or an older version stored the record. */
 	failure?: string;
-	/** When the job reached its end; 0 before. */
+	/** When the job reached its final state; 0 before. */
 	endedAt: WallMs;
 	/**
-	 * Worker where each lasting task may be, by `time.step.index`; stored before its start, so one that is missing is
-	 * nowhere. Absent: not kept for this job.
+	 * Worker that may run each long-running task, by `occurrence.step.index`. It is stored before the task's start, so a
+	 * task without an entry runs nowhere. Absent: not kept for this job.
 	 */
 	workers?: Record<string, string>;
 }
--- a/src/core/ledger/index.ts
+++ b/src/core/ledger/index.ts
@@ -1,4 +1,7 @@
-/** What the boxes keep in the platform's store: jobs, their progress, who dispatches them, and who may run them. */
+/**
+ * Records that the boxes keep in the platform's store: jobs, their progress, the owner that dispatches them and the roster
+ * of workers that may run them.
+ */
 export * as keys from './keys.js';
 export { accept, cancel, isKept, isUnstored, readJob, storedView } from './requests.js';
 export { maxProgressPerWrite, OwnerLedger } from './owner-ledger.js';
--- a/src/core/ledger/keys.ts
+++ b/src/core/ledger/keys.ts
@@ -1,46 +1,43 @@
-/** Keys of what the boxes keep in the platform's store. */
+/** Keys of the records that the boxes keep in the platform's store. */
 
-/** Everything of the boxes. */
+/** Prefix of all the keys below. */
 const rootPrefix = 'woodcross/';
 
-/** All that concerns jobs. */
+/** Prefix of all records that concern jobs. */
 export const jobsPrefix = `${rootPrefix}jobs/`;
 
-/** What callers asked for: accepted jobs and cancellations. The owner follows it. */
+/** Prefix of the callers' requests: accepted jobs and cancellations. The owner follows it. */
 export const requestPrefix = `${jobsPrefix}in/`;
 
-/** Counts takeovers; never goes away, so every write of an owner can be made to depend on it. */
+/** Counts takeovers. The record is never deleted, so every write of an owner can depend on its version. */
 export const epochKey = `${rootPrefix}epoch`;
 
-/** Names the owner; goes away with its lease. */
+/** Names the owner. The key is bound to the owner's lease and is deleted with it. */
 export const ownerKey = `${rootPrefix}owner`;
 
-/** The workers that an owner may have given work to. */
+/** Workers on which an owner may have started runs. */
 export const rosterKey = `${rootPrefix}roster`;
 
-/** What owners have learnt of disturbance and loads; the next one goes on from it. */
+/** Interference and load models that owners have learned. The next owner starts from them. */
 export const learntKey = `${rootPrefix}learnt`;
 
 const acceptedPrefix = `${requestPrefix}job/`;
 const cancelPrefix = `${requestPrefix}cancel/`;
 const progressPrefix = `${jobsPrefix}progress/`;
 
-/** Key of an accepted job. */
 export function jobKey(id: string): string {
 	return acceptedPrefix + id;
 }
 
-/** Key of a job's cancellation. */
 export function cancelKey(id: string): string {
 	return cancelPrefix + id;
 }
 
-/** Key of a job's progress. */
 export function progressKey(id: string): string {
 	return progressPrefix + id;
 }
 
-/** What a key under `jobsPrefix` holds, and of which job. */
+/** Kind and job id of a key under `jobsPrefix`; undefined: it is none of these. */
 export function parseKey(key: string): { kind: 'job' | 'cancel' | 'progress'; id: string } | undefined {
 	if (key.startsWith(acceptedPrefix)) return { kind: 'job', id: key.slice(acceptedPrefix.length) };
 	if (key.startsWith(cancelPrefix)) return { kind: 'cancel', id: key.slice(cancelPrefix.length) };
--- a/src/core/ledger/owner-ledger.ts
+++ b/src/core/ledger/owner-ledger.ts
@@ -1,7 +1,7 @@
 /**
- * The owner's side of the ledger. Every write depends on the epoch record, so a replaced owner's writes fail,
- * also those that take effect late; and on the version of each key it replaces, so that an older write of the same
- * owner can't undo a newer one.
+ * The owner's side of the ledger. Every write depends on the version of the epoch record, so the writes of a replaced owner
+ * fail, including those that arrive late. It also depends on the version of each key it replaces, so an older write of the
+ * same owner can't overwrite a newer one.
  */
 import * as keys from './keys.js';
 import * as records from './records.js';
@@ -11,53 +11,59 @@
 import type * as platform from '../platform/types.js';
 import type * as types from './types.js';
 
-/** Progress records in one write: the store takes 32 rows at once; each record is two, and the epoch is one. */
+/**
+ * Progress records in one write: the store takes 32 rows in a transaction; each record is two rows, and the epoch is one.
+ */
 export const maxProgressPerWrite = 15;
 
-/** What a write of the owner came to. `superseded`: another box has taken over. `refused`: it is not taken as it is, ever. */
+/**
+ * Outcome of a write of the owner. `conflict`: a key had another version than expected. `failed`: it is not known whether
+ * the write took effect, or it did not. `refused`: the store rejects the content, also on a retry. `superseded`: another box
+ * has taken over.
+ */
 export type WriteOutcome = 'committed' | 'conflict' | 'failed' | 'refused' | 'superseded';
 
-/** All that an owner reads at its takeover. */
+/** Everything that an owner reads at its takeover. */
 export interface LedgerContents {
 	jobs: Map<string, types.StoredJob>;
-	/** Left out of `jobs`. */
+	/** Jobs that can't be read; they are not in `jobs`. */
 	unreadable: types.UnreadableJob[];
 	roster: types.RosterEntry[];
-	/** What earlier owners learnt, as they stored it; undefined: nothing. */
+	/** Models of earlier owners as they were stored; undefined: there are none, or they can't be read. */
 	learnt: unknown;
-	/** Generation from which on every owner has stored the workers of lasting tasks. */
+	/** Every owner of this or a later generation has stored the workers of its long-running tasks. */
 	workersStoredSince: number;
-	/** Follow the requests from here. */
+	/** Store revision from which to follow the requests. */
 	revision: number;
 }
 
-/** The box that owns, as its peers learn of it. */
+/** The owner as it is advertised to its peers. */
 export interface NamedOwner {
 	box: string;
-	/** Where its peers connect, `host:port`. */
+	/** Address at which its peers connect, `host:port`. */
 	peer: string;
-	/** The lease with which its name goes away. */
+	/** Lease that the owner's key is bound to. */
 	lease: string;
 }
 
 /** The box that takes over. */
 export interface NewOwner extends NamedOwner {
-	/** The strongest processor (cores) among all boxes, as it knows. */
+	/** The strongest processor (in cores) among all boxes that it knows of. */
 	strongest: number;
 }
 
-/** What a committed or refused write of the owner left behind. */
+/** Outcome of an owner's write, and what the store holds after it. */
 interface Commit {
 	outcome: WriteOutcome;
-	/** Version of what was written; 0: nothing was. */
+	/** Version of what was written; 0: nothing was written. */
 	version: number;
-	/** After a conflict, the expected keys as they are. */
+	/** After a conflict: the expected keys as they are stored. */
 	current: platform.Stored[];
 }
 
 /** The ledger under one epoch. */
 export class OwnerLedger {
-	/** Clock time at which the newest write or read that showed this epoch in force was sent. */
+	/** Clock time at which the latest call was sent that showed this epoch to be in force. */
 	confirmedAt: number;
 	private readonly progressVersions = new Map<string, number>();
 	/** Version of the stored roster as this owner last wrote or read it. */
@@ -75,8 +81,8 @@
 	}
 
 	/**
-	 * Takes over: counts the epoch up and names the new owner. Fails if another box was first, and if somebody other
-	 * than the owner of generation `replaces` is named.
+	 * Takes over: increments the epoch and names the new owner. Fails if another box was first, or if an owner other than
+	 * that of generation `replaces` is named.
 	 */
 	static async take(
 		store: platform.RecordStore,
@@ -115,7 +121,7 @@
 		return results.ok(new OwnerLedger(store, now, version, generation, workersStoredSince, sentAt));
 	}
 
-	/** Reads everything; what a predecessor still writes fails from the takeover on. */
+	/** Reads everything. Writes of a predecessor fail from the takeover on, so the contents stay valid. */
 	async load(): Promise<results.Result<LedgerContents, string>> {
 		const [list, roster, learnt] = await Promise.all([
 			this.store.list(keys.jobsPrefix),
@@ -132,7 +138,7 @@
 			jobs: jobsById,
 			unreadable,
 			roster: entries ?? [],
-			// Without it the owner learns anew; it is no reason to fail a takeover.
+			// Without the models the owner learns anew, so a failed read does not fail the takeover.
 			learnt: learnt.ok && learnt.value ? records.decodeLearnt(learnt.value.value) : undefined,
 			workersStoredSince: this.workersStoredSince,
 			revision: list.value.revision,
@@ -152,14 +158,14 @@
 		const res = await this.commit(expected, writes, []);
 		if (res.outcome === 'committed')
 			for (const id of batch.keys()) this.progressVersions.set(id, res.version);
-		// An earlier write of ours without an answer took effect after all: go on from its version.
+		// An earlier write of this owner that had no answer took effect after all: go on from its version.
 		if (res.outcome === 'conflict')
 			for (const id of batch.keys())
 				this.progressVersions.set(id, versionIn(res.current, keys.progressKey(id)));
 		return res.outcome;
 	}
 
-	/** Stores the workers that may hold work; to be done before the first start on a new one. */
+	/** Stores the workers that may hold runs. Must be done before the first start on a new worker. */
 	async saveRoster(roster: types.RosterEntry[]): Promise<WriteOutcome> {
 		const expected = [{ key: keys.rosterKey, version: this.rosterVersion }];
 		const writes = [{ key: keys.rosterKey, value: wire.encodeValue(roster) }];
@@ -169,13 +175,13 @@
 		return res.outcome;
 	}
 
-	/** Writes something for others to read, if this epoch is in force. */
+	/** Writes a record for others to read, if this epoch is in force. */
 	async publish(key: string, value: Uint8Array): Promise<WriteOutcome> {
 		const res = await this.commit([], [{ key, value }], []);
 		return res.outcome;
 	}
 
-	/** Clears away what is kept of jobs that ended long ago. */
+	/** Deletes all records of jobs that ended long ago. */
 	async clear(ids: string[]): Promise<WriteOutcome> {
 		const removes = ids.flatMap((id) => [keys.jobKey(id), keys.cancelKey(id), keys.progressKey(id)]);
 		const res = await this.commit([], [], removes);
@@ -183,7 +189,7 @@
 		return res.outcome;
 	}
 
-	/** Names this box as owner again after its lease lapsed while the store was away. */
+	/** Names this box as the owner again after its lease lapsed while the store was unreachable. */
 	async rename(owner: NamedOwner): Promise<WriteOutcome> {
 		const value = encodeOwner(this.generation, owner);
 		const writes = [{ key: keys.ownerKey, value, lease: owner.lease }];
@@ -191,7 +197,7 @@
 		return res.outcome;
 	}
 
-	/** Asks whether this epoch is still in force. */
+	/** Checks whether this epoch is still in force. */
 	async confirm(): Promise<WriteOutcome> {
 		const sentAt = this.now();
 		const res = await this.store.get(keys.epochKey);
@@ -222,7 +228,7 @@
 	}
 }
 
-/** The epoch and the owner's name as they are stored. */
+/** Reads the epoch record and the owner's record. */
 async function readHolder(
 	store: platform.RecordStore,
 ): Promise<results.Result<Record<'epoch' | 'holder', platform.Stored | undefined>, string>> {
@@ -236,12 +242,12 @@
 	return wire.encodeValue({ generation, box: owner.box, peer: owner.peer });
 }
 
-/** Version of a key among these; 0: it is absent. */
+/** Version of a key among these items; 0: it is absent. */
 function versionIn(items: platform.Stored[], key: string): number {
 	return items.find((item) => item.key === key)?.version ?? 0;
 }
 
-/** The jobs in a list of all that concerns jobs; progress and cancellations without a job are left out. */
+/** Groups records by job. Progress and cancellations without a job record are skipped. */
 function collect(items: platform.Stored[]): {
 	jobsById: Map<string, types.StoredJob>;
 	unreadable: types.UnreadableJob[];
--- a/src/core/ledger/records.ts
+++ b/src/core/ledger/records.ts
@@ -1,6 +1,7 @@
 /**
- * Decodes what is stored. Only the boxes write there, so a record of who owns that does not decode breaks an invariant.
- * Jobs are many, of callers' making, and read by one owner after the other: one that can't be worked on costs itself only.
+ * Decodes stored records. Only the boxes write them, so an epoch, owner or roster record that does not decode breaks an
+ * invariant. Job records are many, contain callers' data, and are read by each owner in turn: one that can't be decoded is
+ * skipped and does not affect the others.
  */
 import * as zod from 'zod/mini';
 import * as jobSize from '../jobs/size.js';
@@ -11,7 +12,7 @@
 
 const z = zod;
 
-/** What has to stand in a job's record for its tasks to be made. */
+/** Fields of a job's record that are needed to create its tasks. */
 const jobForm = z.looseObject({
 	id: z.string(),
 	queue: z.looseObject({ name: z.string(), pool: z.string() }),
@@ -19,7 +20,7 @@
 	acceptedAt: z.number(),
 });
 
-/** The same of its progress. */
+/** Fields of a job's progress that are needed. */
 const progressForm = z.looseObject({
 	state: z.enum(['pending', 'running', 'completed', 'failed', 'cancelled']),
 	finished: z.record(z.string(), z.unknown()),
@@ -27,7 +28,7 @@
 	checkpoints: z.record(z.string(), z.string()),
 });
 
-/** An accepted job, or why it can't be worked on. */
+/** Decodes an accepted job; the error says why it can't be run. */
 export function decodeJob(bytes: Uint8Array): results.Result<jobs.JobRecord, string> {
 	const decoded = decodeForm(bytes, jobForm);
 	if (!decoded.ok) return decoded;
@@ -36,13 +37,13 @@
 	return tooLarge === undefined ? results.ok(record) : results.fail(tooLarge);
 }
 
-/** A job's progress, or why it can't be read. */
+/** Decodes a job's progress; the error says why it can't be read. */
 export function decodeProgress(bytes: Uint8Array): results.Result<jobs.ProgressRecord, string> {
 	const decoded = decodeForm(bytes, progressForm);
 	return decoded.ok ? results.ok(decoded.value as unknown as jobs.ProgressRecord) : decoded;
 }
 
-/** What owners have learnt; undefined: none, or nothing that can be read. */
+/** Decodes what owners have learned; undefined: it can't be read. */
 export function decodeLearnt(bytes: Uint8Array): unknown {
 	const value = wire.decodeValue(bytes);
 	return value.ok ? value.value : undefined;
@@ -57,17 +58,17 @@
 	return results.fail(`field ${issue?.path.join('.') ?? ''}: ${issue?.message ?? ''}`);
 }
 
-/** The count of takeovers. */
+/** Decodes the epoch record. */
 export function decodeEpoch(bytes: Uint8Array): types.EpochRecord {
 	return decode(bytes) as types.EpochRecord;
 }
 
-/** Who owns the dispatching. */
+/** Decodes the owner's record. */
 export function decodeOwner(bytes: Uint8Array): types.OwnerRecord {
 	return decode(bytes) as types.OwnerRecord;
 }
 
-/** The workers that may hold work. */
+/** Decodes the roster. */
 export function decodeRoster(bytes: Uint8Array): types.RosterEntry[] {
 	return decode(bytes) as types.RosterEntry[];
 }
--- a/src/core/ledger/requests.ts
+++ b/src/core/ledger/requests.ts
@@ -1,4 +1,4 @@
-/** Writes and reads that any box makes for its callers, whoever the owner is. */
+/** Reads and writes that any box makes on behalf of its callers, whichever box is the owner. */
 import * as keys from './keys.js';
 import * as records from './records.js';
 import * as results from '../result.js';
@@ -7,14 +7,14 @@
 import type * as platform from '../platform/types.js';
 import type * as types from './types.js';
 
-/** Keeps a job unless its id is known; a repeated hand-in with the same id changes nothing. */
+/** Stores a job unless its id is known. Submitting the same id again changes nothing. */
 export async function accept(
 	store: platform.RecordStore,
 	record: jobs.JobRecord,
 ): Promise<types.AcceptOutcome> {
 	const key = keys.jobKey(record.id);
 	const res = await store.commit({
-		// A late repetition must not bring back a job whose record has been cleared away.
+		// A late repetition must not bring back a job whose record has been deleted.
 		expected: [
 			{ key, version: 0 },
 			{ key: keys.progressKey(record.id), version: 0 },
@@ -26,10 +26,10 @@
 	return unstored(res.err);
 }
 
-/** Keeps the wish that a job be cancelled. */
+/** Stores a request to cancel a job. */
 export async function cancel(store: platform.RecordStore, id: string): Promise<types.CancelOutcome> {
 	const job = await store.get(keys.jobKey(id));
-	// Only read so far.
+	// Nothing has been written yet.
 	if (!job.ok) return { type: 'not-stored', reason: job.err.reason };
 	if (job.value === undefined) return { type: 'no-such-job' };
 	const key = keys.cancelKey(id);
@@ -41,7 +41,7 @@
 	return res.ok ? { type: 'cancelled' } : unstored(res.err);
 }
 
-/** Whether anything is kept of a job, so that it was taken in before. */
+/** Whether the job's record is stored, that is, the job was accepted before. */
 export async function isKept(
 	store: platform.RecordStore,
 	id: string,
@@ -50,7 +50,7 @@
 	return job.ok ? results.ok(job.value !== undefined) : job;
 }
 
-/** Reads how a job stands; undefined: there is no such job. */
+/** Reads a job and its progress; undefined: there is no such job. */
 export async function readJob(
 	store: platform.RecordStore,
 	id: string,
@@ -76,12 +76,12 @@
 	});
 }
 
-/** What is kept of a job can't be read: it is there, and nothing can be said of it. */
+/** Failure for a job whose stored record exists and can't be read, so that nothing is known of its state. */
 function unreadable(reason: string): results.Result<never, platform.StoreFailure> {
 	return results.fail({ effect: 'none', reason: `the job's record can't be read: ${reason}` });
 }
 
-/** State of a job as far as the store tells. */
+/** State of a job according to the store. */
 export function storedView(job: types.StoredJob): jobs.JobView {
 	const { progress, cancelled } = job;
 	if (progress === undefined || progress.state === 'pending')
@@ -90,12 +90,11 @@
 	return { state, ...(failure !== undefined && { failure }) };
 }
 
-/** Whether a write failed. */
 export function isUnstored(outcome: { type: string }): outcome is types.Unstored {
 	return outcome.type === 'not-stored' || outcome.type === 'unknown';
 }
 
-/** What a failed write says: it was not done, or nobody knows. */
+/** Outcome of a failed write: it was not done, or it is not known whether it was. */
 function unstored(err: platform.StoreFailure): types.Unstored {
 	const { effect, reason } = err;
 	return effect === 'none' ? { type: 'not-stored', reason } : { type: 'unknown', reason };
--- a/src/core/ledger/types.ts
+++ b/src/core/ledger/types.ts
@@ -1,37 +1,42 @@
-/** What the boxes keep in the platform's store, and what a write to it comes to. */
+/** Records that the boxes keep in the platform's store, and outcomes of writes to it. */
 import type * as jobs from '../jobs/types.js';
 
-/** The count of takeovers. The generation is the epoch that workers check, and it starts the run numbers. */
+/**
+ * The epoch record, which counts takeovers. Workers check the generation as fencing token, and run numbers start from it.
+ */
 export interface EpochRecord {
 	generation: number;
-	/** The box that took over. */
 	box: string;
-	/** The strongest processor (cores) among all boxes, as that box knew it; absent: stored by an older version. */
+	/**
+	 * The strongest processor (in cores) among all boxes that the box knew of; absent: an older version stored the record.
+	 */
 	strongest?: number;
 	/**
-	 * Generation from which on every owner has stored the worker of a lasting task before starting it there; absent: the
-	 * newest owner is of an older version, which does not.
+	 * Every owner of this or a later generation has stored the worker of a long-running task before starting it there.
+	 * Absent: the latest owner runs an older version, which does not store it.
 	 */
 	workersStoredSince?: number;
 }
 
-/** Who owns the dispatching now. */
+/** The current owner. */
 export interface OwnerRecord {
 	generation: number;
 	box: string;
-	/** Where its peers connect, `host:port`. */
+	/** Address at which its peers connect, `host:port`. */
 	peer: string;
 }
 
-/** A worker that may hold work. */
+/** A worker that may hold runs. */
 export interface RosterEntry {
 	id: string;
 	address: string;
-	/** The only tasks that may run there, by name: the entry is closed. Absent: any task may, the entry is open. */
+	/**
+	 * The only tasks that may run there, by name: the entry is closed. Absent: any task may run there, the entry is open.
+	 */
 	tasks?: string[];
 }
 
-/** All that is kept of one job. */
+/** All records of one job. */
 export interface StoredJob {
 	record: jobs.JobRecord;
 	progress?: jobs.ProgressRecord;
@@ -40,17 +45,20 @@
 	cancelled: boolean;
 }
 
-/** A job whose record can't be worked on. */
+/** A job whose record can't be read. */
 export interface UnreadableJob {
 	id: string;
 	reason: string;
 }
 
-/** A write that failed. `not-stored`: it is not kept and never will be. `unknown`: it may be kept now, or a little later. */
+/**
+ * A failed write. `not-stored`: it did not take effect and never will. `unknown`: it may have taken effect, or may yet do
+ * so.
+ */
 export type Unstored = { type: 'not-stored'; reason: string } | { type: 'unknown'; reason: string };
 
-/** What a hand-in came to. `known`: the job was there already. */
+/** Outcome of submitting a job. `known`: the job was stored already. */
 export type AcceptOutcome = { type: 'accepted' } | { type: 'known' } | Unstored;
 
-/** What a cancellation came to. */
+/** Outcome of a cancellation. */
 export type CancelOutcome = { type: 'cancelled' } | { type: 'no-such-job' } | Unstored;
--- a/src/core/membership/index.ts
+++ b/src/core/membership/index.ts
@@ -1,6 +1,6 @@
 /**
- * Which processes there are: each holds a key under a lease in the platform's service, and follows everybody's.
- * While the service gives no answer the last known members stay.
+ * The processes of the system: each holds a key under a lease in the platform's store and follows the keys of all others.
+ * While the store gives no answer, the last known members stay.
  */
 import * as clocks from '../clock.js';
 import * as hash from '../hash.js';
@@ -15,33 +15,34 @@
 	box: z.string(),
 	role: z.enum(['entry', 'scheduler', 'operator']),
 	zone: z.string(),
-	/** A new one each start. */
+	/** Random id of this start of the process. */
 	boot: z.string(),
-	/** Where peers connect, `host:port`. */
+	/** Address at which peers connect, `host:port`. */
 	peer: z.string(),
-	/** Where callers or operators connect, `host:port`. */
+	/** Address at which callers or operators connect, `host:port`. */
 	serves: z.string(),
 });
 
 /** One process of the system. */
 export type Member = zod.infer<typeof memberSchema>;
 
-/** What a process runs as. */
 export type Role = Member['role'];
 
-/** Key prefix of members. */
+/** Prefix of the members' keys. */
 export const memberPrefix = 'woodcross/members/';
 
-/** Lease of a member key, in seconds. */
+/** Duration of the lease of a member's key, in seconds. */
 export const memberTtlS = 3;
 
-/** Milliseconds between renewals. */
+/** Interval between lease renewals, in milliseconds. */
 const renewMs = 1_000;
 
-/** Milliseconds between full lists. */
+/** Interval between full lists, in milliseconds. */
 const relistMs = 10_000;
 
-/** Orders candidates for a shard; the first member owns it. */
+/**
+ * The member that should own a shard: the first of the zone's schedulers in rendezvous order; undefined: the zone has none.
+ */
 export function preferredOwner(shard: string, members: readonly Member[], zone: string): Member | undefined {
 	const candidates = members.filter((one) => one.role === 'scheduler' && one.zone === zone);
 	const first = hash.rendezvous(
@@ -51,11 +52,11 @@
 	return candidates.find((one) => one.boot === first);
 }
 
-/** Registers this process and follows the others. */
+/** Registers this process and follows the other members. */
 export class Membership {
-	/** Known members, oldest knowledge kept while the platform is out. */
+	/** Known members. They stay while the platform is unreachable. */
 	members: Member[];
-	/** When the view last changed, on the monotonic clock. */
+	/** When the set of members last changed, on the monotonic clock. */
 	changedAt: number;
 	/** Whether the last call to the platform was answered. */
 	reachable = false;
@@ -97,7 +98,7 @@
 		return membership;
 	}
 
-	/** Other members of this process's zone. */
+	/** The other members in this process's zone. */
 	zonePeers(role?: Role): Member[] {
 		return this.members.filter(
 			(one) =>
@@ -107,7 +108,7 @@
 		);
 	}
 
-	/** Leaves at once: ends the lease. */
+	/** Leaves the members at once by ending the lease. */
 	async leave(): Promise<void> {
 		this.ticking?.cancel();
 		this.follower?.stop();
@@ -129,7 +130,8 @@
 		if (!granted.ok) return;
 		const key = `${memberPrefix}${this.self.zone}/${this.self.role}/${this.self.boot}`;
 		const put = await this.store.swap(key, wire.encodeValue(this.self), 0, granted.value);
-		// A key of ours under a lapsed lease, or an unanswered call: the next renewal tries again.
+		// Not swapped: the process's own key is still there under an expired lease, or the call had no answer. The next
+		// renewal tries again.
 		if (put.ok && put.value.swapped) this.lease = granted.value;
 	}
 
--- a/src/core/queues/types.ts
+++ b/src/core/queues/types.ts
@@ -1,11 +1,11 @@
-/** The operators' configuration as the box needs it. */
+/** The operators' configuration in the form that the box uses. */
 import type * as jobs from '../jobs/types.js';
 
-/** Where a queue is reached. */
+/** Host and path of a queue. */
 export interface QueueRoute {
 	/** Lower case, without a port. */
 	host: string;
-	/** Path of the queue; a job's path goes on from it with the job's id. */
+	/** Path of the queue. A job's path is this prefix followed by the job's id. */
 	prefix: string;
 	policy: jobs.QueuePolicy;
 }
@@ -13,9 +13,9 @@
 /** A pool of workers. */
 export interface Pool {
 	name: string;
-	/** Its workers refuse what does not fit them; otherwise they start whatever they are told. */
+	/** Its workers refuse runs that do not fit their free capacity; otherwise they start any run. */
 	guarded: boolean;
-	/** Its machines are off until somebody moves them elsewhere. */
+	/** Its machines are off until they are moved to another pool. */
 	headroom: boolean;
 }
 
@@ -33,6 +33,6 @@
 	routes: QueueRoute[];
 	pools: Pool[];
 	limits: CallerLimits;
-	/** Why queues or pools of it can't be read, one text each; the others are in force. */
+	/** Why some queues or pools can't be read, one text each. The others are in force. */
 	leftOut: string[];
 }
