--- a/src/core/fleet/types.ts
+++ b/src/core/fleet/types.ts
@@ -160,7 +160,7 @@
 /** Asks the adviser which of the workers may run a step (`job.occurrence.step`). */
 export type AskAdviser = (step: string, workers: string[]) => Promise<results.Result<Advice, string>>;
 
-/** A machine of a pool. Its workers are successive incarnations on it. */
+/** A machine of a pool. Each of its workers is one incarnation of it. */
 export interface Machine {
 	name: string;
 	pool: string;
--- a/src/core/jobs/size.ts
+++ b/src/core/jobs/size.ts
@@ -16,8 +16,10 @@
 /** Why a job is too large to be run; undefined: it is not too large. */
 export function oversize(job: Pick<types.JobRecord, 'steps' | 'schedule'>): string | undefined {
 	const atOnce = job.steps.reduce((sum, step) => sum + step.count, 0);
-	if (atOnce > mostTasksAtOnce) return `${String(atOnce)} tasks, ${String(mostTasksAtOnce)} may be`;
+	if (atOnce > mostTasksAtOnce)
+		return `${String(atOnce)} tasks in one occurrence, at most ${String(mostTasksAtOnce)} are allowed`;
 	const all = atOnce * (job.schedule?.times ?? 1);
-	if (all > mostTasks) return `${String(all)} tasks at all its times, ${String(mostTasks)} may be`;
+	if (all > mostTasks)
+		return `${String(all)} tasks in all occurrences, at most ${String(mostTasks)} are allowed`;
 	return undefined;
 }
--- a/src/core/ledger/owner-ledger.ts
+++ b/src/core/ledger/owner-ledger.ts
@@ -95,7 +95,7 @@
 		const { epoch, holder } = before.value;
 		const named = holder && records.decodeOwner(holder.value);
 		if (named !== undefined && named.generation !== replaces)
-			return results.fail(`generation ${named.generation} was first`);
+			return results.fail(`generation ${named.generation} took over first`);
 		const last = epoch && records.decodeEpoch(epoch.value);
 		const generation = (last?.generation ?? 0) + 1;
 		const workersStoredSince = last?.workersStoredSince ?? generation;
@@ -116,12 +116,13 @@
 			removes: [],
 		});
 		if (!res.ok) return results.fail(res.err.reason);
-		if (res.value.type !== 'committed') return results.fail(`another box was first (${res.value.type})`);
+		if (res.value.type !== 'committed')
+			return results.fail(`another box took over first (${res.value.type})`);
 		const { version } = res.value;
 		return results.ok(new OwnerLedger(store, now, version, generation, workersStoredSince, sentAt));
 	}
 
-	/** Reads everything. Writes of a predecessor fail from the takeover on, so the contents stay valid. */
+	/** Reads everything. Writes of a predecessor fail from the takeover on. */
 	async load(): Promise<results.Result<LedgerContents, string>> {
 		const [list, roster, learnt] = await Promise.all([
 			this.store.list(keys.jobsPrefix),
--- a/src/core/membership/index.ts
+++ b/src/core/membership/index.ts
@@ -15,7 +15,7 @@
 	box: z.string(),
 	role: z.enum(['entry', 'scheduler', 'operator']),
 	zone: z.string(),
-	/** Random id of this start of the process. */
+	/** Differs in each start of the process. */
 	boot: z.string(),
 	/** Address at which peers connect, `host:port`. */
 	peer: z.string(),
--- a/src/core/platform/contact.ts
+++ b/src/core/platform/contact.ts
@@ -1,25 +1,27 @@
-/** Watches over the calls to the store: whether it answers this box, and a log line at each turn. */
+/** Tracks whether the store answers this box, and logs each time that contact is lost or regained. */
 import type * as events from '../events/index.js';
 import type * as results from '../result.js';
 import type * as types from './types.js';
 
-/** As long as no call is answered, that is logged again after so long, in milliseconds. */
+/** Interval at which lost contact is logged again while no call is answered, in milliseconds. */
 const reminderMs = 5_000;
 
 /** Whether the store answers. */
 export interface StoreContact {
 	readonly reachable: boolean;
-	/** How long it has not answered, in milliseconds; 0: it does. */
+	/** Time since contact was lost, in milliseconds; 0: the store answers. */
 	readonly lostForMs: number;
 }
 
-/** A store whose calls are watched. */
+/** A store whose calls are tracked. */
 export interface WatchedStore {
 	store: types.RecordStore;
 	contact: StoreContact;
 }
 
-/** Wraps a store. One unanswered call counts as lost contact, one answer as regained. */
+/**
+ * Wraps a store so that its calls are tracked. One call without an answer counts as lost contact, one answer as regained.
+ */
 export function watchContact(
 	store: types.RecordStore,
 	log: events.EventLog,
@@ -44,11 +46,11 @@
 
 type CallAnswer<T> = Promise<results.Result<T, types.StoreFailure>>;
 
-/** What the calls so far came to. */
+/** Contact as shown by the calls so far. */
 class ContactWatch implements StoreContact {
 	reachable = true;
 	private lostAt = 0;
-	/** Clock time of the newest line that says that the store is lost. */
+	/** Clock time of the latest log line for the lost contact. */
 	private toldAt = 0;
 	private calls = 0;
 
@@ -84,7 +86,7 @@
 	private failed(failure: { call: string; reason: string; tookMs: number }): void {
 		const now = this.now();
 		if (this.reachable) this.lostAt = now;
-		// Repeated, as a log of a while may not reach back to the turn.
+		// Repeated, because a short part of the log may not reach back to the start of the outage.
 		else if (now - this.toldAt < reminderMs) return;
 		this.reachable = false;
 		this.toldAt = now;
--- a/src/core/platform/etcd.ts
+++ b/src/core/platform/etcd.ts
@@ -1,7 +1,7 @@
 /**
- * Adapter to the key-value service by the JSON mapping of etcd's v3 interface (`/v3/kv/range`, `/v3/kv/txn`,
- * `/v3/lease/*`, `/v3/watch`): keys and values in base64, 64-bit numbers as decimal strings.
- * Only single-key compare-and-swap is used, so that any service with that much can stand in its place.
+ * Adapter to a key-value service with the JSON mapping of etcd's v3 interface (`/v3/kv/range`, `/v3/kv/txn`, `/v3/lease/*`,
+ * `/v3/watch`): keys and values are in base64, 64-bit numbers are decimal strings. It uses only compare-and-swap of single
+ * keys, so any service that has this can be used instead.
  */
 import * as undici from 'undici';
 import * as zod from 'zod';
@@ -37,17 +37,17 @@
 	}),
 });
 
-/** A call without an answer after this many milliseconds counts as unanswered. */
+/** A call without an answer after this many milliseconds fails. */
 export const callTimeoutMs = 3_000;
 
-/** Largest number of calls in flight. */
+/** Most calls in flight. */
 const maxConnections = 16;
 
 const toBase64 = (text: string): string => Buffer.from(text).toString('base64');
 
 const fromBase64 = (text: string): string => Buffer.from(text, 'base64').toString();
 
-/** The end of the key range that a prefix covers: its last byte plus one. */
+/** End of the key range of a prefix: the prefix with its last byte incremented. */
 function prefixEnd(prefix: string): string {
 	const bytes = Buffer.from(prefix);
 	const last = bytes.length - 1;
@@ -59,14 +59,14 @@
 	return { key: fromBase64(item.key), value: Buffer.from(item.value, 'base64'), version: item.mod_revision };
 }
 
-/** Failures before a connection stood can't have had an effect. */
+/** A call that failed before its connection was established can't have had an effect. */
 function toFailure(err: unknown): types.StoreFailure {
 	const code = (err as { code?: unknown }).code;
 	const unsent = code === 'ECONNREFUSED' || code === 'UND_ERR_CONNECT_TIMEOUT' || code === 'EHOSTUNREACH';
 	return { effect: unsent ? 'none' : 'unknown', reason: err instanceof Error ? err.message : String(err) };
 }
 
-/** The key-value service behind one address. */
+/** Client of the key-value service at one address. */
 export class EtcdStore implements types.Store {
 	private constructor(
 		private readonly origin: string,
--- a/src/core/platform/follow.ts
+++ b/src/core/platform/follow.ts
@@ -1,25 +1,25 @@
 /**
- * Keeps a local copy of the keys with a prefix: list, watch, list again.
- * A watch may stall without a word, so the copy is also listed afresh now and then.
+ * Keeps a local copy of the keys with a prefix: lists them, watches for changes, and lists them again at intervals, because
+ * a watch may stall without an error.
  */
 import * as clocks from '../clock.js';
 import type * as types from './types.js';
 
-/** Settings of a follower. */
+/** Options of a follower. */
 export interface FollowOptions {
 	prefix: string;
-	/** Milliseconds between full lists, the bound on how long a stalled watch goes unnoticed. */
+	/** Interval between full lists, in milliseconds; bounds how long a stalled watch goes unnoticed. */
 	relistMs: number;
-	/** The whole copy, after every change; not called while the service gives no answer. */
+	/** Gets the whole copy after every change. Not called while the service gives no answer. */
 	onView: (view: ReadonlyMap<string, types.Stored>) => void;
-	/** Whether the last list was answered. */
+	/** Whether the latest list was answered. */
 	onReachable?: (reachable: boolean, reason: string) => void;
 }
 
-/** Wait after a failed list, in milliseconds. */
+/** Wait before listing again after a failed list or the end of a watch, in milliseconds. */
 const retryMs = 500;
 
-/** A task that owns the copy and its watch. */
+/** A local copy of the keys with a prefix. */
 export class Follower {
 	private view = new Map<string, types.Stored>();
 	private watch: types.Watch | undefined;
@@ -32,7 +32,7 @@
 		private readonly opts: FollowOptions,
 	) {}
 
-	/** Starts following; `onView` is first called once the first list is answered. */
+	/** Starts following. `onView` is first called when the first list is answered. */
 	static create(store: types.Store, clock: clocks.Clock, opts: FollowOptions): Follower {
 		const self = new Follower(store, clock, opts);
 		void self.relist();
--- a/src/core/platform/limits.ts
+++ b/src/core/platform/limits.ts
@@ -1,13 +1,14 @@
-/** Time limits of calls to the store that its callers reckon with, in milliseconds. */
+/** Time limits of calls to the store that callers have to take into account, in milliseconds. */
 
 /**
- * A wait for changes is given up when its answer is so late: twice the 250 ms that the store's answers take in its slow
- * hours.
+ * A wait for changes times out this long after its own waiting time: twice the 250 ms that the store's answers take in its
+ * slow hours.
  */
 export const lateAnswerMs = 500;
 
 /**
- * How long an owner waits for news of workers and of jobs. A connection that goes silent as a wait begins is found out, and
- * the wait repeated, before the 3 s are over after which a box without trouble is to be as good as any other.
+ * How long an owner waits for reports of workers and for changes of jobs. A connection that stops responding as a wait
+ * begins is detected, and the wait repeated, within 3 s: after that time a box without a fault has to be as good as any
+ * other.
  */
 export const ownerWaitMs = 2_000;
--- a/src/core/platform/record-follower.ts
+++ b/src/core/platform/record-follower.ts
@@ -1,49 +1,52 @@
 /**
- * Keeps up with a prefix of the store: a list, then its changes; lists again when the history is gone, or when waits for
- * changes bring no answer.
+ * Follows the records with a prefix of the store: lists them, then waits for changes. Lists them again when the history has
+ * been compacted, or when waits for changes have no answer.
  */
 import * as clocks from '../clock.js';
 import * as limits from './limits.js';
 import type * as types from './types.js';
 
-/** Calls that fail follow each other at this distance in milliseconds; one that took longer is repeated at once. */
+/**
+ * Least time between the starts of a failed call and the next one, in milliseconds. A call that took longer is repeated at
+ * once.
+ */
 const retryMs = 250;
 
-/** So many waits in a row without an answer are repeated as they were, where the list is long. */
+/** Consecutive waits without an answer after which a long list is read again. */
 const mostUnanswered = 3;
 
-/** What to follow, and whom to tell. */
+/** What to follow, and the callbacks. */
 export interface FollowerOptions {
 	store: types.RecordStore;
 	clock: clocks.Clock;
 	prefix: string;
 	/** How long one call waits for a change, in milliseconds. */
 	waitMs: number;
-	/** Pause after changes, so that a busy prefix costs few calls; in milliseconds. */
+	/** Pause after changes, in milliseconds, which limits the calls for a prefix that changes often. */
 	gapMs: number;
 	/**
-	 * Whether the list is short: then it is read after each wait whose answer came late or not at all, else after some in a
-	 * row that brought none. The answer to a repeated wait only grows: over a slow link it may never be complete in time,
-	 * where a list holds each key once.
+	 * Whether the list is short. A short list is read again after each wait whose answer is late or missing, a long one
+	 * after several consecutive waits without an answer. The answer to a repeated wait only grows, and over a slow link it
+	 * may never be complete in time; a list contains each key once.
 	 */
 	isShort: boolean;
-	/** Go on from this revision instead of listing first. */
+	/** Starts from this revision instead of a list. */
 	from?: number;
-	/** All there is, and the store's revision. */
+	/** Gets all records and the store's revision. */
 	onList: (items: types.Stored[], revision: number) => void;
 	onChanges: (changes: types.StoreChange[], revision: number) => void;
 	/**
-	 * Told of each call that was answered, before what it brought; `heldAt`: clock time at which that held. An answer may
-	 * have lain here unread while this process stood still.
+	 * Called for each answered call, before its content is delivered. `validAt`: clock time at which the content was valid.
+	 * The answer may have lain unread while this process was stalled.
 	 */
 	onAnswered?: (heldAt: number) => void;
 }
 
-/** A prefix that is followed until it is closed. */
+/** Follows a prefix until it is closed. */
 export class RecordFollower {
 	private closed = false;
 	private revision: number | undefined;
-	/** Waits in a row that brought no answer. */
+	/** Consecutive waits without an answer. */
 	private unanswered = 0;
 
 	private constructor(private readonly opts: FollowerOptions) {
@@ -59,7 +62,10 @@
 		this.closed = true;
 	}
 
-	/** Reads the list now, beside the wait that is under way: somebody knows of a change that it did not bring. */
+	/**
+	 * Reads the list at once, in parallel with the current wait, for a caller that knows of a change that the wait did not
+	 * bring.
+	 */
 	listNow(): void {
 		void this.list();
 	}
@@ -74,7 +80,7 @@
 		}
 	}
 
-	/** One list; returns how long to wait before the next call. */
+	/** Reads the list once; returns how long to wait before the next call, in milliseconds. */
 	private async list(): Promise<number | 'failed'> {
 		const startedAt = this.opts.clock.now();
 		const res = await this.opts.store.list(this.opts.prefix);
@@ -87,7 +93,7 @@
 		return 0;
 	}
 
-	/** One wait for changes; returns how long to wait before the next call. */
+	/** Waits for changes once; returns how long to wait before the next call, in milliseconds. */
 	private async follow(after: number): Promise<number | 'failed'> {
 		const { store, prefix, waitMs, clock, isShort } = this.opts;
 		const startedAt = clock.now();
@@ -107,13 +113,13 @@
 		const { changes, revision } = res.value;
 		this.revision = revision;
 		if (changes.length === 0) return 0;
-		// It was long on its way, or this process stood still: more may have been written since.
+		// The answer took long, or this process was stalled: more may have been written since.
 		if (isShort && clock.now() - startedAt > waitMs) this.listNext();
 		this.opts.onChanges(changes, revision);
 		return this.opts.gapMs;
 	}
 
-	/** When the answer to a wait that began at `startedAt` was given, at the earliest. */
+	/** The earliest time at which the answer to a wait that began at `startedAt` may have been given. */
 	private heldAt(startedAt: number): number {
 		const { clock, waitMs } = this.opts;
 		if (clock.resumedAt() >= startedAt) return startedAt;
@@ -125,7 +131,7 @@
 		this.unanswered = 0;
 	}
 
-	/** Read after an `await`, where the compiler thinks the field can't have changed. */
+	/** A method, because after an `await` the compiler assumes that the field has not changed. */
 	private isClosed(): boolean {
 		return this.closed;
 	}
