--- a/dev/measure/commit.ts
+++ b/dev/measure/commit.ts
@@ -50,7 +50,7 @@
 		for (const one of batch) histogram.recordValue(Math.round((performance.now() - one.since) * 1000));
 		const rest = gapMs - (performance.now() - from);
 		if (most > 1 && rest > 0) await new Promise((resolve) => setTimeout(resolve, rest));
-		if (log.snapshotDue) await log.snapshot();
+		if (log.isSnapshotDue) await log.snapshot();
 	}
 	return decided;
 }
--- a/dev/measure/pair-estimate.ts
+++ b/dev/measure/pair-estimate.ts
@@ -81,9 +81,9 @@
 	};
 }
 
-function disturbance(task: placement.Waiting, box: placement.Box, cost: PairCost): number {
+function disturbance(task: placement.PendingTask, box: placement.Worker, cost: PairCost): number {
 	let sum = 0;
-	for (const resident of box.residents) {
+	for (const resident of box.allocations) {
 		if (resident.kind === task.kind) continue;
 		sum += task.kind === 'service' ? cost(task.job, resident.job) : cost(resident.job, task.job);
 	}
--- a/dev/measure/placement.ts
+++ b/dev/measure/placement.ts
@@ -51,7 +51,7 @@
 ];
 
 interface Running {
-	resident: placement.Resident;
+	resident: placement.Allocation;
 	box: string;
 	leftMin: number;
 	/** Cores really used. */
@@ -60,7 +60,7 @@
 }
 
 interface Pending {
-	task: placement.Waiting;
+	task: placement.PendingTask;
 	leftMin: number;
 	uses: number;
 	dueAt: number;
@@ -86,7 +86,7 @@
 }
 
 class World {
-	readonly boxes: placement.Box[];
+	readonly boxes: placement.Worker[];
 	running: Running[] = [];
 	pending: Pending[] = [];
 	readonly day: Day = { latencies: [], finished: 0, onTime: 0, arrived: 0, evictions: 0, wastedMin: 0 };
@@ -104,11 +104,11 @@
 			id: `w${index}`,
 			rack: 'r',
 			capacity,
-			residents: [],
+			allocations: [],
 		}));
 		for (const [index, box] of this.boxes.entries()) {
 			for (let kind = 0; kind < 2; kind += 1)
-				box.residents.push(service(`web-${(index + kind) % 4}`, index, kind));
+				box.allocations.push(service(`web-${(index + kind) % 4}`, index, kind));
 		}
 	}
 
@@ -131,7 +131,7 @@
 			const task = { task: `${job}/${at}-${index}`, job, kind: 'batch', urgent: false } as const;
 			const needs = { cores, memoryMb: 2048, accelerators: 0 };
 			this.pending.push({
-				task: { ...task, needs, maxShareOfBox: 1, failedOn: [], since: at },
+				task: { ...task, needs, maxShareOfBox: 1, failedOn: [], waitingSince: at },
 				...{ leftMin, uses, dueAt: at + 360 },
 			});
 			this.day.arrived += 1;
@@ -149,13 +149,13 @@
 		const round = placement.placeRound(
 			this.pending.map((one) => one.task),
 			this.boxes,
-			{ score: this.score, maxPlaces: 100, evicting: new Set() },
+			{ score: this.score, maxPlacements: 100, evicting: new Set() },
 		);
-		for (const place of round.places) {
+		for (const place of round.placements) {
 			const index = this.pending.findIndex((one) => one.task.task === place.task);
 			const [pending] = this.pending.splice(index, 1);
 			const box = this.boxes.find((one) => one.id === place.box);
-			const resident = box?.residents.find((one) => one.task === place.task);
+			const resident = box?.allocations.find((one) => one.task === place.task);
 			if (!pending || !resident) continue;
 			this.running.push({
 				resident,
@@ -173,8 +173,8 @@
 	private suffer(at: number): void {
 		const load = this.customer.load(at % minutes);
 		for (const box of this.boxes) {
-			const jobs = box.residents.filter((one) => one.kind === 'batch').map((one) => one.job);
-			for (const one of box.residents) {
+			const jobs = box.allocations.filter((one) => one.kind === 'batch').map((one) => one.job);
+			for (const one of box.allocations) {
 				if (one.kind !== 'service') continue;
 				const added = jobs.reduce((sum, job) => sum + this.truth(one.job, job) * load, 0);
 				const ms = baseMs + added + this.random() * 2;
@@ -187,9 +187,9 @@
 	private work(at: number): void {
 		for (const one of this.running)
 			if (at === one.startedAt + lagMinutes)
-				one.resident.amount.cores = Math.max(one.resident.amount.cores, one.uses);
+				one.resident.resources.cores = Math.max(one.resident.resources.cores, one.uses);
 		for (const box of this.boxes) {
-			const relief = placement.relieve(
+			const relief = placement.relievePressure(
 				box,
 				(task) => at - (this.running.find((one) => one.resident.task === task)?.startedAt ?? at),
 			);
@@ -211,19 +211,19 @@
 		this.leave(one);
 		this.day.evictions += 1;
 		this.day.wastedMin += 1;
-		this.pending.push({ ...pending, leftMin: one.leftMin + 1, task: { ...pending.task, since: at } });
+		this.pending.push({ ...pending, leftMin: one.leftMin + 1, task: { ...pending.task, waitingSince: at } });
 	}
 
 	private leave(one: Running): void {
 		this.running = this.running.filter((running) => running !== one);
 		const box = this.boxes.find((candidate) => candidate.id === one.box);
-		if (box) box.residents = box.residents.filter((resident) => resident !== one.resident);
+		if (box) box.allocations = box.allocations.filter((resident) => resident !== one.resident);
 	}
 }
 
-function service(job: string, index: number, kind: number): placement.Resident {
-	const amount = { cores: 4, memoryMb: 4096, accelerators: 0 };
-	return { task: `${job}/${index}-${kind}`, job, kind: 'service', urgent: false, amount };
+function service(job: string, index: number, kind: number): placement.Allocation {
+	const resources = { cores: 4, memoryMb: 4096, accelerators: 0 };
+	return { task: `${job}/${index}-${kind}`, job, kind: 'service', urgent: false, resources };
 }
 
 function runDay(customer: Customer, seed: number, way: string): Day {
--- a/spec/claim.ts
+++ b/spec/claim.ts
@@ -67,7 +67,7 @@
 	}
 	const decision = requests.decideRequest(shard, req, {
 		views: new Map(),
-		listRead: true,
+		isWorkerListRead: true,
 		nextShard: () => undefined,
 		answers: new Map(),
 		holderGone: (holder) => state.tries[Number(holder)]?.boxDead ?? false,
--- a/spec/lease.ts
+++ b/spec/lease.ts
@@ -70,11 +70,11 @@
 const lease = 1;
 const horizon = 1;
 
-const waits: silence.WaitOptions = {
+const waits: silence.TimingOptions = {
 	leaseMs: lease,
 	horizonMs: horizon,
 	marginMs: 0,
-	clockRate: 0,
+	maxClockDrift: 0,
 	unreachableMs: 0,
 };
 
@@ -230,8 +230,8 @@
 			if (report.state === 'ended') return [{ c: 'done', task }];
 			if (report.state === 'stopped') return [{ c: 'free', task }];
 		}
-		const seen = { ...types.newView(unlisted), fenced: view.fenced, leaseEndsBy: view.left };
-		const provedAt = silence.provedStoppedAt(seen, { at: -owner.takenAge, released: false }, waits);
+		const seen = { ...types.newWorkerView(unlisted), fenced: view.fenced, leaseEndsBy: view.left };
+		const provedAt = silence.provenStoppedAt(seen, { at: -owner.takenAge, released: false }, waits);
 		return (guards.wait ? 0 > provedAt : view.left < 0) ? [{ c: 'free', task }] : [];
 	};
 
--- a/src/core/placement/fit.ts
+++ b/src/core/placement/fit.ts
@@ -5,61 +5,69 @@
 const epsilon = 1e-6;
 
 /** The sum of what residents hold. */
-export function used(box: types.Box): types.Amount {
+export function allocated(worker: types.Worker): types.Resources {
 	const sum = { cores: 0, memoryMb: 0, accelerators: 0 };
-	for (const resident of box.residents) add(sum, resident.amount);
+	for (const allocation of worker.allocations) addResources(sum, allocation.resources);
 	return sum;
 }
 
 /** Adds `amount` to `sum`, in place. */
-export function add(sum: types.Amount, amount: types.Amount): void {
+export function addResources(sum: types.Resources, amount: types.Resources): void {
 	sum.cores += amount.cores;
 	sum.memoryMb += amount.memoryMb;
 	sum.accelerators += amount.accelerators;
 }
 
 /** Whether `amount` and `more` together stay within `limit`. */
-export function within(amount: types.Amount, more: types.Amount, limit: types.Amount): boolean {
+export function fitsWithin(
+	amount: types.Resources,
+	additional: types.Resources,
+	limit: types.Resources,
+): boolean {
 	return (
-		amount.cores + more.cores <= limit.cores + epsilon &&
-		amount.memoryMb + more.memoryMb <= limit.memoryMb + epsilon &&
-		amount.accelerators + more.accelerators <= limit.accelerators + epsilon
+		amount.cores + additional.cores <= limit.cores + epsilon &&
+		amount.memoryMb + additional.memoryMb <= limit.memoryMb + epsilon &&
+		amount.accelerators + additional.accelerators <= limit.accelerators + epsilon
 	);
 }
 
 /** The part of a worker that one job's tasks may hold together. */
-function shareLimit(box: types.Box, share: number): types.Amount {
+function jobLimit(worker: types.Worker, share: number): types.Resources {
 	return {
-		cores: box.capacity.cores * share,
-		memoryMb: box.capacity.memoryMb * share,
-		accelerators: box.capacity.accelerators,
+		cores: worker.capacity.cores * share,
+		memoryMb: worker.capacity.memoryMb * share,
+		accelerators: worker.capacity.accelerators,
 	};
 }
 
 /** Whether the task could ever run on the worker, were it empty. */
-export function couldHold(capacity: types.Amount, needs: types.Amount, maxShareOfBox: number): boolean {
-	const box = { id: '', rack: '', capacity, residents: [] };
-	return within({ cores: 0, memoryMb: 0, accelerators: 0 }, needs, shareLimit(box, maxShareOfBox));
+export function fitsWhenEmpty(
+	capacity: types.Resources,
+	needs: types.Resources,
+	maxShareOfBox: number,
+): boolean {
+	const worker = { id: '', rack: '', capacity, allocations: [] };
+	return fitsWithin({ cores: 0, memoryMb: 0, accelerators: 0 }, needs, jobLimit(worker, maxShareOfBox));
 }
 
 /** Whether the task fits beside the residents, within the worker and within its job's share of it. */
-export function fits(task: types.Waiting, box: types.Box): boolean {
-	if (!within(used(box), task.needs, box.capacity)) return false;
-	const ofJob = { cores: 0, memoryMb: 0, accelerators: 0 };
-	for (const resident of box.residents) {
-		if (resident.job === task.job) add(ofJob, resident.amount);
+export function fits(task: types.PendingTask, worker: types.Worker): boolean {
+	if (!fitsWithin(allocated(worker), task.needs, worker.capacity)) return false;
+	const allocatedToJob = { cores: 0, memoryMb: 0, accelerators: 0 };
+	for (const allocation of worker.allocations) {
+		if (allocation.job === task.job) addResources(allocatedToJob, allocation.resources);
 	}
-	return within(ofJob, task.needs, shareLimit(box, task.maxShareOfBox));
+	return fitsWithin(allocatedToJob, task.needs, jobLimit(worker, task.maxShareOfBox));
 }
 
 /** The largest part of any resource in use, 0 to 1, were `more` added. */
-export function load(box: types.Box, more: types.Amount): number {
-	const sum = used(box);
-	add(sum, more);
-	const part = (amount: number, of: number): number => (of > 0 ? amount / of : 0);
+export function maxUtilization(worker: types.Worker, additional: types.Resources): number {
+	const sum = allocated(worker);
+	addResources(sum, additional);
+	const utilization = (amount: number, total: number): number => (total > 0 ? amount / total : 0);
 	return Math.max(
-		part(sum.cores, box.capacity.cores),
-		part(sum.memoryMb, box.capacity.memoryMb),
-		part(sum.accelerators, box.capacity.accelerators),
+		utilization(sum.cores, worker.capacity.cores),
+		utilization(sum.memoryMb, worker.capacity.memoryMb),
+		utilization(sum.accelerators, worker.capacity.accelerators),
 	);
 }
--- a/src/core/placement/index.ts
+++ b/src/core/placement/index.ts
@@ -1,5 +1,5 @@
 /** Placement: which worker takes which task. */
-export { add, couldHold, fits, load, used, within } from './fit.js';
+export { addResources, fitsWhenEmpty, fits, maxUtilization, allocated, fitsWithin } from './fit.js';
 export * from './policy.js';
 export * from './pressure.js';
 export * from './round.js';
--- a/src/core/placement/pressure.ts
+++ b/src/core/placement/pressure.ts
@@ -3,10 +3,10 @@
 import type * as types from './types.js';
 
 /** Least part of its cores that a throttled task keeps. */
-const leastShare = 0.1;
+const minThrottleShare = 0.1;
 
 /** Decisions for one worker. */
-export interface Relief {
+export interface PressureRelief {
 	throttles: Map<string, number>;
 	evictions: { task: string; reason: string }[];
 }
@@ -15,38 +15,43 @@
  * Throttles batch tasks evenly until the sum of cores fits; where that is not enough, and where memory overflows,
  * evicts batch tasks, the least progress lost first.
  */
-export function relieve(box: types.Box, lossOf: (task: string) => number): Relief {
-	const relief: Relief = { throttles: new Map(), evictions: [] };
-	const batch = box.residents.filter((resident) => resident.kind === 'batch');
-	batch.sort((a, b) => Number(a.urgent) - Number(b.urgent) || lossOf(a.task) - lossOf(b.task));
-	const left = { ...box, residents: [...box.residents] };
-	const over = (): { cores: number; memoryMb: number } => {
-		const sum = fit.used(left);
-		return { cores: sum.cores - box.capacity.cores, memoryMb: sum.memoryMb - box.capacity.memoryMb };
+export function relievePressure(
+	worker: types.Worker,
+	lostProgressOf: (task: string) => number,
+): PressureRelief {
+	const relief: PressureRelief = { throttles: new Map(), evictions: [] };
+	const batch = worker.allocations.filter((allocation) => allocation.kind === 'batch');
+	batch.sort(
+		(a, b) => Number(a.urgent) - Number(b.urgent) || lostProgressOf(a.task) - lostProgressOf(b.task),
+	);
+	const remaining = { ...worker, allocations: [...worker.allocations] };
+	const excess = (): { cores: number; memoryMb: number } => {
+		const sum = fit.allocated(remaining);
+		return { cores: sum.cores - worker.capacity.cores, memoryMb: sum.memoryMb - worker.capacity.memoryMb };
 	};
-	for (const resident of batch) {
-		if (over().memoryMb <= 0 && coresFitThrottled(left, over().cores)) break;
-		left.residents = left.residents.filter((one) => one !== resident);
-		relief.evictions.push({ task: resident.task, reason: 'measured use outgrew the worker' });
+	for (const allocation of batch) {
+		if (excess().memoryMb <= 0 && fitsWhenThrottled(remaining, excess().cores)) break;
+		remaining.allocations = remaining.allocations.filter((one) => one !== allocation);
+		relief.evictions.push({ task: allocation.task, reason: 'measured use outgrew the worker' });
 	}
-	throttleEvenly(left, over().cores, relief);
+	throttleEvenly(remaining, excess().cores, relief);
 	return relief;
 }
 
-function batchCores(box: types.Box): number {
-	const batch = box.residents.filter((resident) => resident.kind === 'batch');
-	return batch.reduce((sum, resident) => sum + resident.amount.cores, 0);
+function batchCores(worker: types.Worker): number {
+	const batch = worker.allocations.filter((allocation) => allocation.kind === 'batch');
+	return batch.reduce((sum, allocation) => sum + allocation.resources.cores, 0);
 }
 
-function coresFitThrottled(box: types.Box, over: number): boolean {
-	return over <= batchCores(box) * (1 - leastShare);
+function fitsWhenThrottled(worker: types.Worker, excessCores: number): boolean {
+	return excessCores <= batchCores(worker) * (1 - minThrottleShare);
 }
 
-function throttleEvenly(box: types.Box, over: number, relief: Relief): void {
-	const cores = batchCores(box);
-	if (over <= 0 || cores === 0) return;
-	const share = Math.max(leastShare, 1 - over / cores);
-	for (const resident of box.residents) {
-		if (resident.kind === 'batch') relief.throttles.set(resident.task, share);
+function throttleEvenly(worker: types.Worker, excessCores: number, relief: PressureRelief): void {
+	const cores = batchCores(worker);
+	if (excessCores <= 0 || cores === 0) return;
+	const share = Math.max(minThrottleShare, 1 - excessCores / cores);
+	for (const allocation of worker.allocations) {
+		if (allocation.kind === 'batch') relief.throttles.set(allocation.task, share);
 	}
 }
--- a/src/core/placement/round.ts
+++ b/src/core/placement/round.ts
@@ -6,73 +6,89 @@
 export interface RoundOptions {
 	score: types.Score;
 	/** Places given in one round at most; the rest waits for the next. */
-	maxPlaces: number;
+	maxPlacements: number;
 	/** Tasks already told to give way whose places are not free yet. */
 	evicting: ReadonlySet<string>;
 }
 
 /** Urgent work first, then services, then batch; within a class the longest waiting. */
-export function queueOrder(a: types.Waiting, b: types.Waiting): number {
-	return rank(a) - rank(b) || a.since - b.since || (a.task < b.task ? -1 : 1);
+export function queueOrder(a: types.PendingTask, b: types.PendingTask): number {
+	return urgencyRank(a) - urgencyRank(b) || a.waitingSince - b.waitingSince || (a.task < b.task ? -1 : 1);
 }
 
-function rank(task: types.Waiting): number {
+function urgencyRank(task: types.PendingTask): number {
 	if (task.urgent) return 0;
 	return task.kind === 'service' ? 1 : 2;
 }
 
 /** Decides places for `waiting`. Boxes get the new residents added, so that one round never overfills. */
-export function placeRound(waiting: types.Waiting[], boxes: types.Box[], opts: RoundOptions): types.Round {
-	const round: types.Round = { places: [], waiting: new Map(), evictions: [] };
-	const byId = new Map(boxes.map((box) => [box.id, box]));
-	const later = new Map(boxes.map((box) => [box.id, afterEvictions(box, opts.evicting)]));
-	for (const task of [...waiting].sort(queueOrder)) {
-		if (round.places.length >= opts.maxPlaces) {
+export function placeRound(
+	pending: types.PendingTask[],
+	workers: types.Worker[],
+	opts: RoundOptions,
+): types.RoundResult {
+	const round: types.RoundResult = { placements: [], waiting: new Map(), evictions: [] };
+	const workerById = new Map(workers.map((worker) => [worker.id, worker]));
+	const workerAfterEvictions = new Map(
+		workers.map((worker) => [worker.id, withoutEvicted(worker, opts.evicting)]),
+	);
+	for (const task of [...pending].sort(queueOrder)) {
+		if (round.placements.length >= opts.maxPlacements) {
 			round.waiting.set(
 				task.task,
-				`waits for the next round: ${opts.maxPlaces} places were given in this one`,
+				`waits for the next round: ${opts.maxPlacements} places were given in this one`,
 			);
 			continue;
 		}
-		const place = choose(task, boxes, opts.score);
-		if (place !== undefined) {
-			round.places.push(place);
-			byId.get(place.box)?.residents.push(toResident(task));
-			later.get(place.box)?.residents.push(toResident(task));
+		const placement = chooseWorker(task, workers, opts.score);
+		if (placement !== undefined) {
+			round.placements.push(placement);
+			workerById.get(placement.box)?.allocations.push(toAllocation(task));
+			workerAfterEvictions.get(placement.box)?.allocations.push(toAllocation(task));
 			continue;
 		}
-		const coming = task.urgent && makeRoom(task, [...later.values()], round);
-		round.waiting.set(task.task, coming ? 'waits for batch tasks to give way' : whyNot(task, boxes));
+		const hasPlannedEvictions = task.urgent && planEvictions(task, [...workerAfterEvictions.values()], round);
+		round.waiting.set(
+			task.task,
+			hasPlannedEvictions ? 'waits for batch tasks to give way' : waitReason(task, workers),
+		);
 	}
 	return round;
 }
 
 /** The worker as it will be once the tasks told to give way are gone. */
-function afterEvictions(box: types.Box, evicting: ReadonlySet<string>): types.Box {
-	return { ...box, residents: box.residents.filter((resident) => !evicting.has(resident.task)) };
+function withoutEvicted(worker: types.Worker, evicting: ReadonlySet<string>): types.Worker {
+	return {
+		...worker,
+		allocations: worker.allocations.filter((allocation) => !evicting.has(allocation.task)),
+	};
 }
 
-function toResident(task: types.Waiting): types.Resident {
-	return { task: task.task, job: task.job, kind: task.kind, urgent: task.urgent, amount: task.needs };
+function toAllocation(task: types.PendingTask): types.Allocation {
+	return { task: task.task, job: task.job, kind: task.kind, urgent: task.urgent, resources: task.needs };
 }
 
-function choose(task: types.Waiting, boxes: types.Box[], score: types.Score): types.Place | undefined {
-	const open = boxes.filter((box) => box.closed === undefined && fit.fits(task, box));
-	const fresh = open.filter((box) => !task.failedOn.includes(box.id));
-	const candidates = fresh.length > 0 ? fresh : open;
-	let best: { box: types.Box; score: number } | undefined;
-	for (const box of candidates) {
-		const rated = { box, score: score(task, box) };
+function chooseWorker(
+	task: types.PendingTask,
+	workers: types.Worker[],
+	score: types.Score,
+): types.Placement | undefined {
+	const openWorkers = workers.filter((worker) => worker.closed === undefined && fit.fits(task, worker));
+	const untriedWorkers = openWorkers.filter((worker) => !task.failedOn.includes(worker.id));
+	const candidates = untriedWorkers.length > 0 ? untriedWorkers : openWorkers;
+	let best: { box: types.Worker; score: number } | undefined;
+	for (const worker of candidates) {
+		const scored = { box: worker, score: score(task, worker) };
 		if (
 			best === undefined ||
-			rated.score < best.score ||
-			(rated.score === best.score && box.id < best.box.id)
+			scored.score < best.score ||
+			(scored.score === best.score && worker.id < best.box.id)
 		) {
-			best = rated;
+			best = scored;
 		}
 	}
 	if (best === undefined) return undefined;
-	const why = `score ${best.score.toFixed(3)}, best of ${candidates.length} that fit out of ${boxes.length}`;
+	const why = `score ${best.score.toFixed(3)}, best of ${candidates.length} that fit out of ${workers.length}`;
 	return { task: task.task, box: best.box.id, why };
 }
 
@@ -80,43 +96,52 @@
  * Has the fewest other batch tasks of one worker give way so that `task` fits there later, and keeps that room for
  * it among `later`, so that two urgent tasks never count on the same room. False if no worker can be cleared.
  */
-function makeRoom(task: types.Waiting, later: types.Box[], round: types.Round): boolean {
-	let best: { box: types.Box; victims: types.Resident[] } | undefined;
-	for (const box of later) {
-		if (box.closed !== undefined) continue;
-		const victims = victimsOn(task, box);
+function planEvictions(
+	task: types.PendingTask,
+	workersAfterEvictions: types.Worker[],
+	round: types.RoundResult,
+): boolean {
+	let best: { box: types.Worker; victims: types.Allocation[] } | undefined;
+	for (const worker of workersAfterEvictions) {
+		if (worker.closed !== undefined) continue;
+		const victims = victimsOn(task, worker);
 		if (victims === undefined) continue;
-		if (best === undefined || victims.length < best.victims.length) best = { box, victims };
+		if (best === undefined || victims.length < best.victims.length) best = { box: worker, victims };
 	}
 	if (best === undefined) return false;
-	const { box, victims } = best;
-	box.residents = [...box.residents.filter((resident) => !victims.includes(resident)), toResident(task)];
+	const { box: worker, victims } = best;
+	worker.allocations = [
+		...worker.allocations.filter((allocation) => !victims.includes(allocation)),
+		toAllocation(task),
+	];
 	const reason = `gives way to urgent ${task.task}`;
 	round.evictions.push(...victims.map((victim) => ({ task: victim.task, reason })));
 	return true;
 }
 
-function victimsOn(task: types.Waiting, box: types.Box): types.Resident[] | undefined {
-	const victims: types.Resident[] = [];
-	const left = { ...box };
-	const movable = box.residents
-		.filter((resident) => resident.kind === 'batch' && !resident.urgent)
-		.sort((a, b) => b.amount.cores - a.amount.cores || (a.task < b.task ? -1 : 1));
-	for (const resident of movable) {
-		if (fit.fits(task, left)) break;
-		left.residents = left.residents.filter((one) => one !== resident);
-		victims.push(resident);
+function victimsOn(task: types.PendingTask, worker: types.Worker): types.Allocation[] | undefined {
+	const victims: types.Allocation[] = [];
+	const remaining = { ...worker };
+	const evictable = worker.allocations
+		.filter((allocation) => allocation.kind === 'batch' && !allocation.urgent)
+		.sort((a, b) => b.resources.cores - a.resources.cores || (a.task < b.task ? -1 : 1));
+	for (const allocation of evictable) {
+		if (fit.fits(task, remaining)) break;
+		remaining.allocations = remaining.allocations.filter((one) => one !== allocation);
+		victims.push(allocation);
 	}
-	return fit.fits(task, left) ? victims : undefined;
+	return fit.fits(task, remaining) ? victims : undefined;
 }
 
-function whyNot(task: types.Waiting, boxes: types.Box[]): string {
-	const open = boxes.filter((box) => box.closed === undefined);
-	if (open.length === 0) {
-		const reasons = [...new Set(boxes.map((box) => box.closed))].join(', ');
-		return boxes.length === 0 ? 'no workers are listed' : `no worker takes work: ${reasons}`;
+function waitReason(task: types.PendingTask, workers: types.Worker[]): string {
+	const openWorkers = workers.filter((worker) => worker.closed === undefined);
+	if (openWorkers.length === 0) {
+		const reasons = [...new Set(workers.map((worker) => worker.closed))].join(', ');
+		return workers.length === 0 ? 'no workers are listed' : `no worker takes work: ${reasons}`;
 	}
-	const able = open.filter((box) => fit.couldHold(box.capacity, task.needs, task.maxShareOfBox));
-	if (able.length === 0) return `none of ${open.length} workers is large enough`;
-	return `waits for room on one of ${able.length} workers: needs ${task.needs.cores} cores and ${task.needs.memoryMb} MiB`;
+	const largeEnough = openWorkers.filter((worker) =>
+		fit.fitsWhenEmpty(worker.capacity, task.needs, task.maxShareOfBox),
+	);
+	if (largeEnough.length === 0) return `none of ${openWorkers.length} workers is large enough`;
+	return `waits for room on one of ${largeEnough.length} workers: needs ${task.needs.cores} cores and ${task.needs.memoryMb} MiB`;
 }
--- a/src/core/placement/types.ts
+++ b/src/core/placement/types.ts
@@ -2,34 +2,34 @@
 import type * as tasks from '../task/index.js';
 
 /** An amount of a worker. */
-export interface Amount {
+export interface Resources {
 	cores: number;
 	memoryMb: number;
 	accelerators: number;
 }
 
 /** A task that holds a place on a worker. */
-export interface Resident {
+export interface Allocation {
 	task: string;
 	job: string;
 	kind: 'service' | 'batch';
 	urgent: boolean;
 	/** Declared need, raised to the measured peak where that is larger. */
-	amount: Amount;
+	resources: Resources;
 }
 
 /** A worker as placement sees it. */
-export interface Box {
+export interface Worker {
 	id: string;
 	rack: string;
-	capacity: Amount;
-	residents: Resident[];
+	capacity: Resources;
+	allocations: Allocation[];
 	/** Why it takes no new work, if it takes none. */
 	closed?: string;
 }
 
 /** A task that waits for a place. */
-export interface Waiting {
+export interface PendingTask {
 	task: string;
 	job: string;
 	kind: 'service' | 'batch';
@@ -39,14 +39,14 @@
 	/** Workers on which it failed; taken only when nothing else fits. */
 	failedOn: readonly string[];
 	/** Wall milliseconds of submission. */
-	since: number;
+	waitingSince: number;
 }
 
 /** Rates a worker that fits; the lowest score is chosen. */
-export type Score = (task: Waiting, box: Box) => number;
+export type Score = (task: PendingTask, worker: Worker) => number;
 
 /** A place found. */
-export interface Place {
+export interface Placement {
 	task: string;
 	box: string;
 	/** For `explain`. */
@@ -54,8 +54,8 @@
 }
 
 /** What a round came to. */
-export interface Round {
-	places: Place[];
+export interface RoundResult {
+	placements: Placement[];
 	/** Tasks left waiting, with the reason. */
 	waiting: Map<string, string>;
 	/** Batch tasks to evict so that urgent work fits. */
--- a/src/core/scheduler/boxes.ts
+++ b/src/core/scheduler/boxes.ts
@@ -1,72 +1,72 @@
 /** Workers and tasks as placement wants them, from the state and the views. Pure. */
 import * as placement from '../placement/index.js';
-import * as silence from './silence.js';
+import * as reachability from './silence.js';
 import type * as shards from '../shard/index.js';
 import type * as types from './types.js';
 
 /** What the owner knows that decides whether a worker takes new work. */
-export interface BoxContext {
-	takeover: silence.Takeover;
-	waits: silence.WaitOptions;
+export interface AvailabilityContext {
+	takeover: reachability.Takeover;
+	timing: reachability.TimingOptions;
 	now: number;
 }
 
 /** The workers of the shard, with everything that holds a place on them. */
-export function boxesOf(
+export function placementWorkers(
 	state: shards.ShardState,
 	views: ReadonlyMap<string, types.WorkerView>,
-	ctx: BoxContext,
-): placement.Box[] {
-	const boxes = new Map<string, placement.Box>();
+	ctx: AvailabilityContext,
+): placement.Worker[] {
+	const workers = new Map<string, placement.Worker>();
 	for (const view of views.values()) {
 		const { id, rack, capacity } = view.listed;
-		boxes.set(id, { id, rack, capacity, residents: [], closed: closedWhy(state, view, ctx) });
+		workers.set(id, { id, rack, capacity, allocations: [], closed: closedReason(state, view, ctx) });
 	}
 	for (const task of state.tasks.values()) {
-		if (task.worker !== undefined) addResident(state, boxes, views, task, task.worker);
-		for (const place of task.held) addResident(state, boxes, views, task, place.worker);
+		if (task.worker !== undefined) addAllocation(state, workers, views, task, task.worker);
+		for (const held of task.held) addAllocation(state, workers, views, task, held.worker);
 	}
-	for (const view of views.values()) addStrays(state, boxes, view);
-	return [...boxes.values()];
+	for (const view of views.values()) addOrphanedRuns(state, workers, view);
+	return [...workers.values()];
 }
 
 /** Whether a task may hold a place on a worker. */
-export function mayHoldPlace(state: shards.ShardState, worker: string): boolean {
+export function mayHoldPlacement(state: shards.ShardState, worker: string): boolean {
 	const all = [...state.tasks.values()];
-	return all.some((task) => task.worker === worker || task.held.some((place) => place.worker === worker));
+	return all.some((task) => task.worker === worker || task.held.some((held) => held.worker === worker));
 }
 
 /** Attempts that run on a worker although the log places nothing there: they fill it until they have stopped. */
-function addStrays(
+function addOrphanedRuns(
 	state: shards.ShardState,
-	boxes: Map<string, placement.Box>,
+	workers: Map<string, placement.Worker>,
 	view: types.WorkerView,
 ): void {
 	const worker = view.listed.id;
 	for (const report of view.reports.values()) {
 		if (report.state !== 'running') continue;
 		const task = state.tasks.get(report.task);
-		const placed = task?.worker === worker || task?.held.some((place) => place.worker === worker);
-		if (placed) continue;
-		boxes.get(worker)?.residents.push({
+		const isPlacedHere = task?.worker === worker || task?.held.some((held) => held.worker === worker);
+		if (isPlacedHere) continue;
+		workers.get(worker)?.allocations.push({
 			task: report.task,
 			job: report.task.replace(/\/\d+$/, ''),
 			kind: 'service',
 			urgent: false,
-			amount: { cores: report.usage?.cores ?? 0, memoryMb: report.usage?.memoryMb ?? 0, accelerators: 0 },
+			resources: { cores: report.usage?.cores ?? 0, memoryMb: report.usage?.memoryMb ?? 0, accelerators: 0 },
 		});
 	}
 }
 
 /** Tasks that wait for a place. */
-export function waitingOf(state: shards.ShardState): placement.Waiting[] {
-	const waiting: placement.Waiting[] = [];
+export function pendingTasks(state: shards.ShardState): placement.PendingTask[] {
+	const pending: placement.PendingTask[] = [];
 	for (const task of state.tasks.values()) {
 		if (task.state !== 'pending') continue;
 		const job = state.jobs.get(task.job);
 		if (job === undefined) continue;
 		const { spec } = job.part;
-		waiting.push({
+		pending.push({
 			task: task.id,
 			job: task.job,
 			kind: spec.kind,
@@ -74,36 +74,46 @@
 			needs: spec.needs,
 			maxShareOfBox: spec.maxShareOfBox,
 			failedOn: task.failures.map((failure) => failure.worker),
-			since: job.submittedAt,
+			waitingSince: job.submittedAt,
 		});
 	}
-	return waiting;
+	return pending;
 }
 
-function closedWhy(state: shards.ShardState, view: types.WorkerView, ctx: BoxContext): string | undefined {
-	if (!view.present) return 'no longer listed';
+function closedReason(
+	state: shards.ShardState,
+	view: types.WorkerView,
+	ctx: AvailabilityContext,
+): string | undefined {
+	if (!view.isListed) return 'no longer listed';
 	if (view.listed.leaving) return 'leaving';
 	if (state.quarantined.has(view.listed.id)) return 'in quarantine';
 	if (!view.fenced || view.incarnation === undefined) return 'not reached yet';
-	if (silence.isUnreachable(view, ctx.takeover, ctx.waits, ctx.now)) return 'unreachable';
+	if (reachability.isUnreachable(view, ctx.takeover, ctx.timing, ctx.now)) return 'unreachable';
 	return undefined;
 }
 
-function addResident(
+function addAllocation(
 	state: shards.ShardState,
-	boxes: Map<string, placement.Box>,
+	workers: Map<string, placement.Worker>,
 	views: ReadonlyMap<string, types.WorkerView>,
 	task: shards.TaskRecord,
 	worker: string,
 ): void {
 	const spec = state.jobs.get(task.job)?.part.spec;
-	const box = boxes.get(worker);
-	if (spec === undefined || box === undefined) return;
-	const peak = views.get(worker)?.peaks.get(task.id);
-	const amount = {
-		cores: Math.max(spec.needs.cores, peak?.cores ?? 0),
-		memoryMb: Math.max(spec.needs.memoryMb, peak?.memoryMb ?? 0),
+	const target = workers.get(worker);
+	if (spec === undefined || target === undefined) return;
+	const peakUsage = views.get(worker)?.peakUsage.get(task.id);
+	const resources = {
+		cores: Math.max(spec.needs.cores, peakUsage?.cores ?? 0),
+		memoryMb: Math.max(spec.needs.memoryMb, peakUsage?.memoryMb ?? 0),
 		accelerators: spec.needs.accelerators,
 	};
-	box.residents.push({ task: task.id, job: task.job, kind: spec.kind, urgent: spec.urgent, amount });
+	target.allocations.push({
+		task: task.id,
+		job: task.job,
+		kind: spec.kind,
+		urgent: spec.urgent,
+		resources,
+	});
 }
--- a/src/core/scheduler/claim-answers.ts
+++ b/src/core/scheduler/claim-answers.ts
@@ -22,7 +22,7 @@
 	}
 
 	/** Holds the answer that a request brings, if it brings one. */
-	hold(req: requests.ShardReq): void {
+	noteAnswer(req: requests.ShardReq): void {
 		if (req.type !== 'claim.end' || req.answer === undefined) return;
 		this.answers.set(req.key, req.answer);
 		const oldest = this.answers.keys().next().value;
--- a/src/core/scheduler/commands.ts
+++ b/src/core/scheduler/commands.ts
@@ -4,7 +4,7 @@
 import type * as workers from '../worker/index.js';
 
 /** What the owner wants of running tasks beyond the log; forgotten when the owner changes. */
-export interface Wishes {
+export interface TaskAdjustments {
 	/** Tasks told to checkpoint and give way, with the reason. */
 	evictions: ReadonlyMap<string, string>;
 	/** Part of the declared cores that a task may use. */
@@ -12,7 +12,7 @@
 }
 
 /** One message's content. */
-export interface Orders {
+export interface MessageContent {
 	renew: { task: string; attempt: number }[];
 	commands: workers.Command[];
 }
@@ -22,47 +22,48 @@
  * With `mayRenew` false (past the horizon) no lease is renewed, nothing is started, and batch work is told to
  * checkpoint and stop, so that little is lost when its lease ends.
  */
-export function ordersFor(
+export function composeContent(
 	state: shards.ShardState,
 	view: types.WorkerView,
-	wishes: Wishes,
+	adjustments: TaskAdjustments,
 	uncommitted: ReadonlySet<string>,
 	mayRenew: boolean,
 	notAfter: number,
-): Orders {
-	const orders: Orders = { renew: [], commands: [] };
+): MessageContent {
+	const content: MessageContent = { renew: [], commands: [] };
 	for (const task of state.tasks.values()) {
-		const here = task.worker === view.listed.id && task.incarnation === view.incarnation;
-		if (!here || uncommitted.has(task.id)) continue;
-		placedOrders(orders, state, task, view, wishes, mayRenew, notAfter);
+		const isPlacedHere = task.worker === view.listed.id && task.incarnation === view.incarnation;
+		if (!isPlacedHere || uncommitted.has(task.id)) continue;
+		addPlacedTaskCommands(content, state, task, view, adjustments, mayRenew, notAfter);
 	}
 	for (const report of view.reports.values()) {
-		if (!uncommitted.has(report.task)) strayOrders(orders, state, report, view);
+		if (!uncommitted.has(report.task)) addOrphanCommands(content, state, report, view);
 	}
-	return orders;
+	return content;
 }
 
 /** Workers that have something to do because of changes that were committed. */
-export function workersToTell(state: shards.ShardState, changes: readonly shards.Change[]): Set<string> {
-	const told = new Set<string>();
+export function workersToNotify(state: shards.ShardState, changes: readonly shards.Change[]): Set<string> {
+	const affected = new Set<string>();
 	for (const change of changes) {
-		if (change.type === 'task.placed') told.add(change.worker);
-		if (change.type === 'job.cancelled') for (const worker of workersOf(state, change.job)) told.add(worker);
+		if (change.type === 'task.placed') affected.add(change.worker);
+		if (change.type === 'job.cancelled')
+			for (const worker of workersOfJob(state, change.job)) affected.add(worker);
 	}
-	return told;
+	return affected;
 }
 
 /** Workers on which a job's tasks are placed. */
-function workersOf(state: shards.ShardState, job: string): string[] {
-	return shards.taskIdsOf(state, job).flatMap((id) => state.tasks.get(id)?.worker ?? []);
+function workersOfJob(state: shards.ShardState, job: string): string[] {
+	return shards.taskIdsOfJob(state, job).flatMap((id) => state.tasks.get(id)?.worker ?? []);
 }
 
-function placedOrders(
-	orders: Orders,
+function addPlacedTaskCommands(
+	content: MessageContent,
 	state: shards.ShardState,
 	task: shards.TaskRecord,
 	view: types.WorkerView,
-	wishes: Wishes,
+	adjustments: TaskAdjustments,
 	mayRenew: boolean,
 	notAfter: number,
 ): void {
@@ -71,43 +72,43 @@
 	const { spec } = job.part;
 	const ref = { task: task.id, attempt: task.attempt };
 	const report = view.reports.get(task.id);
-	const known = report?.attempt === task.attempt;
+	const isReported = report?.attempt === task.attempt;
 	if (task.state === 'stopping') {
-		if (known && report.state === 'running') orders.commands.push({ type: 'stop', ...ref });
+		if (isReported && report.state === 'running') content.commands.push({ type: 'stop', ...ref });
 		return;
 	}
-	if (!known) {
+	if (!isReported) {
 		if (!mayRenew) return;
 		const { kind, needs, run } = spec;
 		const { checkpoint } = task;
-		orders.commands.push({ type: 'start', ...ref, kind, needs, run, checkpoint, notAfter });
+		content.commands.push({ type: 'start', ...ref, kind, needs, run, checkpoint, notAfter });
 		return;
 	}
 	if (report.state !== 'running') return;
 	const pastHorizon = spec.kind === 'batch' && !mayRenew;
-	if (pastHorizon || wishes.evictions.has(task.id)) {
-		orders.commands.push({ type: 'stop', ...ref });
+	if (pastHorizon || adjustments.evictions.has(task.id)) {
+		content.commands.push({ type: 'stop', ...ref });
 		return;
 	}
-	if (spec.kind === 'batch') orders.renew.push(ref);
-	const share = wishes.throttles.get(task.id) ?? 1;
-	const last = view.throttled.get(types.attemptKey(task.id, task.attempt)) ?? 1;
-	if (share !== last) orders.commands.push({ type: 'throttle', ...ref, share });
+	if (spec.kind === 'batch') content.renew.push(ref);
+	const share = adjustments.throttles.get(task.id) ?? 1;
+	const lastShare = view.sentShares.get(types.attemptKey(task.id, task.attempt)) ?? 1;
+	if (share !== lastShare) content.commands.push({ type: 'throttle', ...ref, share });
 }
 
 /** Attempts on the worker that the log does not place there: stopped, or forgotten once they have ended. */
-function strayOrders(
-	orders: Orders,
+function addOrphanCommands(
+	content: MessageContent,
 	state: shards.ShardState,
 	report: workers.TaskReport,
 	view: types.WorkerView,
 ): void {
 	const task = state.tasks.get(report.task);
-	const current =
+	const isCurrent =
 		task?.worker === view.listed.id &&
 		task.incarnation === view.incarnation &&
 		task.attempt === report.attempt;
-	if (current) return;
+	if (isCurrent) return;
 	const type = report.state === 'running' ? 'stop' : 'forget';
-	orders.commands.push({ type, task: report.task, attempt: report.attempt });
+	content.commands.push({ type, task: report.task, attempt: report.attempt });
 }
--- a/src/core/scheduler/contacts.ts
+++ b/src/core/scheduler/contacts.ts
@@ -1,6 +1,6 @@
 /** A shard's workers as its owner reaches them: one link and one view a worker, messages composed and answers taken in. */
-import * as links from './link.js';
-import * as silence from './silence.js';
+import * as exchangeLoops from './link.js';
+import * as reachability from './silence.js';
 import * as types from './types.js';
 import type * as clocks from '../clock.js';
 import type * as commands from './commands.js';
@@ -9,7 +9,7 @@
 import type * as workers from '../worker/index.js';
 
 /** What the contacts need of the owner. */
-export interface ContactDeps {
+export interface WorkerExchangesDeps {
 	shard: string;
 	clock: clocks.Clock;
 	events: events.EventLog;
@@ -18,64 +18,64 @@
 	metrics: { exchanges: number; starts: number };
 	epoch: () => number;
 	/** What to tell a worker; `until` is the end of leases given now, on the worker's clock. */
-	orders: (view: types.WorkerView, until: number) => commands.Orders;
+	contentFor: (view: types.WorkerView, until: number) => commands.MessageContent;
 	/** Whether a task may hold a place on the worker. */
-	mayHoldPlace: (worker: string) => boolean;
+	mayHoldPlacement: (worker: string) => boolean;
 	/** A report came that may call for a decision before the next tick. */
-	onNews: () => void;
+	onDecisionNeeded: () => void;
 	/** A worker has seen a newer epoch than this owner's. */
 	onNewerEpoch: () => void;
 }
 
 /** The links and views of one shard. */
-export class WorkerContacts {
+export class WorkerExchanges {
 	readonly views = new Map<string, types.WorkerView>();
-	private readonly links = new Map<string, links.WorkerLink>();
+	private readonly loops = new Map<string, exchangeLoops.ExchangeLoop>();
 	private seq = 0;
 
-	private constructor(private readonly deps: ContactDeps) {}
+	private constructor(private readonly deps: WorkerExchangesDeps) {}
 
-	static create(deps: ContactDeps): WorkerContacts {
-		return new WorkerContacts(deps);
+	static create(deps: WorkerExchangesDeps): WorkerExchanges {
+		return new WorkerExchanges(deps);
 	}
 
 	/** The platform's newest list of the shard's workers. */
 	setWorkers(listed: types.ListedWorker[]): void {
 		const ids = new Set(listed.map((one) => one.id));
 		for (const view of this.views.values()) {
-			if (!ids.has(view.listed.id)) this.dropListed(view);
+			if (!ids.has(view.listed.id)) this.noteUnlisted(view);
 		}
 		for (const one of listed) {
-			const known = this.views.get(one.id);
-			if (known?.listed.address === one.address) {
-				known.listed = one;
-				known.present = true;
+			const knownView = this.views.get(one.id);
+			if (knownView?.listed.address === one.address) {
+				knownView.listed = one;
+				knownView.isListed = true;
 			} else {
-				this.addWorker(one, known);
+				this.addWorker(one, knownView);
 			}
 		}
 	}
 
 	/** Sends a worker its orders as soon as no message to it is in flight. */
-	kick(worker: string): void {
-		this.links.get(worker)?.kick();
+	triggerExchange(worker: string): void {
+		this.loops.get(worker)?.trigger();
 	}
 
 	/** Sends nothing more; resolves once no message is in flight. */
 	async stop(): Promise<void> {
-		const stopping = [...this.links.values()].map((link) => link.stop());
-		this.links.clear();
+		const stopping = [...this.loops.values()].map((loop) => loop.stop());
+		this.loops.clear();
 		await Promise.all(stopping);
 	}
 
-	private addWorker(listed: types.ListedWorker, known: types.WorkerView | undefined): void {
-		void this.links.get(listed.id)?.stop();
+	private addWorker(listed: types.ListedWorker, knownView: types.WorkerView | undefined): void {
+		void this.loops.get(listed.id)?.stop();
 		// The same box under another address keeps what is known of its leases.
-		const view = known ?? types.newView(listed);
+		const view = knownView ?? types.newWorkerView(listed);
 		view.listed = listed;
-		view.present = true;
+		view.isListed = true;
 		this.views.set(listed.id, view);
-		const link = links.WorkerLink.create({
+		const loop = exchangeLoops.ExchangeLoop.create({
 			address: listed.address,
 			heartbeatMs: this.deps.opts.heartbeatMs,
 			clock: this.deps.clock,
@@ -85,16 +85,16 @@
 				this.onAnswer(view, req, res);
 			},
 		});
-		this.links.set(listed.id, link);
+		this.loops.set(listed.id, loop);
 	}
 
 	/** The list alone proves nothing: a worker that left it stays in view while tasks may hold places on it. */
-	private dropListed(view: types.WorkerView): void {
-		view.present = false;
+	private noteUnlisted(view: types.WorkerView): void {
+		view.isListed = false;
 		const { id } = view.listed;
-		if (this.deps.mayHoldPlace(id)) return;
-		void this.links.get(id)?.stop();
-		this.links.delete(id);
+		if (this.deps.mayHoldPlacement(id)) return;
+		void this.loops.get(id)?.stop();
+		this.loops.delete(id);
 		this.views.delete(id);
 	}
 
@@ -104,16 +104,16 @@
 		metrics.exchanges += 1;
 		const base = { shard, epoch: this.deps.epoch(), seq: this.seq };
 		if (!view.fenced || view.incarnation === undefined) return { ...base, commands: [] };
-		const until = view.workerNow + opts.leaseMs;
-		const orders = this.deps.orders(view, until);
-		const starts = orders.commands.filter((command) => command.type === 'start');
-		for (const start of starts) view.startSeq.set(types.attemptKey(start.task, start.attempt), this.seq);
+		const until = view.workerClockAtAnswer + opts.leaseMs;
+		const content = this.deps.contentFor(view, until);
+		const starts = content.commands.filter((command) => command.type === 'start');
+		for (const start of starts) view.lastStartSeq.set(types.attemptKey(start.task, start.attempt), this.seq);
 		metrics.starts += starts.length;
-		if (orders.renew.length + starts.length > 0) {
-			view.leaseEndsBy = Math.max(view.leaseEndsBy, view.answeredAt + silence.leaseSpan(opts));
+		if (content.renew.length + starts.length > 0) {
+			view.leaseEndsBy = Math.max(view.leaseEndsBy, view.lastAnswerAt + reachability.maxLeaseMs(opts));
 		}
-		const renew = orders.renew.length > 0 ? { until, tasks: orders.renew } : undefined;
-		return { ...base, incarnation: view.incarnation, renew, commands: orders.commands };
+		const renew = content.renew.length > 0 ? { until, tasks: content.renew } : undefined;
+		return { ...base, incarnation: view.incarnation, renew, commands: content.commands };
 	}
 
 	private onAnswer(
@@ -129,24 +129,24 @@
 	private accepted(view: types.WorkerView, req: workers.ExchangeReq, answer: workers.ExchangeRes): void {
 		const { clock, opts, shard } = this.deps;
 		const now = clock.now();
-		const first = !view.fenced || view.incarnation !== answer.incarnation;
+		const isFirstAnswer = !view.fenced || view.incarnation !== answer.incarnation;
 		const worker = view.listed.id;
 		// Leases that an owner before gave end by then: none of its messages is accepted any more.
-		if (first) view.leaseEndsBy = Math.max(view.leaseEndsBy, now + silence.leaseSpan(opts));
-		if (first || view.unreachable) {
+		if (isFirstAnswer) view.leaseEndsBy = Math.max(view.leaseEndsBy, now + reachability.maxLeaseMs(opts));
+		if (isFirstAnswer || view.isUnreachableLogged) {
 			this.deps.events.emit('worker.reached', { shard, worker, incarnation: answer.incarnation });
 		}
-		view.unreachable = false;
+		view.isUnreachableLogged = false;
 		view.fenced = true;
 		view.incarnation = answer.incarnation;
-		view.answeredAt = now;
-		view.workerNow = answer.now;
-		view.answeredSeq = req.seq;
-		view.fresh = true;
-		noteThrottles(view, req);
-		this.takeReports(view, answer.tasks);
-		if (first || answer.tasks.some((one) => one.state !== 'running')) this.deps.onNews();
-		if (first) this.kick(worker);
+		view.lastAnswerAt = now;
+		view.workerClockAtAnswer = answer.now;
+		view.lastAcceptedSeq = req.seq;
+		view.hasNewAnswer = true;
+		noteThrottleShares(view, req);
+		this.applyReports(view, answer.tasks);
+		if (isFirstAnswer || answer.tasks.some((one) => one.state !== 'running')) this.deps.onDecisionNeeded();
+		if (isFirstAnswer) this.triggerExchange(worker);
 	}
 
 	/** The worker has seen a newer epoch, or has another incarnation than the message was for. */
@@ -156,39 +156,44 @@
 			return;
 		}
 		view.fenced = false;
-		this.kick(view.listed.id);
+		this.triggerExchange(view.listed.id);
 	}
 
-	private takeReports(view: types.WorkerView, reported: workers.TaskReport[]): void {
-		const before = view.reports;
+	private applyReports(view: types.WorkerView, reported: workers.TaskReport[]): void {
+		const previous = view.reports;
 		view.reports = new Map(reported.map((one) => [one.task, one]));
 		for (const one of reported) {
-			const old = before.get(one.task);
-			const fresh = old?.attempt !== one.attempt || old.state !== 'running';
-			if (one.state === 'running' && fresh) this.noteRunning(view, one);
-			if (one.usage !== undefined) notePeak(view, one.task, one.usage);
+			const previousReport = previous.get(one.task);
+			const isNewRun = previousReport?.attempt !== one.attempt || previousReport.state !== 'running';
+			if (one.state === 'running' && isNewRun) this.logRunning(view, one);
+			if (one.usage !== undefined) notePeakUsage(view, one.task, one.usage);
 		}
-		for (const task of view.peaks.keys()) if (!view.reports.has(task)) view.peaks.delete(task);
+		for (const task of view.peakUsage.keys()) if (!view.reports.has(task)) view.peakUsage.delete(task);
 		// A start up to the answered exchange has arrived or never will.
-		for (const [key, seq] of view.startSeq) if (seq <= view.answeredSeq) view.startSeq.delete(key);
+		for (const [key, seq] of view.lastStartSeq)
+			if (seq <= view.lastAcceptedSeq) view.lastStartSeq.delete(key);
 	}
 
-	private noteRunning(view: types.WorkerView, one: workers.TaskReport): void {
+	private logRunning(view: types.WorkerView, one: workers.TaskReport): void {
 		const { shard, events: log } = this.deps;
 		log.emit('task.running', { shard, task: one.task, attempt: one.attempt, worker: view.listed.id });
 	}
 }
 
-function noteThrottles(view: types.WorkerView, req: workers.ExchangeReq): void {
+function noteThrottleShares(view: types.WorkerView, req: workers.ExchangeReq): void {
 	for (const command of req.commands) {
 		if (command.type !== 'throttle') continue;
-		view.throttled.set(types.attemptKey(command.task, command.attempt), command.share);
+		view.sentShares.set(types.attemptKey(command.task, command.attempt), command.share);
 	}
 }
 
-function notePeak(view: types.WorkerView, task: string, usage: { cores: number; memoryMb: number }): void {
-	const peak = view.peaks.get(task);
-	view.peaks.set(task, {
+function notePeakUsage(
+	view: types.WorkerView,
+	task: string,
+	usage: { cores: number; memoryMb: number },
+): void {
+	const peak = view.peakUsage.get(task);
+	view.peakUsage.set(task, {
 		cores: Math.max(peak?.cores ?? 0, usage.cores),
 		memoryMb: Math.max(peak?.memoryMb ?? 0, usage.memoryMb),
 	});
--- a/src/core/scheduler/decider.ts
+++ b/src/core/scheduler/decider.ts
@@ -1,41 +1,41 @@
 /** Decides for one shard: requests, reports, silence and free places become the changes of one entry. */
 import * as batches from './batch.js';
-import * as boxes from './boxes.js';
-import * as forgetting from './forgetting.js';
-import * as reports from './reports.js';
+import * as placementInput from './boxes.js';
+import * as retentionSchedules from './forgetting.js';
+import * as workerReports from './reports.js';
 import * as requests from './requests.js';
-import * as silence from './silence.js';
+import * as reachability from './silence.js';
 import type * as claimAnswers from './claim-answers.js';
 import type * as horizons from './horizon.js';
-import type * as owners from './owner-deps.js';
+import type * as ownerDeps from './owner-deps.js';
 import type * as placement from '../placement/index.js';
-import type * as placing from './placing.js';
+import type * as placers from './placing.js';
 import type * as shards from '../shard/index.js';
 import type * as types from './types.js';
 import type * as uncommitted from './uncommitted.js';
-import type * as waiting from './request-queue.js';
+import type * as requestQueue from './request-queue.js';
 
 /** What decisions are made from, and what they have an effect on. */
 export interface DeciderDeps {
-	owner: Pick<owners.OwnerDeps, 'shard' | 'clock' | 'events' | 'opts' | 'nextShard' | 'holderGone'>;
+	owner: Pick<ownerDeps.OwnerDeps, 'shard' | 'clock' | 'events' | 'opts' | 'nextShard' | 'holderGone'>;
 	state: shards.ShardState;
-	takeover: silence.Takeover;
+	takeover: reachability.Takeover;
 	views: ReadonlyMap<string, types.WorkerView>;
 	answers: claimAnswers.ClaimAnswers;
 	horizon: horizons.Horizon;
-	placing: placing.Placing;
+	placer: placers.Placer;
 	uncommitted: uncommitted.Uncommitted;
 }
 
 /** The decisions of one shard. */
 export class Decider {
 	/** Whether the platform's list of workers has been read. */
-	listRead = false;
-	private readonly forgetting: forgetting.Forgetting;
+	isWorkerListRead = false;
+	private readonly retention: retentionSchedules.RetentionSchedule;
 
 	private constructor(private readonly deps: DeciderDeps) {
 		const { clock, opts } = deps.owner;
-		this.forgetting = forgetting.Forgetting.create(clock, opts);
+		this.retention = retentionSchedules.RetentionSchedule.create(clock, opts);
 	}
 
 	static create(deps: DeciderDeps): Decider {
@@ -43,62 +43,66 @@
 	}
 
 	/** Decides these requests, and whatever else there is to decide. */
-	decide(waiters: waiting.Waiter[]): batches.Batch {
-		const { owner, state, views, horizon, placing } = this.deps;
+	decide(queued: requestQueue.PendingRequest[]): batches.Batch {
+		const { owner, state, views, horizon, placer } = this.deps;
 		const batch = batches.Batch.create({ ...this.deps, clock: owner.clock });
-		for (const waiter of waiters) this.decideRequest(batch, waiter);
-		this.takeReports(batch);
-		batch.adopt(this.silenceChanges());
-		batch.adopt(reports.quarantineChanges(state, views, owner.opts.quarantineJobs));
-		batch.adopt(placing.round(state, this.boxes()));
-		batch.adopt(this.forgetting.round(state));
-		if (batch.changes.length === 0 && horizon.isBeatDue()) batch.adopt([{ type: 'beat' }]);
-		horizon.decided();
+		for (const request of queued) this.decideRequest(batch, request);
+		this.applyReports(batch);
+		batch.apply(this.unreachableChanges());
+		batch.apply(workerReports.quarantineChanges(state, views, owner.opts.quarantineAfterJobs));
+		batch.apply(placer.round(state, this.boxes()));
+		batch.apply(this.retention.changesDue(state));
+		if (batch.changes.length === 0 && horizon.isBeatDue()) batch.apply([{ type: 'beat' }]);
+		horizon.noteDecision();
 		return batch;
 	}
 
 	/** The workers as placement sees them now. */
-	boxes(): placement.Box[] {
+	boxes(): placement.Worker[] {
 		const { owner, state, takeover, views } = this.deps;
-		return boxes.boxesOf(state, views, { takeover, waits: owner.opts, now: owner.clock.now() });
+		return placementInput.placementWorkers(state, views, {
+			takeover,
+			timing: owner.opts,
+			now: owner.clock.now(),
+		});
 	}
 
-	private decideRequest(batch: batches.Batch, waiter: waiting.Waiter): void {
+	private decideRequest(batch: batches.Batch, request: requestQueue.PendingRequest): void {
 		const { owner, state, views, answers } = this.deps;
-		const decision = requests.decideRequest(state, waiter.req, {
+		const decision = requests.decideRequest(state, request.req, {
 			views,
-			listRead: this.listRead,
+			isWorkerListRead: this.isWorkerListRead,
 			nextShard: owner.nextShard,
 			answers: answers.byKey,
 			holderGone: owner.holderGone,
 		});
-		batch.adopt(decision.changes);
-		batch.reply(waiter, decision.reply);
+		batch.apply(decision.changes);
+		batch.reply(request, decision.reply);
 	}
 
-	private takeReports(batch: batches.Batch): void {
+	private applyReports(batch: batches.Batch): void {
 		const { state, views } = this.deps;
-		const byWorker = reports.tasksByWorker(state);
+		const byWorker = workerReports.tasksByWorker(state);
 		for (const view of views.values()) {
-			if (!view.fresh) continue;
-			view.fresh = false;
-			batch.adopt(reports.reportChanges(state, view, byWorker.get(view.listed.id) ?? []));
+			if (!view.hasNewAnswer) continue;
+			view.hasNewAnswer = false;
+			batch.apply(workerReports.changesFromReport(state, view, byWorker.get(view.listed.id) ?? []));
 		}
 	}
 
-	private silenceChanges(): shards.Change[] {
+	private unreachableChanges(): shards.Change[] {
 		const { owner, state, takeover, views } = this.deps;
 		const now = owner.clock.now();
 		return [...views.values()].flatMap((view) => {
-			this.noteSilence(view, now);
-			return silence.silenceChanges(state, view, takeover, owner.opts, now);
+			this.logUnreachable(view, now);
+			return reachability.unreachableChanges(state, view, takeover, owner.opts, now);
 		});
 	}
 
-	private noteSilence(view: types.WorkerView, now: number): void {
+	private logUnreachable(view: types.WorkerView, now: number): void {
 		const { owner, takeover } = this.deps;
-		if (view.unreachable || !silence.isUnreachable(view, takeover, owner.opts, now)) return;
-		view.unreachable = true;
+		if (view.isUnreachableLogged || !reachability.isUnreachable(view, takeover, owner.opts, now)) return;
+		view.isUnreachableLogged = true;
 		owner.events.emit('worker.unreachable', { shard: owner.shard, worker: view.listed.id });
 	}
 }
--- a/src/core/scheduler/effects.ts
+++ b/src/core/scheduler/effects.ts
@@ -17,34 +17,34 @@
 			log.emit('job.cancelled', { shard, job: change.job });
 			return;
 		case 'task.placed':
-			log.emit('task.placed', { ...attempt(shard, change), worker: change.worker, reason: change.why });
+			log.emit('task.placed', { ...attemptFields(shard, change), worker: change.worker, reason: change.why });
 			return;
 		case 'task.finished':
-			log.emit('task.finished', attempt(shard, change));
+			log.emit('task.finished', attemptFields(shard, change));
 			return;
 		case 'task.failed':
 			log.emit('task.failed', {
-				...attempt(shard, change),
+				...attemptFields(shard, change),
 				reason: change.reason,
 				final: String(change.final),
 			});
 			return;
 		case 'task.evicted':
 			log.emit('task.evicted', {
-				...attempt(shard, change),
+				...attemptFields(shard, change),
 				reason: change.reason,
 				checkpoint: change.checkpoint,
 			});
 			return;
 		case 'task.lost':
 			log.emit('task.lost', {
-				...attempt(shard, change),
+				...attemptFields(shard, change),
 				reason: change.proof,
 				checkpoint: change.checkpoint,
 			});
 			return;
 		case 'task.stopped':
-			log.emit('task.stopped', attempt(shard, change));
+			log.emit('task.stopped', attemptFields(shard, change));
 			return;
 		case 'worker.quarantined':
 			log.emit('worker.quarantined', { shard, worker: change.worker, reason: change.evidence.join(' ') });
@@ -58,7 +58,7 @@
 }
 
 /** Logs the jobs that ended with a committed entry. */
-export function logEnded(
+export function logEndedJobs(
 	log: events.EventLog,
 	shard: string,
 	changes: shards.Change[],
@@ -74,7 +74,7 @@
 	}
 }
 
-function attempt(shard: string, change: { task: string; attempt: number }): events.EventFields {
+function attemptFields(shard: string, change: { task: string; attempt: number }): events.EventFields {
 	return { shard, task: change.task, attempt: change.attempt, job: change.task.replace(/\/\d+$/, '') };
 }
 
--- a/src/core/scheduler/forgetting.ts
+++ b/src/core/scheduler/forgetting.ts
@@ -4,35 +4,35 @@
 import type * as clocks from '../clock.js';
 
 /** How often it is looked for what has been kept long enough, in milliseconds. */
-const lookMs = 60_000;
+const checkIntervalMs = 60_000;
 
 /** How long things are kept, in milliseconds. */
-export interface KeepOptions {
+export interface RetentionOptions {
 	keepEndedMs: number;
 	keepClaimsMs: number;
 }
 
 /** The forgetting of one shard. */
-export class Forgetting {
-	private lookedAt = -Infinity;
+export class RetentionSchedule {
+	private lastCheckAt = -Infinity;
 
 	private constructor(
 		private readonly clock: clocks.Clock,
-		private readonly opts: KeepOptions,
+		private readonly opts: RetentionOptions,
 	) {}
 
-	static create(clock: clocks.Clock, opts: KeepOptions): Forgetting {
-		return new Forgetting(clock, opts);
+	static create(clock: clocks.Clock, opts: RetentionOptions): RetentionSchedule {
+		return new RetentionSchedule(clock, opts);
 	}
 
 	/** Drops what has been kept long enough, ended jobs also when the snapshot grows large, the oldest first. */
-	round(state: shards.ShardState): shards.Change[] {
+	changesDue(state: shards.ShardState): shards.Change[] {
 		const now = this.clock.now();
-		const tight = shards.stateBytes(state) > shards.tightStateBytes;
-		if (!tight && now - this.lookedAt < lookMs) return [];
-		this.lookedAt = now;
+		const isLarge = shards.stateBytes(state) > shards.earlyDropStateBytes;
+		if (!isLarge && now - this.lastCheckAt < checkIntervalMs) return [];
+		this.lastCheckAt = now;
 		const wall = this.clock.wall();
-		const endedBefore = tight ? wall : wall - this.opts.keepEndedMs;
+		const endedBefore = isLarge ? wall : wall - this.opts.keepEndedMs;
 		const claimsBefore = wall - this.opts.keepClaimsMs;
 		return [...retention.droppedJobs(state, endedBefore), ...retention.expiredClaims(state, claimsBefore)];
 	}
--- a/src/core/scheduler/horizon.ts
+++ b/src/core/scheduler/horizon.ts
@@ -3,7 +3,7 @@
 import type * as events from '../events/index.js';
 
 /** Beats in a horizon, at least: one that can't be stored leaves time for further tries. */
-const beatsPerHorizon = 3;
+const minBeatsPerHorizon = 3;
 
 /** What the horizon needs of its owner. */
 export interface HorizonDeps {
@@ -18,7 +18,7 @@
 /** The renewal horizon of one shard. */
 export class Horizon {
 	private isPast = false;
-	private beatWanted = false;
+	private isBeatRequested = false;
 
 	private constructor(private readonly deps: HorizonDeps) {}
 
@@ -30,26 +30,26 @@
 	mayRenew(): boolean {
 		const { shard, clock, events: log, horizonMs, lastCommitSentAt } = this.deps;
 		const age = this.age();
-		const may = clocks.isFresh(clock, lastCommitSentAt(), horizonMs);
-		if (!may && !this.isPast) log.emit('shard.horizon', { shard, ageMs: Math.round(age) });
-		this.isPast = !may;
-		return may;
+		const mayRenewNow = clocks.isFresh(clock, lastCommitSentAt(), horizonMs);
+		if (!mayRenewNow && !this.isPast) log.emit('shard.horizon', { shard, ageMs: Math.round(age) });
+		this.isPast = !mayRenewNow;
+		return mayRenewNow;
 	}
 
 	/** The next decision is to be stored even if nothing changes: that shows whose epoch is in force. */
-	wantBeat(): void {
-		this.beatWanted = true;
+	requestBeat(): void {
+		this.isBeatRequested = true;
 	}
 
 	/** A decision was made: what was wanted has been seen to. */
-	decided(): void {
-		this.beatWanted = false;
+	noteDecision(): void {
+		this.isBeatRequested = false;
 	}
 
 	/** Whether an entry without changes is to be stored. */
 	isBeatDue(): boolean {
 		const { clock, horizonMs, lastCommitSentAt } = this.deps;
-		return this.beatWanted || !clocks.isFresh(clock, lastCommitSentAt(), horizonMs / beatsPerHorizon);
+		return this.isBeatRequested || !clocks.isFresh(clock, lastCommitSentAt(), horizonMs / minBeatsPerHorizon);
 	}
 
 	private age(): number {
--- a/src/core/scheduler/link.ts
+++ b/src/core/scheduler/link.ts
@@ -4,7 +4,7 @@
 import type * as workers from '../worker/index.js';
 
 /** What a link needs. */
-export interface LinkOptions {
+export interface ExchangeLoopOptions {
 	address: string;
 	heartbeatMs: number;
 	clock: clocks.Clock;
@@ -15,52 +15,52 @@
 }
 
 /** One worker's link. */
-export class WorkerLink {
+export class ExchangeLoop {
 	private timer: clocks.Timer | undefined;
-	private busy: Promise<void> | undefined;
-	private again = false;
+	private ongoing: Promise<void> | undefined;
+	private isExchangePending = false;
 	private stopped = false;
 
-	private constructor(private readonly opts: LinkOptions) {}
+	private constructor(private readonly opts: ExchangeLoopOptions) {}
 
 	/** Starts with a message at once. */
-	static create(opts: LinkOptions): WorkerLink {
-		const link = new WorkerLink(opts);
-		link.kick();
-		return link;
+	static create(opts: ExchangeLoopOptions): ExchangeLoop {
+		const loop = new ExchangeLoop(opts);
+		loop.trigger();
+		return loop;
 	}
 
 	/** Sends a message as soon as none is in flight. */
-	kick(): void {
+	trigger(): void {
 		if (this.stopped) return;
-		if (this.busy !== undefined) {
-			this.again = true;
+		if (this.ongoing !== undefined) {
+			this.isExchangePending = true;
 			return;
 		}
 		this.timer?.cancel();
-		this.busy = this.turn();
+		this.ongoing = this.exchangeOnce();
 	}
 
 	/** Sends nothing more; resolves once no message is in flight. */
 	async stop(): Promise<void> {
 		this.stopped = true;
 		this.timer?.cancel();
-		await this.busy;
+		await this.ongoing;
 	}
 
-	private async turn(): Promise<void> {
+	private async exchangeOnce(): Promise<void> {
 		const req = this.opts.compose();
 		const res = await this.opts.exchange(this.opts.address, req);
-		this.busy = undefined;
+		this.ongoing = undefined;
 		if (!this.stopped) this.opts.onAnswer(req, res);
-		if (this.again) {
-			this.again = false;
-			this.kick();
+		if (this.isExchangePending) {
+			this.isExchangePending = false;
+			this.trigger();
 			return;
 		}
 		if (!this.stopped) {
 			this.timer = this.opts.clock.after(this.opts.heartbeatMs, () => {
-				this.kick();
+				this.trigger();
 			});
 		}
 	}
--- a/src/core/scheduler/owner.ts
+++ b/src/core/scheduler/owner.ts
@@ -6,25 +6,25 @@
 import * as clocks from '../clock.js';
 import * as errors from '../errors/index.js';
 import * as results from '../result.js';
-import * as boxes from './boxes.js';
+import * as placementInput from './boxes.js';
 import * as claimAnswers from './claim-answers.js';
 import * as commands from './commands.js';
-import * as contacts from './contacts.js';
+import * as workerExchanges from './contacts.js';
 import * as deciders from './decider.js';
-import * as effects from './effects.js';
+import * as changeEvents from './effects.js';
 import * as horizons from './horizon.js';
-import * as placing from './placing.js';
-import * as report from './report.js';
-import * as taking from './taking.js';
+import * as placers from './placing.js';
+import * as statuses from './report.js';
+import * as takeovers from './taking.js';
 import * as tasks from '../task/index.js';
-import * as turns from './turns.js';
+import * as decisionTimers from './turns.js';
 import * as uncommitted from './uncommitted.js';
-import * as waiting from './request-queue.js';
+import * as requestQueue from './request-queue.js';
 import type * as batches from './batch.js';
-import type * as owners from './owner-deps.js';
+import type * as ownerDeps from './owner-deps.js';
 import type * as requests from './requests.js';
 import type * as shards from '../shard/index.js';
-import type * as silence from './silence.js';
+import type * as reachability from './silence.js';
 import type * as types from './types.js';
 
 type OwnerStage = 'owning' | 'releasing' | 'lost';
@@ -36,25 +36,25 @@
 
 /** One owned shard. */
 export class ShardOwner {
-	private readonly contacts: contacts.WorkerContacts;
-	private readonly queue: waiting.RequestQueue;
+	private readonly exchanges: workerExchanges.WorkerExchanges;
+	private readonly queue: requestQueue.RequestQueue;
 	private readonly uncommitted = uncommitted.Uncommitted.create();
 	private readonly answers = claimAnswers.ClaimAnswers.create();
-	private readonly placing: placing.Placing;
+	private readonly placer: placers.Placer;
 	private readonly horizon: horizons.Horizon;
-	private readonly turns: turns.Turns;
+	private readonly timer: decisionTimers.DecisionTimer;
 	private readonly decider: deciders.Decider;
 	private stage = ownerChart.initial;
 	private readonly loop: Promise<void>;
 
 	private constructor(
-		private readonly deps: owners.OwnerDeps,
+		private readonly deps: ownerDeps.OwnerDeps,
 		private readonly log: shards.ShardLog,
-		takeover: silence.Takeover,
+		takeover: reachability.Takeover,
 	) {
 		const { shard, clock, events, opts } = deps;
-		this.queue = waiting.RequestQueue.create(shard, clock, opts.requestWaitMs);
-		this.turns = turns.Turns.create(clock, opts.appendGapMs);
+		this.queue = requestQueue.RequestQueue.create(shard, clock, opts.requestTimeoutMs);
+		this.timer = decisionTimers.DecisionTimer.create(clock, opts.minAppendIntervalMs);
 		this.horizon = horizons.Horizon.create({
 			shard,
 			clock,
@@ -62,42 +62,42 @@
 			horizonMs: opts.horizonMs,
 			lastCommitSentAt: () => log.lastCommitSentAt,
 		});
-		this.placing = placing.Placing.create({
+		this.placer = placers.Placer.create({
 			score: deps.score,
-			incarnationOf: (worker) => this.contacts.views.get(worker)?.incarnation,
-			onEvicted: (worker) => {
-				this.contacts.kick(worker);
+			incarnationOf: (worker) => this.exchanges.views.get(worker)?.incarnation,
+			onEviction: (worker) => {
+				this.exchanges.triggerExchange(worker);
 			},
 		});
-		this.contacts = contacts.WorkerContacts.create({
+		this.exchanges = workerExchanges.WorkerExchanges.create({
 			...deps,
 			epoch: () => this.epoch,
-			orders: (view, until) => this.orders(view, until),
-			mayHoldPlace: (worker) => boxes.mayHoldPlace(log.state, worker),
-			onNews: () => {
-				this.turns.signal();
+			contentFor: (view, until) => this.contentFor(view, until),
+			mayHoldPlacement: (worker) => placementInput.mayHoldPlacement(log.state, worker),
+			onDecisionNeeded: () => {
+				this.timer.signal();
 			},
 			onNewerEpoch: () => {
-				this.horizon.wantBeat();
-				this.turns.signal();
+				this.horizon.requestBeat();
+				this.timer.signal();
 			},
 		});
 		this.decider = deciders.Decider.create({
 			owner: deps,
 			state: log.state,
 			takeover,
-			views: this.contacts.views,
+			views: this.exchanges.views,
 			answers: this.answers,
 			horizon: this.horizon,
-			placing: this.placing,
+			placer: this.placer,
 			uncommitted: this.uncommitted,
 		});
 		this.loop = this.run();
 	}
 
 	/** Reads the shard's log and takes it over under the next epoch. */
-	static async take(deps: owners.OwnerDeps): Promise<results.Result<ShardOwner, string>> {
-		const taken = await taking.takeShard(deps);
+	static async takeOver(deps: ownerDeps.OwnerDeps): Promise<results.Result<ShardOwner, string>> {
+		const taken = await takeovers.takeShard(deps);
 		return taken.ok ? results.ok(new ShardOwner(deps, taken.value.log, taken.value.takeover)) : taken;
 	}
 
@@ -107,56 +107,63 @@
 
 	/** The platform's newest list of this shard's workers. */
 	setWorkers(listed: types.ListedWorker[]): void {
-		this.decider.listRead = true;
-		this.contacts.setWorkers(listed);
-		this.turns.signal();
+		this.decider.isWorkerListRead = true;
+		this.exchanges.setWorkers(listed);
+		this.timer.signal();
 	}
 
 	/** Answers a request; waits for its entry where it needs one. */
 	request(req: requests.ShardReq): Promise<results.Result<unknown, errors.Failure>> {
 		if (this.stage !== 'owning') return Promise.resolve(results.fail(this.notOwner()));
-		this.answers.hold(req);
+		this.answers.noteAnswer(req);
 		const answered = this.queue.add(req);
-		this.turns.signal();
+		this.timer.signal();
 		return answered;
 	}
 
-	status(): report.ShardStatus {
+	status(): statuses.ShardStatus {
 		const { shard, owner, clock } = this.deps;
 		const { state } = this.log;
-		const { views } = this.contacts;
+		const { views } = this.exchanges;
 		return {
 			shard,
 			owner,
 			epoch: state.epoch,
 			entries: state.n,
-			jobs: report.jobStatuses(state, views, this.uncommitted.names),
-			workers: report.workerStatuses(this.decider.boxes(), views, clock.now()),
+			jobs: statuses.jobStatuses(state, views, this.uncommitted.ids),
+			workers: statuses.workerStatuses(this.decider.boxes(), views, clock.now()),
 		};
 	}
 
-	explain(task: string): report.TaskExplanation | undefined {
+	explain(task: string): statuses.TaskExplanation | undefined {
 		const { state } = this.log;
 		const record = state.tasks.get(task);
 		if (record === undefined) return undefined;
-		const { waitsFor } = this.placing;
-		return report.explainTask(this.deps.shard, record, this.contacts.views, waitsFor, this.uncommitted.names);
+		const { waitsFor } = this.placer;
+		return statuses.explainTask(
+			this.deps.shard,
+			record,
+			this.exchanges.views,
+			waitsFor,
+			this.uncommitted.ids,
+		);
 	}
 
 	/** Planned stop: gives no more orders, says so in the log, and resolves. */
 	async release(): Promise<void> {
 		if (!this.step('release')) return;
-		this.turns.signal();
+		this.timer.signal();
 		// An append may be under way while the platform is out; the stop does not wait for it for ever.
-		this.deps.clock.after(this.deps.opts.requestWaitMs, () => {
+		this.deps.clock.after(this.deps.opts.requestTimeoutMs, () => {
 			this.log.abandon();
 		});
 		await this.loop;
-		await this.contacts.stop();
+		await this.exchanges.stop();
 		if (this.stageNow() === 'lost') return;
 		const change: shards.Change = { type: 'shard.released' };
 		const outcome = await this.log.append(this.epoch, [change]);
-		if (outcome === 'committed') effects.logChange(this.deps.events, this.deps.shard, change, this.log.state);
+		if (outcome === 'committed')
+			changeEvents.logChange(this.deps.events, this.deps.shard, change, this.log.state);
 		this.step('released');
 	}
 
@@ -177,12 +184,12 @@
 		return errors.failure('NotOwner', this.deps.shard, { retryAfterMs: 500, run: 'not-run' });
 	}
 
-	private orders(view: types.WorkerView, until: number): commands.Orders {
-		return commands.ordersFor(
+	private contentFor(view: types.WorkerView, until: number): commands.MessageContent {
+		return commands.composeContent(
 			this.log.state,
 			view,
-			this.placing.wishes,
-			this.uncommitted.names,
+			this.placer.adjustments,
+			this.uncommitted.ids,
 			this.horizon.mayRenew(),
 			until,
 		);
@@ -190,16 +197,16 @@
 
 	private async run(): Promise<void> {
 		while (this.stage === 'owning') {
-			await this.turns.next();
+			await this.timer.waitForTurn();
 			if (this.stageNow() !== 'owning') break;
 			const batch = this.decider.decide(this.queue.take());
 			if (batch.changes.length === 0) {
 				this.answerAll(batch);
 				continue;
 			}
-			this.turns.noteAppend();
+			this.timer.noteAppend();
 			if (!(await this.commit(batch))) break;
-			await this.keepSnapshots();
+			await this.snapshotIfDue();
 		}
 		this.queue.refuseAll(this.notOwner());
 	}
@@ -209,7 +216,7 @@
 		const startedAt = clock.now();
 		const outcome = await this.log.append(this.epoch, batch.changes);
 		if (outcome !== 'committed') {
-			for (const { waiter } of batch.replies) this.queue.leaveOpen(waiter);
+			for (const { request } of batch.replies) this.queue.answerOutcomeUnknown(request);
 			this.loseShard();
 			return false;
 		}
@@ -218,18 +225,19 @@
 		metrics.recordCommitMs(clock.now() - startedAt);
 		this.uncommitted.clear();
 		for (const change of batch.changes)
-			effects.logChange(this.deps.events, this.deps.shard, change, this.log.state);
-		effects.logEnded(this.deps.events, this.deps.shard, batch.changes, this.log.state);
+			changeEvents.logChange(this.deps.events, this.deps.shard, change, this.log.state);
+		changeEvents.logEndedJobs(this.deps.events, this.deps.shard, batch.changes, this.log.state);
 		this.answerAll(batch);
-		for (const worker of commands.workersToTell(this.log.state, batch.changes)) this.contacts.kick(worker);
+		for (const worker of commands.workersToNotify(this.log.state, batch.changes))
+			this.exchanges.triggerExchange(worker);
 		return true;
 	}
 
-	private async keepSnapshots(): Promise<void> {
-		if (!this.log.snapshotDue) return;
+	private async snapshotIfDue(): Promise<void> {
+		if (!this.log.isSnapshotDue) return;
 		let outcome = await this.log.snapshot();
-		while (this.log.full && outcome !== 'superseded' && this.stageNow() === 'owning') {
-			await clocks.sleep(this.deps.clock, turns.tickMs);
+		while (this.log.isFull && outcome !== 'superseded' && this.stageNow() === 'owning') {
+			await clocks.sleep(this.deps.clock, decisionTimers.tickMs);
 			outcome = await this.log.snapshot();
 		}
 		if (outcome === 'superseded') this.loseShard();
@@ -238,11 +246,11 @@
 	private loseShard(): void {
 		if (!this.step('supersede')) return;
 		this.deps.events.emit('shard.lost', { shard: this.deps.shard, epoch: this.epoch });
-		void this.contacts.stop();
+		void this.exchanges.stop();
 		this.deps.onLost();
 	}
 
 	private answerAll(batch: batches.Batch): void {
-		for (const { waiter, reply } of batch.replies) this.queue.settle(waiter, reply);
+		for (const { request, reply } of batch.replies) this.queue.answer(request, reply);
 	}
 }
--- a/src/core/scheduler/process.ts
+++ b/src/core/scheduler/process.ts
@@ -16,18 +16,18 @@
 import type * as wire from '../wire/index.js';
 
 /** How often the shards to own are looked at, in milliseconds. */
-const electMs = 250;
+const electIntervalMs = 250;
 
 /** The scheduler process. */
 export class Scheduler {
 	private readonly node: node.Node;
 	private readonly owned = new Map<string, owners.ShardOwner>();
-	private readonly taking = new Set<string>();
+	private readonly takingOver = new Set<string>();
 	private readonly client = workers.WorkerClient.create();
 	private readonly counters: ownerDeps.OwnerMetrics;
-	private listed: types.ListedWorker[] | undefined;
-	private electing: clocks.Timer | undefined;
-	private list: platform.Follower | undefined;
+	private listedWorkers: types.ListedWorker[] | undefined;
+	private electTimer: clocks.Timer | undefined;
+	private workerListFollower: platform.Follower | undefined;
 
 	private constructor(private readonly settings: settings.SchedulerSettings) {
 		this.node = node.Node.create(settings, {
@@ -53,22 +53,22 @@
 
 	async start(): Promise<void> {
 		await this.node.start();
-		this.list = platform.Follower.create(this.node.store, this.node.clock, {
+		this.workerListFollower = platform.Follower.create(this.node.store, this.node.clock, {
 			prefix: boxes.workersKey(this.settings.zone),
 			relistMs: boxes.boxesRelistMs,
 			onView: (view) => {
-				this.takeList(view.get(boxes.workersKey(this.settings.zone)));
+				this.applyWorkerList(view.get(boxes.workersKey(this.settings.zone)));
 			},
 		});
-		this.electing = clocks.every(this.node.clock, electMs, () => this.elect());
+		this.electTimer = clocks.every(this.node.clock, electIntervalMs, () => this.elect());
 	}
 
 	/** Planned stop: hands every shard over, then leaves. */
 	async stop(): Promise<void> {
 		this.node.stopping = true;
 		this.node.events.emit('process.stopping', { shards: this.owned.size });
-		this.electing?.cancel();
-		this.list?.stop();
+		this.electTimer?.cancel();
+		this.workerListFollower?.stop();
 		await Promise.all([...this.owned.values()].map((owner) => owner.release()));
 		await this.node.leave();
 		await this.node.close();
@@ -80,24 +80,26 @@
 		const { clock, members } = this.node;
 		if (!members.reachable || this.node.stopping) return;
 		if (clock.now() - members.changedAt < this.settings['takeover-ms']) return;
-		const mine = shards
+		const shardsToTake = shards
 			.shardsOfZone(this.settings.zone, this.settings['shards-per-zone'])
-			.filter((shard) => this.fallsToMe(shard) && !this.owned.has(shard) && !this.taking.has(shard));
-		await Promise.all(mine.map((shard) => this.take(shard)));
+			.filter(
+				(shard) => this.isPreferredOwner(shard) && !this.owned.has(shard) && !this.takingOver.has(shard),
+			);
+		await Promise.all(shardsToTake.map((shard) => this.takeShard(shard)));
 	}
 
-	private fallsToMe(shard: string): boolean {
+	private isPreferredOwner(shard: string): boolean {
 		const { members } = this.node;
 		return membership.preferredOwner(shard, members.members, this.settings.zone)?.boot === members.self.boot;
 	}
 
-	private async take(shard: string): Promise<void> {
-		this.taking.add(shard);
-		const taken = await owners.ShardOwner.take(this.ownerDeps(shard));
-		this.taking.delete(shard);
+	private async takeShard(shard: string): Promise<void> {
+		this.takingOver.add(shard);
+		const taken = await owners.ShardOwner.takeOver(this.ownerDeps(shard));
+		this.takingOver.delete(shard);
 		if (!taken.ok) return;
 		this.owned.set(shard, taken.value);
-		this.giveWorkers(shard, taken.value);
+		this.updateWorkers(shard, taken.value);
 	}
 
 	private ownerDeps(shard: string): ownerDeps.OwnerDeps {
@@ -130,28 +132,30 @@
 	private holderGone(holder: string): boolean {
 		const boot = holder.slice(0, holder.lastIndexOf('#'));
 		const { members, clock } = this.node;
-		const settled = clock.now() - members.changedAt > this.settings['takeover-ms'];
-		return members.reachable && settled && !members.members.some((one) => one.boot === boot);
+		const isStable = clock.now() - members.changedAt > this.settings['takeover-ms'];
+		return members.reachable && isStable && !members.members.some((one) => one.boot === boot);
 	}
 
-	private takeList(item: platform.Stored | undefined): void {
+	private applyWorkerList(item: platform.Stored | undefined): void {
 		const parsed = boxes.parseWorkers(item);
 		if (parsed === undefined) return;
-		this.listed = parsed.map((box) => ({
-			id: box.id,
-			address: box.address,
-			rack: box.rack,
-			capacity: { cores: box.cores, memoryMb: box.memoryMb, accelerators: box.accelerators },
-			leaving: box.state === 'leaving',
+		this.listedWorkers = parsed.map((worker) => ({
+			id: worker.id,
+			address: worker.address,
+			rack: worker.rack,
+			capacity: { cores: worker.cores, memoryMb: worker.memoryMb, accelerators: worker.accelerators },
+			leaving: worker.state === 'leaving',
 		}));
-		for (const [shard, owner] of this.owned) this.giveWorkers(shard, owner);
+		for (const [shard, owner] of this.owned) this.updateWorkers(shard, owner);
 	}
 
-	private giveWorkers(shard: string, owner: owners.ShardOwner): void {
-		if (this.listed === undefined) return;
+	private updateWorkers(shard: string, owner: owners.ShardOwner): void {
+		if (this.listedWorkers === undefined) return;
 		const { zone } = this.settings;
 		const perZone = this.settings['shards-per-zone'];
-		owner.setWorkers(this.listed.filter((box) => shards.shardOfRack(zone, box.rack, perZone) === shard));
+		owner.setWorkers(
+			this.listedWorkers.filter((worker) => shards.shardOfRack(zone, worker.rack, perZone) === shard),
+		);
 	}
 
 	private async onPeer(req: wire.PeerReq): Promise<results.Result<unknown, errors.Failure>> {
--- a/src/core/scheduler/report.ts
+++ b/src/core/scheduler/report.ts
@@ -45,7 +45,7 @@
 	waitsFor: string;
 	lastEnd: string;
 	failures: shards.FailedAttempt[];
-	held: shards.HeldPlace[];
+	held: shards.HeldPlacement[];
 	uncommitted: boolean;
 }
 
@@ -87,15 +87,15 @@
 
 /** The workers of a shard; `now`: on the owner's monotonic clock. */
 export function workerStatuses(
-	boxes: placement.Box[],
+	workers: placement.Worker[],
 	views: ReadonlyMap<string, types.WorkerView>,
 	now: number,
 ): WorkerStatus[] {
-	return boxes.map((box) => ({
-		id: box.id,
-		state: box.closed ?? 'live',
-		tasks: box.residents.length,
-		silentMs: Math.round(now - (views.get(box.id)?.answeredAt ?? -Infinity)),
+	return workers.map((worker) => ({
+		id: worker.id,
+		state: worker.closed ?? 'live',
+		tasks: worker.allocations.length,
+		silentMs: Math.round(now - (views.get(worker.id)?.lastAnswerAt ?? -Infinity)),
 	}));
 }
 
--- a/src/core/scheduler/reports.ts
+++ b/src/core/scheduler/reports.ts
@@ -4,7 +4,7 @@
 import type * as workers from '../worker/index.js';
 
 /** Changes that follow from what `view` reports of `tasks`, those that hold a place on the worker. */
-export function reportChanges(
+export function changesFromReport(
 	state: shards.ShardState,
 	view: types.WorkerView,
 	tasks: readonly shards.TaskRecord[],
@@ -12,13 +12,13 @@
 	if (!view.fenced || view.incarnation === undefined) return [];
 	const changes: shards.Change[] = [];
 	for (const task of tasks) {
-		if (task.worker === view.listed.id) changes.push(...placedChange(state, task, view));
-		for (const place of task.held) changes.push(...heldChange(task, place, view));
+		if (task.worker === view.listed.id) changes.push(...placedTaskChanges(state, task, view));
+		for (const placement of task.held) changes.push(...heldPlacementChanges(task, placement, view));
 	}
 	return changes;
 }
 
-function placedChange(
+function placedTaskChanges(
 	state: shards.ShardState,
 	task: shards.TaskRecord,
 	view: types.WorkerView,
@@ -30,7 +30,7 @@
 		const proof = 'the worker came back with a new incarnation';
 		return [{ type: 'task.lost', task: id, attempt, checkpoint, proof, holds: false }];
 	}
-	if (report?.attempt !== attempt) return absentChange(task, view);
+	if (report?.attempt !== attempt) return absentTaskChanges(task, view);
 	switch (report.state) {
 		case 'running':
 			return [];
@@ -56,23 +56,23 @@
  * A task to be stopped that the worker doesn't have: stopped, provided that no start of it can still arrive.
  * The fence refuses everything sent before the answered exchange; a start sent later may be on its way.
  */
-function absentChange(task: shards.TaskRecord, view: types.WorkerView): shards.Change[] {
+function absentTaskChanges(task: shards.TaskRecord, view: types.WorkerView): shards.Change[] {
 	if (task.state !== 'stopping') return [];
-	const startSeq = view.startSeq.get(types.attemptKey(task.id, task.attempt)) ?? 0;
-	if (startSeq > view.answeredSeq) return [];
+	const startSeq = view.lastStartSeq.get(types.attemptKey(task.id, task.attempt)) ?? 0;
+	if (startSeq > view.lastAcceptedSeq) return [];
 	return [{ type: 'task.stopped', task: task.id, attempt: task.attempt }];
 }
 
-function heldChange(
+function heldPlacementChanges(
 	task: shards.TaskRecord,
-	place: shards.HeldPlace,
+	placement: shards.HeldPlacement,
 	view: types.WorkerView,
 ): shards.Change[] {
-	if (place.worker !== view.listed.id) return [];
+	if (placement.worker !== view.listed.id) return [];
 	const report = view.reports.get(task.id);
-	const running = report?.attempt === place.attempt && report.state === 'running';
-	if (place.incarnation === view.incarnation && running) return [];
-	return [{ type: 'place.cleared', task: task.id, attempt: place.attempt, worker: place.worker }];
+	const isRunning = report?.attempt === placement.attempt && report.state === 'running';
+	if (placement.incarnation === view.incarnation && isRunning) return [];
+	return [{ type: 'place.cleared', task: task.id, attempt: placement.attempt, worker: placement.worker }];
 }
 
 function failedChange(
@@ -81,7 +81,7 @@
 	report: workers.TaskReport,
 ): shards.Change {
 	const reason = report.reason ?? 'failed';
-	const final = failsForGood(state, task);
+	const final = isFinalFailure(state, task);
 	return { type: 'task.failed', task: task.id, attempt: task.attempt, reason, final };
 }
 
@@ -89,19 +89,19 @@
  * A task fails for good once it failed on `maxFailures` distinct workers that are not in quarantine,
  * or twice as often as that where there are too few workers to tell.
  */
-function failsForGood(state: shards.ShardState, task: shards.TaskRecord): boolean {
+function isFinalFailure(state: shards.ShardState, task: shards.TaskRecord): boolean {
 	const limit = state.jobs.get(task.job)?.part.spec.maxFailures ?? 1;
-	const counted = task.failures.filter((one) => !state.quarantined.has(one.worker));
-	const places = new Set(counted.map((one) => one.worker));
-	if (task.worker !== undefined && !state.quarantined.has(task.worker)) places.add(task.worker);
-	return places.size >= limit || counted.length + 1 >= limit * 2;
+	const countedFailures = task.failures.filter((one) => !state.quarantined.has(one.worker));
+	const failedWorkers = new Set(countedFailures.map((one) => one.worker));
+	if (task.worker !== undefined && !state.quarantined.has(task.worker)) failedWorkers.add(task.worker);
+	return failedWorkers.size >= limit || countedFailures.length + 1 >= limit * 2;
 }
 
 /** Workers on which several distinct jobs failed since their boot, and those that came back since. */
 export function quarantineChanges(
 	state: shards.ShardState,
 	views: ReadonlyMap<string, types.WorkerView>,
-	jobsLimit: number,
+	minFailedJobs: number,
 ): shards.Change[] {
 	const changes: shards.Change[] = [];
 	const failedJobs = new Map<string, Set<string>>();
@@ -114,12 +114,12 @@
 	}
 	for (const [worker, jobs] of failedJobs) {
 		const incarnation = views.get(worker)?.incarnation;
-		if (jobs.size < jobsLimit || state.quarantined.has(worker) || incarnation === undefined) continue;
+		if (jobs.size < minFailedJobs || state.quarantined.has(worker) || incarnation === undefined) continue;
 		changes.push({ type: 'worker.quarantined', worker, incarnation, evidence: [...jobs].sort() });
 	}
 	for (const [worker, quarantine] of state.quarantined) {
-		const now = views.get(worker)?.incarnation;
-		if (now !== undefined && now !== quarantine.incarnation)
+		const currentIncarnation = views.get(worker)?.incarnation;
+		if (currentIncarnation !== undefined && currentIncarnation !== quarantine.incarnation)
 			changes.push({ type: 'worker.released', worker });
 	}
 	return changes;
@@ -129,12 +129,12 @@
 export function tasksByWorker(state: shards.ShardState): Map<string, shards.TaskRecord[]> {
 	const byWorker = new Map<string, shards.TaskRecord[]>();
 	for (const task of state.tasks.values()) {
-		const workers = [task.worker, ...task.held.map((place) => place.worker)];
+		const workers = [task.worker, ...task.held.map((placement) => placement.worker)];
 		for (const worker of new Set(workers)) {
 			if (worker === undefined) continue;
-			const here = byWorker.get(worker) ?? [];
-			here.push(task);
-			byWorker.set(worker, here);
+			const workerTasks = byWorker.get(worker) ?? [];
+			workerTasks.push(task);
+			byWorker.set(worker, workerTasks);
 		}
 	}
 	return byWorker;
--- a/src/core/scheduler/request-queue.ts
+++ b/src/core/scheduler/request-queue.ts
@@ -8,7 +8,7 @@
 export type Reply = results.Result<unknown, errors.Failure>;
 
 /** One request that waits. */
-export interface Waiter {
+export interface PendingRequest {
 	req: requests.ShardReq;
 	resolve: (reply: Reply) => void;
 	/** `queued`: not decided yet; `deciding`: its entry is being stored; `answered`: its asker has heard. */
@@ -20,7 +20,7 @@
 
 /** The requests of one shard. */
 export class RequestQueue {
-	private waiting: Waiter[] = [];
+	private waiting: PendingRequest[] = [];
 
 	private constructor(
 		private readonly shard: string,
@@ -36,46 +36,46 @@
 	/** Adds a request; resolves with its answer. */
 	add(req: requests.ShardReq): Promise<Reply> {
 		return new Promise((resolve) => {
-			const waiter: Waiter = { req, resolve, stage: 'queued' };
-			this.waiting.push(waiter);
+			const request: PendingRequest = { req, resolve, stage: 'queued' };
+			this.waiting.push(request);
 			this.clock.after(this.waitMs, () => {
-				if (waiter.stage === 'queued') this.settle(waiter, results.fail(this.notStored()));
-				else this.leaveOpen(waiter);
+				if (request.stage === 'queued') this.answer(request, results.fail(this.notStoredError()));
+				else this.answerOutcomeUnknown(request);
 			});
 		});
 	}
 
 	/** Hands over the requests to decide now. */
-	take(): Waiter[] {
-		const taken = this.waiting.filter((waiter) => waiter.stage === 'queued');
+	take(): PendingRequest[] {
+		const taken = this.waiting.filter((request) => request.stage === 'queued');
 		this.waiting = [];
-		for (const waiter of taken) waiter.stage = 'deciding';
+		for (const request of taken) request.stage = 'deciding';
 		return taken;
 	}
 
 	/** Answers a request, unless it has been answered. */
-	settle(waiter: Waiter, reply: Reply): void {
-		if (waiter.stage === 'answered') return;
-		waiter.stage = 'answered';
-		waiter.resolve(reply);
+	answer(request: PendingRequest, reply: Reply): void {
+		if (request.stage === 'answered') return;
+		request.stage = 'answered';
+		request.resolve(reply);
 	}
 
 	/** Its entry may or may not be stored. */
-	leaveOpen(waiter: Waiter): void {
-		this.settle(waiter, results.fail(this.undecided(waiter.req)));
+	answerOutcomeUnknown(request: PendingRequest): void {
+		this.answer(request, results.fail(this.outcomeUnknownError(request.req)));
 	}
 
 	/** Answers everything that is not decided yet alike. */
 	refuseAll(err: errors.Failure): void {
-		for (const waiter of this.take()) this.settle(waiter, results.fail(err));
+		for (const request of this.take()) this.answer(request, results.fail(err));
 	}
 
-	private notStored(): errors.Failure {
+	private notStoredError(): errors.Failure {
 		const detail = `shard ${this.shard} can't store decisions`;
 		return errors.failure('PlatformUnavailable', detail, { retryAfterMs, run: 'not-run' });
 	}
 
-	private undecided(req: requests.ShardReq): errors.Failure {
+	private outcomeUnknownError(req: requests.ShardReq): errors.Failure {
 		// The request behind an undecided claim has not been sent; the asker takes back what may still be granted.
 		if (req.type === 'claim.begin')
 			return errors.failure('ClaimUnavailable', req.key, { retryAfterMs, run: 'not-run' });
--- a/src/core/scheduler/requests.ts
+++ b/src/core/scheduler/requests.ts
@@ -36,7 +36,7 @@
 export interface RequestContext {
 	views: ReadonlyMap<string, types.WorkerView>;
 	/** Whether the platform's box list has been read; before that nobody can say what fits. */
-	listRead: boolean;
+	isWorkerListRead: boolean;
 	/** The shard to try next for a job that can't fit here. */
 	nextShard: (part: shards.JobRecord['part']) => string | undefined;
 	answers: ReadonlyMap<string, ClaimAnswer>;
@@ -45,9 +45,9 @@
 }
 
 /** Time told to those who find a shard full, in milliseconds: some claims and ended jobs have gone by then. */
-const fullRetryMs = 60_000;
+const shardFullRetryMs = 60_000;
 
-const reply = (value: unknown): Decision => ({ changes: [], reply: results.ok(value) });
+const replyWith = (value: unknown): Decision => ({ changes: [], reply: results.ok(value) });
 
 const refuse = (err: errors.Failure): Decision => ({ changes: [], reply: results.fail(err) });
 
@@ -71,28 +71,28 @@
 	part: shards.JobRecord['part'],
 	ctx: RequestContext,
 ): Decision {
-	const known = state.jobs.get(part.id);
-	if (known !== undefined) {
-		const same = JSON.stringify(known.part) === JSON.stringify(part);
-		if (!same)
+	const existing = state.jobs.get(part.id);
+	if (existing !== undefined) {
+		const isSame = JSON.stringify(existing.part) === JSON.stringify(part);
+		if (!isSame)
 			return refuse(errors.failure('JobConflict', `job ${part.id} differs from the one declared before`));
-		return reply({ at: 'here', created: false } satisfies SubmitReply);
+		return replyWith({ at: 'here', created: false } satisfies SubmitReply);
 	}
 	const forwarded = state.forwarded.get(part.id);
-	if (forwarded !== undefined) return reply({ at: 'elsewhere', shard: forwarded } satisfies SubmitReply);
-	if (!ctx.listRead) {
+	if (forwarded !== undefined) return replyWith({ at: 'elsewhere', shard: forwarded } satisfies SubmitReply);
+	if (!ctx.isWorkerListRead) {
 		return refuse(
 			errors.failure('ShardUnavailable', 'the list of workers is not read yet', { retryAfterMs: 1000 }),
 		);
 	}
-	const full = shards.stateBytes(state, part.tasks) > shards.maxStateBytes;
-	if (!full && fitsSomewhere(part, ctx.views)) {
+	const isFull = shards.stateBytes(state, part.tasks) > shards.maxStateBytes;
+	if (!isFull && fitsSomewhere(part, ctx.views)) {
 		const submitted: shards.Change = { type: 'job.submitted', part };
 		return { changes: [submitted], reply: results.ok({ at: 'here', created: true } satisfies SubmitReply) };
 	}
 	const next = ctx.nextShard(part);
-	if (next === undefined && full)
-		return refuse(errors.failure('ShardFull', part.id, { retryAfterMs: fullRetryMs }));
+	if (next === undefined && isFull)
+		return refuse(errors.failure('ShardFull', part.id, { retryAfterMs: shardFullRetryMs }));
 	if (next === undefined) return refuse(errors.failure('NeverFits', describeNeed(part, ctx.views)));
 	const forward: shards.Change = { type: 'job.forwarded', job: part.id, to: next };
 	return { changes: [forward], reply: results.ok({ at: 'elsewhere', shard: next } satisfies SubmitReply) };
@@ -103,26 +103,26 @@
 	views: ReadonlyMap<string, types.WorkerView>,
 ): boolean {
 	return [...views.values()].some((view) =>
-		placement.couldHold(view.listed.capacity, part.spec.needs, part.spec.maxShareOfBox),
+		placement.fitsWhenEmpty(view.listed.capacity, part.spec.needs, part.spec.maxShareOfBox),
 	);
 }
 
 function describeNeed(part: shards.JobRecord['part'], views: ReadonlyMap<string, types.WorkerView>): string {
 	const { cores, memoryMb, accelerators } = part.spec.needs;
-	const asked = `${cores} cores, ${memoryMb} MiB and ${accelerators} accelerators`;
+	const needed = `${cores} cores, ${memoryMb} MiB and ${accelerators} accelerators`;
 	const largest = Math.max(0, ...[...views.values()].map((view) => view.listed.capacity.cores));
-	return `${part.id} asks for ${asked} a task; the largest of ${views.size} workers in the last shard tried has ${largest} cores`;
+	return `${part.id} asks for ${needed} a task; the largest of ${views.size} workers in the last shard tried has ${largest} cores`;
 }
 
 function decideCancel(state: shards.ShardState, id: string): Decision {
 	const job = state.jobs.get(id);
 	if (job === undefined) {
 		const forwarded = state.forwarded.get(id);
-		if (forwarded !== undefined) return reply({ at: 'elsewhere', shard: forwarded });
+		if (forwarded !== undefined) return replyWith({ at: 'elsewhere', shard: forwarded });
 		return refuse(errors.failure('JobUnknown', id));
 	}
 	if (job.cancelled || job.endedAt !== undefined)
-		return reply({ at: 'here', state: shards.jobState(state, job) });
+		return replyWith({ at: 'here', state: shards.jobState(state, job) });
 	return {
 		changes: [{ type: 'job.cancelled', job: id }],
 		reply: results.ok({ at: 'here', state: 'cancelling' }),
@@ -131,30 +131,35 @@
 
 function decideClaim(state: shards.ShardState, req: wire.ClaimBegin, ctx: RequestContext): Decision {
 	const { key, bodyHash, holder } = req;
-	const known = state.claims.get(key);
-	if (known === undefined && shards.stateBytes(state) > shards.maxStateBytes) {
-		const extra = { retryAfterMs: fullRetryMs, run: 'not-run' } as const;
+	const existing = state.claims.get(key);
+	if (existing === undefined && shards.stateBytes(state) > shards.maxStateBytes) {
+		const extra = { retryAfterMs: shardFullRetryMs, run: 'not-run' } as const;
 		return refuse(errors.failure('ClaimUnavailable', 'too many keys are remembered', extra));
 	}
-	if (known === undefined || known.outcome === 'not-run') {
+	if (existing === undefined || existing.outcome === 'not-run') {
 		const begun: shards.Change = { type: 'claim.begun', key, bodyHash, holder };
 		return { changes: [begun], reply: results.ok({ claim: 'granted' } satisfies ClaimReply) };
 	}
-	if (known.bodyHash !== bodyHash) return refuse(errors.failure('KeyReused', key, { run: 'not-run' }));
+	if (existing.bodyHash !== bodyHash) return refuse(errors.failure('KeyReused', key, { run: 'not-run' }));
 	// The same request asking again: its first answer was lost between the processes.
-	if (known.holder === holder) return reply({ claim: 'granted' } satisfies ClaimReply);
-	if (known.outcome === 'running' && ctx.holderGone(known.holder)) {
-		const ended: shards.Change = { type: 'claim.ended', key, holder: known.holder, outcome: 'may-have-run' };
+	if (existing.holder === holder) return replyWith({ claim: 'granted' } satisfies ClaimReply);
+	if (existing.outcome === 'running' && ctx.holderGone(existing.holder)) {
+		const ended: shards.Change = {
+			type: 'claim.ended',
+			key,
+			holder: existing.holder,
+			outcome: 'may-have-run',
+		};
 		const taken: ClaimReply = { claim: 'taken', outcome: 'may-have-run' };
 		return { changes: [ended], reply: results.ok(taken) };
 	}
-	const taken: ClaimReply = { claim: 'taken', outcome: known.outcome, answer: ctx.answers.get(key) };
-	return reply(taken);
+	const taken: ClaimReply = { claim: 'taken', outcome: existing.outcome, answer: ctx.answers.get(key) };
+	return replyWith(taken);
 }
 
 function decideClaimEnd(state: shards.ShardState, req: wire.ClaimEnd): Decision {
 	const { key, holder, outcome } = req;
-	const known = state.claims.get(key);
-	if (known?.holder !== holder || known.outcome === outcome) return reply({});
+	const existing = state.claims.get(key);
+	if (existing?.holder !== holder || existing.outcome === outcome) return replyWith({});
 	return { changes: [{ type: 'claim.ended', key, holder, outcome }], reply: results.ok({}) };
 }
--- a/src/core/scheduler/settings.ts
+++ b/src/core/scheduler/settings.ts
@@ -81,7 +81,7 @@
 export type SchedulerSettings = settings.Settings<typeof schedulerSettings>;
 
 /** Clocks are assumed to run within this part of each other. */
-const clockRate = 0.001;
+const maxClockDrift = 0.001;
 
 /** The owner's options that follow from the settings. */
 export function ownerOptions(given: SchedulerSettings): types.OwnerOptions {
@@ -91,11 +91,11 @@
 		leaseMs: given['lease-ms'],
 		horizonMs: given['horizon-ms'],
 		marginMs: given['margin-ms'],
-		clockRate,
+		maxClockDrift,
 		unreachableMs: given['unreachable-ms'],
-		appendGapMs: (shards * 1000) / given['writes-per-s'],
-		requestWaitMs: given['request-wait-ms'],
-		quarantineJobs: given['quarantine-jobs'],
+		minAppendIntervalMs: (shards * 1000) / given['writes-per-s'],
+		requestTimeoutMs: given['request-wait-ms'],
+		quarantineAfterJobs: given['quarantine-jobs'],
 		keepEndedMs: given['keep-ended-ms'],
 		keepClaimsMs: given['keep-claims-ms'],
 	};
--- a/src/core/scheduler/silence.ts
+++ b/src/core/scheduler/silence.ts
@@ -11,17 +11,17 @@
 }
 
 /** The parts of the settings that the waits are made of, in milliseconds, and the clocks' rate as a part of one. */
-export interface WaitOptions {
+export interface TimingOptions {
 	leaseMs: number;
 	horizonMs: number;
 	marginMs: number;
-	clockRate: number;
+	maxClockDrift: number;
 	unreachableMs: number;
 }
 
 /** A lease given now, in the worker's time, ends within this many milliseconds of the owner's time. */
-export function leaseSpan(opts: WaitOptions): number {
-	return opts.leaseMs * (1 + opts.clockRate);
+export function maxLeaseMs(opts: TimingOptions): number {
+	return opts.leaseMs * (1 + opts.maxClockDrift);
 }
 
 /**
@@ -30,59 +30,62 @@
  * the last entry that one of them can have committed, which is older than the takeover; once the worker has accepted
  * this epoch they can't reach it, and `leaseEndsBy` covers them.
  */
-export function provedStoppedAt(view: types.WorkerView, takeover: Takeover, opts: WaitOptions): number {
-	const horizon = takeover.released ? 0 : opts.horizonMs * (1 + opts.clockRate);
-	const before = view.fenced ? -Infinity : takeover.at + horizon + leaseSpan(opts);
-	return Math.max(view.leaseEndsBy, before) + opts.marginMs;
+export function provenStoppedAt(view: types.WorkerView, takeover: Takeover, opts: TimingOptions): number {
+	const horizon = takeover.released ? 0 : opts.horizonMs * (1 + opts.maxClockDrift);
+	const earlierLeasesEndBy = view.fenced ? -Infinity : takeover.at + horizon + maxLeaseMs(opts);
+	return Math.max(view.leaseEndsBy, earlierLeasesEndBy) + opts.marginMs;
 }
 
 /** Whether a worker has been silent for too long to count on. */
 export function isUnreachable(
 	view: types.WorkerView,
 	takeover: Takeover,
-	opts: WaitOptions,
+	opts: TimingOptions,
 	now: number,
 ): boolean {
-	return now - Math.max(view.answeredAt, takeover.at) > opts.unreachableMs;
+	return now - Math.max(view.lastAnswerAt, takeover.at) > opts.unreachableMs;
 }
 
 /** Changes that follow from a worker's silence at time `now`. */
-export function silenceChanges(
+export function unreachableChanges(
 	state: shards.ShardState,
 	view: types.WorkerView,
 	takeover: Takeover,
-	opts: WaitOptions,
+	opts: TimingOptions,
 	now: number,
 ): shards.Change[] {
 	if (!isUnreachable(view, takeover, opts, now)) return [];
-	const proved = now > provedStoppedAt(view, takeover, opts);
+	const isProvenStopped = now > provenStoppedAt(view, takeover, opts);
 	const changes: shards.Change[] = [];
 	for (const task of state.tasks.values()) {
 		if (task.worker !== view.listed.id) continue;
-		const service = state.jobs.get(task.job)?.part.spec.kind === 'service';
-		if (service || proved) changes.push(lost(task, view, service));
+		const isService = state.jobs.get(task.job)?.part.spec.kind === 'service';
+		if (isService || isProvenStopped) changes.push(lostChange(task, view, isService));
 	}
 	// Off the list and past every lease: nobody will ever confirm its held places. Should it come back, what still
 	// runs there is counted against it by its own report (see boxesOf) and stopped.
-	if (proved && !view.present) changes.push(...clearedPlaces(state, view));
+	if (isProvenStopped && !view.isListed) changes.push(...clearedChanges(state, view));
 	return changes;
 }
 
-function clearedPlaces(state: shards.ShardState, view: types.WorkerView): shards.Change[] {
+function clearedChanges(state: shards.ShardState, view: types.WorkerView): shards.Change[] {
 	const worker = view.listed.id;
 	return [...state.tasks.values()].flatMap((task) =>
 		task.held
-			.filter((place) => place.worker === worker)
-			.map((place) => ({ type: 'place.cleared', task: task.id, attempt: place.attempt, worker }) as const),
+			.filter((placement) => placement.worker === worker)
+			.map(
+				(placement) =>
+					({ type: 'place.cleared', task: task.id, attempt: placement.attempt, worker }) as const,
+			),
 	);
 }
 
 /** A service replica may exist twice for a while, so it is replaced at once; its place stays held. */
-function lost(task: shards.TaskRecord, view: types.WorkerView, service: boolean): shards.Change {
+function lostChange(task: shards.TaskRecord, view: types.WorkerView, isService: boolean): shards.Change {
 	const report = view.reports.get(task.id);
 	const checkpoint = report?.attempt === task.attempt ? report.checkpoint : undefined;
-	const proof = service
+	const proof = isService
 		? 'the worker is unreachable; its place stays held'
 		: 'every lease on the worker has ended';
-	return { type: 'task.lost', task: task.id, attempt: task.attempt, checkpoint, proof, holds: service };
+	return { type: 'task.lost', task: task.id, attempt: task.attempt, checkpoint, proof, holds: isService };
 }
--- a/src/core/scheduler/turns.ts
+++ b/src/core/scheduler/turns.ts
@@ -5,24 +5,24 @@
 export const tickMs = 200;
 
 /** The turns of one owner. */
-export class Turns {
-	private dirty = false;
+export class DecisionTimer {
+	private isSignalled = false;
 	private lastAppendAt = -Infinity;
 	private wake: () => void = () => undefined;
 
 	private constructor(
 		private readonly clock: clocks.Clock,
-		private readonly appendGapMs: number,
+		private readonly minAppendIntervalMs: number,
 	) {}
 
 	/** `appendGapMs`: least milliseconds between two appends. */
-	static create(clock: clocks.Clock, appendGapMs: number): Turns {
-		return new Turns(clock, appendGapMs);
+	static create(clock: clocks.Clock, minAppendIntervalMs: number): DecisionTimer {
+		return new DecisionTimer(clock, minAppendIntervalMs);
 	}
 
 	/** Something is to be decided: now if the owner waits, else as soon as the append in flight is settled. */
 	signal(): void {
-		this.dirty = true;
+		this.isSignalled = true;
 		this.wake();
 	}
 
@@ -32,11 +32,11 @@
 	}
 
 	/** Waits for something to do, and then for the shard's turn at the platform's write rate. */
-	async next(): Promise<void> {
+	async waitForTurn(): Promise<void> {
 		await this.signalOrTick();
-		this.dirty = false;
-		const wait = this.lastAppendAt + this.appendGapMs - this.clock.now();
-		if (wait > 0) await clocks.sleep(this.clock, wait);
+		this.isSignalled = false;
+		const waitMs = this.lastAppendAt + this.minAppendIntervalMs - this.clock.now();
+		if (waitMs > 0) await clocks.sleep(this.clock, waitMs);
 	}
 
 	private signalOrTick(): Promise<void> {
@@ -46,7 +46,7 @@
 				timer.cancel();
 				resolve();
 			};
-			if (this.dirty) this.wake();
+			if (this.isSignalled) this.wake();
 		});
 	}
 }
--- a/src/core/scheduler/types.ts
+++ b/src/core/scheduler/types.ts
@@ -13,15 +13,15 @@
 	/** Margin added to every wait that stands in for a proof, in milliseconds. */
 	marginMs: number;
 	/** Largest difference of two clocks' rates, as a part of one. */
-	clockRate: number;
+	maxClockDrift: number;
 	/** Milliseconds without an answer after which a worker counts as unreachable. */
 	unreachableMs: number;
 	/** Least milliseconds between two appends of a shard: its part of the platform's write rate. */
-	appendGapMs: number;
+	minAppendIntervalMs: number;
 	/** Milliseconds a request waits for its entry before it is answered as not stored. */
-	requestWaitMs: number;
+	requestTimeoutMs: number;
 	/** Distinct jobs failing on a worker that put it in quarantine. */
-	quarantineJobs: number;
+	quarantineAfterJobs: number;
 	/** Milliseconds for which ended jobs are kept for `status`. */
 	keepEndedMs: number;
 	/** Milliseconds for which a claimed Idempotency-Key is kept. */
@@ -33,7 +33,7 @@
 	id: string;
 	address: string;
 	rack: string;
-	capacity: placement.Amount;
+	capacity: placement.Resources;
 	leaving: boolean;
 }
 
@@ -41,29 +41,29 @@
 export interface WorkerView {
 	listed: ListedWorker;
 	/** Whether it is still in the platform's list. */
-	present: boolean;
+	isListed: boolean;
 	/** Whether it has been told of as unreachable since its last answer. */
-	unreachable: boolean;
+	isUnreachableLogged: boolean;
 	/** Whether it has answered since the last decisions. */
-	fresh: boolean;
+	hasNewAnswer: boolean;
 	/** Whether it has accepted a message of this epoch: older epochs can't reach it any more. */
 	fenced: boolean;
 	incarnation?: string;
 	/** When the newest answer arrived. */
-	answeredAt: number;
+	lastAnswerAt: number;
 	/** The worker's own clock in that answer. */
-	workerNow: number;
+	workerClockAtAnswer: number;
 	/** Sequence number of the newest accepted exchange. */
-	answeredSeq: number;
+	lastAcceptedSeq: number;
 	/** No lease that this owner gave ends later than this. */
 	leaseEndsBy: number;
 	reports: Map<string, workers.TaskReport>;
 	/** Sequence number of the newest exchange that carried a start of `task#attempt`. */
-	startSeq: Map<string, number>;
+	lastStartSeq: Map<string, number>;
 	/** Highest use measured, by task. */
-	peaks: Map<string, { cores: number; memoryMb: number }>;
+	peakUsage: Map<string, { cores: number; memoryMb: number }>;
 	/** Throttle share last asked of the worker, by `task#attempt`. */
-	throttled: Map<string, number>;
+	sentShares: Map<string, number>;
 }
 
 /** Key of an attempt. */
@@ -72,20 +72,20 @@
 }
 
 /** A view of a worker that has not answered yet. */
-export function newView(listed: ListedWorker): WorkerView {
+export function newWorkerView(listed: ListedWorker): WorkerView {
 	return {
 		listed,
-		present: true,
-		unreachable: false,
-		fresh: false,
+		isListed: true,
+		isUnreachableLogged: false,
+		hasNewAnswer: false,
 		fenced: false,
-		answeredAt: -Infinity,
-		workerNow: 0,
-		answeredSeq: 0,
+		lastAnswerAt: -Infinity,
+		workerClockAtAnswer: 0,
+		lastAcceptedSeq: 0,
 		leaseEndsBy: -Infinity,
 		reports: new Map(),
-		startSeq: new Map(),
-		peaks: new Map(),
-		throttled: new Map(),
+		lastStartSeq: new Map(),
+		peakUsage: new Map(),
+		sentShares: new Map(),
 	};
 }
--- a/src/core/scheduler/uncommitted.ts
+++ b/src/core/scheduler/uncommitted.ts
@@ -3,7 +3,7 @@
 
 /** The marks of one shard. */
 export class Uncommitted {
-	private readonly marked = new Set<string>();
+	private readonly markedIds = new Set<string>();
 
 	private constructor() {
 		// Built by `create`, like every class here.
@@ -14,24 +14,24 @@
 	}
 
 	/** The names of these jobs and tasks. */
-	get names(): ReadonlySet<string> {
-		return this.marked;
+	get ids(): ReadonlySet<string> {
+		return this.markedIds;
 	}
 
 	/** Marks what a change is about; it has been applied to the state. */
 	mark(change: shards.Change, state: shards.ShardState): void {
-		if ('task' in change) this.marked.add(change.task);
-		if (change.type === 'job.submitted') this.marked.add(change.part.id);
+		if ('task' in change) this.markedIds.add(change.task);
+		if (change.type === 'job.submitted') this.markedIds.add(change.part.id);
 		if (change.type === 'job.cancelled') this.markJob(change.job, state);
 	}
 
 	/** Everything decided so far is stored. */
 	clear(): void {
-		this.marked.clear();
+		this.markedIds.clear();
 	}
 
 	private markJob(id: string, state: shards.ShardState): void {
-		this.marked.add(id);
-		for (const task of shards.taskIdsOf(state, id)) this.marked.add(task);
+		this.markedIds.add(id);
+		for (const task of shards.taskIdsOfJob(state, id)) this.markedIds.add(task);
 	}
 }
--- a/src/core/shard/log.ts
+++ b/src/core/shard/log.ts
@@ -19,7 +19,7 @@
 export const ringSlots = 64;
 
 /** Entries between snapshots. */
-export const snapshotEvery = 32;
+export const entriesPerSnapshot = 32;
 
 /** Wait before an unanswered append is sent again, in milliseconds. */
 const retryMs = 250;
@@ -73,10 +73,10 @@
 	};
 }
 
-function decodeEntry(bytes: Uint8Array): types.Entry {
+function decodeEntry(bytes: Uint8Array): types.LogEntry {
 	const raw = wire.decodeValue(bytes);
 	results.invariant(raw.ok, 'a stored entry decodes');
-	return raw.value as types.Entry;
+	return raw.value as types.LogEntry;
 }
 
 /** Settings of a log. */
@@ -114,8 +114,10 @@
 		const log = new ShardLog(opts, snapshot ? decodeState(snapshot.value) : states.emptyState());
 		log.snapshotVersion = snapshot?.version ?? 0;
 		log.snapshotN = log.state.n;
-		const whole = log.replay(list.value.items.filter((item) => item.key !== snapshotKey(opts.shard)));
-		return whole ? results.ok(log) : results.fail({ effect: 'none', reason: 'the log was read with a gap' });
+		const isComplete = log.replay(list.value.items.filter((item) => item.key !== snapshotKey(opts.shard)));
+		return isComplete
+			? results.ok(log)
+			: results.fail({ effect: 'none', reason: 'the log was read with a gap' });
 	}
 
 	/** Stops the retries of an append under way; its outcome then counts as unknown. */
@@ -129,7 +131,7 @@
 	 * The changes are not applied to the state here: the owner already has.
 	 */
 	async append(epoch: number, changes: types.Change[]): Promise<AppendOutcome> {
-		const entry: types.Entry = {
+		const entry: types.LogEntry = {
 			n: this.state.n + 1,
 			epoch,
 			owner: this.opts.owner,
@@ -148,12 +150,12 @@
 	}
 
 	/** Whether a snapshot is due. */
-	get snapshotDue(): boolean {
-		return this.state.n - this.snapshotN >= snapshotEvery;
+	get isSnapshotDue(): boolean {
+		return this.state.n - this.snapshotN >= entriesPerSnapshot;
 	}
 
 	/** Whether the ring has no slot left that the snapshot covers; no append may follow before a snapshot. */
-	get full(): boolean {
+	get isFull(): boolean {
 		return this.state.n - this.snapshotN >= ringSlots;
 	}
 
@@ -163,7 +165,7 @@
 		const n = this.state.n;
 		const res = await this.opts.store.swap(snapshotKey(this.opts.shard), bytes, this.snapshotVersion);
 		if (!res.ok) return 'abandoned';
-		if (!res.value.swapped) return this.adoptSnapshot(res.value.current);
+		if (!res.value.swapped) return this.adoptStoredSnapshot(res.value.current);
 		this.snapshotVersion = res.value.version;
 		this.snapshotN = n;
 		this.opts.onWrite?.(bytes.length);
@@ -172,24 +174,24 @@
 	}
 
 	/** A snapshot of ours whose answer was lost stands there: take over its version, and store again when next due. */
-	private adoptSnapshot(current: platform.Stored | undefined): AppendOutcome {
+	private adoptStoredSnapshot(current: platform.Stored | undefined): AppendOutcome {
 		if (current === undefined) return 'superseded';
 		const stored = decodeState(current.value);
-		const ours = stored.owner === this.state.owner && stored.epoch === this.state.epoch;
-		if (!ours) return 'superseded';
+		const isOwn = stored.owner === this.state.owner && stored.epoch === this.state.epoch;
+		if (!isOwn) return 'superseded';
 		this.snapshotVersion = current.version;
 		this.snapshotN = stored.n;
 		return 'abandoned';
 	}
 
-	private async store(entry: types.Entry, bytes: Buffer): Promise<AppendOutcome> {
+	private async store(entry: types.LogEntry, bytes: Buffer): Promise<AppendOutcome> {
 		const slot = entry.n % ringSlots;
 		const expected = this.versions.get(slot) ?? 0;
-		let unanswered = false;
+		let hadNoAnswer = false;
 		while (!this.abandoned) {
 			const res = await this.opts.store.swap(slotKey(this.opts.shard, entry.n), bytes, expected);
 			if (!res.ok) {
-				unanswered = true;
+				hadNoAnswer = true;
 				await clocks.sleep(this.opts.clock, retryMs);
 				continue;
 			}
@@ -199,7 +201,7 @@
 			}
 			const current = res.value.current;
 			const mine = current !== undefined && decodeEntry(current.value).nonce === entry.nonce;
-			if (unanswered)
+			if (hadNoAnswer)
 				this.opts.events.emit('shard.readback', { shard: this.opts.shard, n: entry.n, mine: String(mine) });
 			if (!mine) return 'superseded';
 			this.versions.set(slot, current.version);
@@ -210,7 +212,7 @@
 
 	/** False if entries are missing: the service did not read the prefix at one revision. */
 	private replay(slots: platform.Stored[]): boolean {
-		const entries: types.Entry[] = [];
+		const entries: types.LogEntry[] = [];
 		for (const item of slots) {
 			const entry = decodeEntry(item.value);
 			this.versions.set(entry.n % ringSlots, item.version);
--- a/src/core/shard/size.ts
+++ b/src/core/shard/size.ts
@@ -14,9 +14,9 @@
 export const maxStateBytes = 900_000;
 
 /** Bytes from which ended jobs are dropped before their time. */
-export const tightStateBytes = maxStateBytes / 2;
+export const earlyDropStateBytes = maxStateBytes / 2;
 
 /** Estimated bytes of the snapshot with `more` tasks added. */
-export function stateBytes(state: types.ShardState, more = 0): number {
-	return (state.tasks.size + more) * taskBytes + state.claims.size * claimBytes;
+export function stateBytes(state: types.ShardState, additionalTasks = 0): number {
+	return (state.tasks.size + additionalTasks) * taskBytes + state.claims.size * claimBytes;
 }
--- a/src/core/shard/state.ts
+++ b/src/core/shard/state.ts
@@ -22,7 +22,7 @@
 }
 
 /** Applies one entry, in place. */
-export function applyEntry(state: types.ShardState, entry: types.Entry): void {
+export function applyEntry(state: types.ShardState, entry: types.LogEntry): void {
 	results.invariant(entry.n === state.n + 1, `entry ${entry.n} after entry ${state.n}`);
 	for (const change of entry.changes) applyChange(state, change, entry.at);
 	state.n = entry.n;
@@ -87,7 +87,7 @@
 }
 
 /** Ids of the tasks of the job of that name; none if it is not known. */
-export function taskIdsOf(state: types.ShardState, job: string): string[] {
+export function taskIdsOfJob(state: types.ShardState, job: string): string[] {
 	const part = state.jobs.get(job)?.part;
 	return part === undefined ? [] : taskIds(part);
 }
@@ -95,8 +95,8 @@
 /** How a job stands, from its tasks. */
 export function jobState(state: types.ShardState, job: types.JobRecord): types.JobState {
 	const all = taskIds(job.part).map((id) => state.tasks.get(id)?.state);
-	const open = all.some((one) => one !== undefined && !tasks.taskChart.isFinal(one));
-	if (open) return job.cancelled ? 'cancelling' : 'active';
+	const hasOpenTask = all.some((one) => one !== undefined && !tasks.taskChart.isFinal(one));
+	if (hasOpenTask) return job.cancelled ? 'cancelling' : 'active';
 	if (all.includes('failed')) return 'failed';
 	return all.includes('cancelled') ? 'cancelled' : 'finished';
 }
@@ -121,7 +121,7 @@
 	job.cancelled = true;
 	for (const taskId of taskIds(job.part)) {
 		const task = state.tasks.get(taskId);
-		if (task !== undefined && !tasks.taskChart.isFinal(task.state)) step(state, task, 'cancel', at);
+		if (task !== undefined && !tasks.taskChart.isFinal(task.state)) applyEvent(state, task, 'cancel', at);
 	}
 }
 
@@ -154,51 +154,56 @@
 			task.worker = change.worker;
 			task.incarnation = change.incarnation;
 			task.why = change.why;
-			step(state, task, 'place', at);
+			applyEvent(state, task, 'place', at);
 			return;
 		case 'task.finished':
 			task.ended = 'finished';
-			leave(task);
-			step(state, task, 'finish', at);
+			clearPlacement(task);
+			applyEvent(state, task, 'finish', at);
 			return;
 		case 'task.failed':
 			recordFailure(task, change);
-			leave(task);
-			step(state, task, change.final && task.state !== 'stopping' ? 'give-up' : 'fail', at);
+			clearPlacement(task);
+			applyEvent(state, task, change.final && task.state !== 'stopping' ? 'give-up' : 'fail', at);
 			return;
 		case 'task.evicted':
 			task.checkpoint = change.checkpoint ?? task.checkpoint;
 			task.ended = change.reason;
-			leave(task);
-			step(state, task, 'evict', at);
+			clearPlacement(task);
+			applyEvent(state, task, 'evict', at);
 			return;
 		case 'task.lost':
 			task.checkpoint = change.checkpoint ?? task.checkpoint;
 			task.ended = change.proof;
-			if (change.holds) hold(task);
-			leave(task);
-			step(state, task, 'lose', at);
+			if (change.holds) holdPlacement(task);
+			clearPlacement(task);
+			applyEvent(state, task, 'lose', at);
 			return;
 		case 'task.stopped':
 			task.ended = 'cancelled';
-			leave(task);
-			step(state, task, 'stop', at);
+			clearPlacement(task);
+			applyEvent(state, task, 'stop', at);
 			return;
 		case 'place.cleared':
-			task.held = task.held.filter((place) => place.attempt !== change.attempt);
+			task.held = task.held.filter((placement) => placement.attempt !== change.attempt);
 			return;
 	}
 }
 
-function step(state: types.ShardState, task: types.TaskRecord, event: tasks.TaskEvent, at: number): void {
+function applyEvent(
+	state: types.ShardState,
+	task: types.TaskRecord,
+	event: tasks.TaskEvent,
+	at: number,
+): void {
 	const next = tasks.taskChart.next(task.state, event);
 	results.invariant(next !== undefined, `task ${task.id} in ${task.state} got ${event}`);
 	task.state = next;
 	if (!tasks.taskChart.isFinal(next)) return;
 	const job = state.jobs.get(task.job);
 	if (job === undefined) return;
-	const standing = jobState(state, job);
-	if (standing !== 'active' && standing !== 'cancelling') job.endedAt = at;
+	const newJobState = jobState(state, job);
+	if (newJobState !== 'active' && newJobState !== 'cancelling') job.endedAt = at;
 }
 
 function recordFailure(task: types.TaskRecord, change: Extract<types.Change, { type: 'task.failed' }>): void {
@@ -212,12 +217,12 @@
 	task.failures = [...task.failures, failure].slice(-maxFailuresKept);
 }
 
-function hold(task: types.TaskRecord): void {
+function holdPlacement(task: types.TaskRecord): void {
 	if (task.worker === undefined || task.incarnation === undefined) return;
 	task.held.push({ worker: task.worker, incarnation: task.incarnation, attempt: task.attempt });
 }
 
-function leave(task: types.TaskRecord): void {
+function clearPlacement(task: types.TaskRecord): void {
 	delete task.worker;
 	delete task.incarnation;
 }
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -10,7 +10,7 @@
 }
 
 /** A place that an earlier attempt of a service replica may still hold on a worker that can't be reached. */
-export interface HeldPlace {
+export interface HeldPlacement {
 	worker: string;
 	incarnation: string;
 	attempt: number;
@@ -34,7 +34,7 @@
 	/** Why the last attempt ended. */
 	ended?: string;
 	failures: FailedAttempt[];
-	held: HeldPlace[];
+	held: HeldPlacement[];
 }
 
 /** How a job stands: derived from its tasks, kept for those that ended. */
@@ -93,7 +93,7 @@
 	| { type: 'claims.expired'; before: number };
 
 /** One entry of the log: all that was decided while the entry before it was being stored. */
-export interface Entry {
+export interface LogEntry {
 	n: number;
 	epoch: number;
 	owner: string;
--- a/src/core/task/chart.ts
+++ b/src/core/task/chart.ts
@@ -8,7 +8,7 @@
 
 const z = zod.z;
 
-const chartFile = z.object({
+const chartSchema = z.object({
 	id: z.string(),
 	initial: z.string(),
 	states: z.record(
@@ -18,7 +18,7 @@
 });
 
 /** A chart as read from its file. */
-export type ChartFile = zod.infer<typeof chartFile>;
+export type ChartFile = zod.infer<typeof chartSchema>;
 
 /** A chart whose states and events are known to the compiler. */
 export interface Chart<S extends string, E extends string> {
@@ -31,7 +31,7 @@
 
 /** Reads and checks a chart file. */
 export function readChartFile(relative: string): ChartFile {
-	return chartFile.parse(assets.readJsonAsset(relative));
+	return chartSchema.parse(assets.readJsonAsset(relative));
 }
 
 /** Builds the interpreter of a chart file. */
--- a/test/crashing-tasks.test.ts
+++ b/test/crashing-tasks.test.ts
@@ -139,12 +139,12 @@
 	await made.clock.pass(290);
 	await reign.change();
 	// It learns that the worker went down, and has no room for the task.
-	const { onListed, workers: all } = made.fleet;
+	const { onListed, workers } = made.fleet;
 	made.fleet.onListed = (added, removed) => {
 		reign.owner.dispatcher.setWorkers(added.map(withoutRoom), removed, false);
 	};
 	made.fleet.onListed(
-		[...all.values()].map(({ entry }) => entry),
+		[...workers.values()].map(({ entry }) => entry),
 		[],
 	);
 	await made.clock.pass(20_000);
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -67,22 +67,26 @@
 	t.true(second >= 50 && second <= 51, String(second));
 });
 
-const box = (id: string, residents: placement.Resident[] = []): placement.Box => ({
+const box = (id: string, allocations: placement.Allocation[] = []): placement.Worker => ({
 	id,
 	rack: 'r1',
 	capacity: { cores: 8, memoryMb: 1000, accelerators: 0 },
-	residents,
+	allocations,
 });
 
-const resident = (task: string, cores: number, kind: 'service' | 'batch' = 'batch'): placement.Resident => ({
+const resident = (
+	task: string,
+	cores: number,
+	kind: 'service' | 'batch' = 'batch',
+): placement.Allocation => ({
 	task,
 	job: task,
 	kind,
 	urgent: false,
-	amount: { cores, memoryMb: 10, accelerators: 0 },
+	resources: { cores, memoryMb: 10, accelerators: 0 },
 });
 
-const waiting = (task: string, cores: number, urgent = false): placement.Waiting => ({
+const waiting = (task: string, cores: number, urgent = false): placement.PendingTask => ({
 	task,
 	job: task,
 	kind: 'batch',
@@ -90,10 +94,10 @@
 	needs: { cores, memoryMb: 10, accelerators: 0 },
 	maxShareOfBox: 1,
 	failedOn: [],
-	since: 0,
+	waitingSince: 0,
 });
 
-const options = { score: placement.bestFit, maxPlaces: 100, evicting: new Set<string>() };
+const options = { score: placement.bestFit, maxPlacements: 100, evicting: new Set<string>() };
 
 test('a round never fills a worker beyond what it holds', (t) => {
 	const random = seeded(11);
@@ -103,7 +107,7 @@
 			waiting(`t${index}`, 0.5 + Math.floor(random() * 8) / 2, random() < 0.2),
 		);
 		placement.placeRound(tasks, boxes, options);
-		for (const one of boxes) t.true(placement.used(one).cores <= one.capacity.cores);
+		for (const one of boxes) t.true(placement.allocated(one).cores <= one.capacity.cores);
 	}
 });
 
@@ -120,25 +124,25 @@
 });
 
 test('an overfull worker throttles batch for cores and evicts for memory', (t) => {
-	const cores = placement.relieve(box('w', [resident('s', 6, 'service'), resident('b', 4)]), () => 0);
+	const cores = placement.relievePressure(box('w', [resident('s', 6, 'service'), resident('b', 4)]), () => 0);
 	t.snapshot({ throttles: [...cores.throttles], evictions: cores.evictions });
 	const memory = resident('m', 1);
-	memory.amount.memoryMb = 2000;
-	const evicted = placement.relieve(box('w', [resident('s', 2, 'service'), memory]), () => 0);
+	memory.resources.memoryMb = 2000;
+	const evicted = placement.relievePressure(box('w', [resident('s', 2, 'service'), memory]), () => 0);
 	t.snapshot({ throttles: [...evicted.throttles], evictions: evicted.evictions });
 });
 
-const waits = { leaseMs: 10, horizonMs: 100, marginMs: 1, clockRate: 0, unreachableMs: 5 };
+const waits = { leaseMs: 10, horizonMs: 100, marginMs: 1, maxClockDrift: 0, unreachableMs: 5 };
 
 test('silence proves nothing before every lease that anybody gave has ended', (t) => {
-	const view = types.newView({
+	const view = types.newWorkerView({
 		id: 'w',
 		address: '',
 		rack: '',
 		capacity: { cores: 1, memoryMb: 1, accelerators: 0 },
 		leaving: false,
 	});
-	const proved = (released: boolean): number => silence.provedStoppedAt(view, { at: 1000, released }, waits);
+	const proved = (released: boolean): number => silence.provenStoppedAt(view, { at: 1000, released }, waits);
 	t.is(proved(false), 1111);
 	t.is(proved(true), 1011);
 	view.fenced = true;
@@ -174,9 +178,9 @@
 
 const context: requests.RequestContext = {
 	views: new Map([
-		['w', types.newView({ ...listing, capacity: { cores: 8, memoryMb: 1000, accelerators: 0 } })],
+		['w', types.newWorkerView({ ...listing, capacity: { cores: 8, memoryMb: 1000, accelerators: 0 } })],
 	]),
-	listRead: true,
+	isWorkerListRead: true,
 	nextShard: () => undefined,
 	answers: new Map(),
 	holderGone: () => false,
