--- a/src/cli/box/metrics.ts
+++ b/src/cli/box/metrics.ts
@@ -23,13 +23,13 @@
 	const metrics = await import('../../core/metrics/index.js');
 	const registry = metrics.Metrics.create();
 	box.recordTime = (name, ms) => {
-		registry.time(name, ms);
+		registry.recordLatency(name, ms);
 	};
 	log.observe((event) => {
 		registry.count(`event_${event.name.replace(/[.-]/g, '_')}`);
 		const name = histogramsByEvent[event.name];
 		const ms = event.fields.waitedMs ?? event.fields.ageMs ?? event.fields.tookMs;
-		if (name !== undefined && typeof ms === 'number') registry.time(name, ms);
+		if (name !== undefined && typeof ms === 'number') registry.recordLatency(name, ms);
 	});
 	const server = http.createServer((_req, res) => {
 		res.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' }).end(registry.text(boxGauges(box)));
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -3,7 +3,7 @@
 import * as settings from '../core/settings/index.js';
 
 /** A program between its start and its planned stop. */
-interface Running {
+interface RunningProgram {
 	start: () => Promise<void>;
 	stop: () => Promise<void>;
 }
@@ -14,14 +14,19 @@
 	/** One sentence, for `--help`. */
 	description: string;
 	settings: T;
-	create: (given: settings.Settings<T>) => Running;
+	create: (given: settings.Settings<T>) => RunningProgram;
 }
 
 /** Runs a binary with the flags it was given. */
 export async function run<T extends settings.SettingTable>(program: Program<T>): Promise<void> {
 	const { binary, description } = program;
-	const given = await settings.readSettings(binary, description, program.settings, process.argv.slice(2));
-	const running = program.create(given);
+	const checkedSettings = await settings.readSettings(
+		binary,
+		description,
+		program.settings,
+		process.argv.slice(2),
+	);
+	const running = program.create(checkedSettings);
 	await running.start();
 	node.stopOnSignals(() => running.stop());
 }
--- a/src/cli/woodcross/commands.ts
+++ b/src/cli/woodcross/commands.ts
@@ -23,21 +23,21 @@
 
 const json = cmd.flag({ long: 'json', description: 'Print the answer as JSON' });
 
-const common = { operator: address, json };
+const commonArgs = { operator: address, json };
 
-interface Common {
+interface CommonArgs {
 	operator: string;
 	json: boolean;
 }
 
 /** Makes one call and prints its answer. */
 async function run<N extends operator.CallName>(
-	given: Common,
+	args: CommonArgs,
 	name: N,
 	req: operator.Calls[N]['req'],
 	print: (res: operator.Calls[N]['res']) => string,
 ): Promise<void> {
-	const client = operator.OperatorClient.create(given.operator);
+	const client = operator.OperatorClient.create(args.operator);
 	const res = await client.call(name, req);
 	client.close();
 	if (!res.ok) {
@@ -45,7 +45,7 @@
 		process.exitCode = exitFailed;
 		return;
 	}
-	process.stdout.write(`${given.json ? JSON.stringify(res.value, null, 2) : print(res.value)}\n`);
+	process.stdout.write(`${args.json ? JSON.stringify(res.value, null, 2) : print(res.value)}\n`);
 }
 
 /** Reads a declaration from a YAML or JSON file; a fault is told with its line. */
@@ -65,7 +65,7 @@
 const submit = cmd.command({
 	name: 'submit',
 	description: 'Declare a service or a batch job from a YAML or JSON file',
-	args: { ...common, file: cmd.positional({ type: cmd.string, displayName: 'file' }) },
+	args: { ...commonArgs, file: cmd.positional({ type: cmd.string, displayName: 'file' }) },
 	handler: async (args) => {
 		const spec = readSpec(args.file);
 		if (!spec.ok) {
@@ -80,7 +80,7 @@
 const cancel = cmd.command({
 	name: 'cancel',
 	description: 'Cancel a job and stop its tasks',
-	args: { ...common, job: cmd.positional({ type: cmd.string, displayName: 'team/name' }) },
+	args: { ...commonArgs, job: cmd.positional({ type: cmd.string, displayName: 'team/name' }) },
 	handler: (args) => run(args, 'cancel', { job: args.job }, show.cancelled),
 });
 
@@ -88,7 +88,7 @@
 	name: 'status',
 	description: 'Show where every job, shard and worker stands',
 	args: {
-		...common,
+		...commonArgs,
 		team: cmd.option({ long: 'team', defaultValue: () => '', description: 'Only jobs of this team' }),
 	},
 	handler: (args) => run(args, 'status', { team: args.team }, show.status),
@@ -97,21 +97,21 @@
 const explain = cmd.command({
 	name: 'explain',
 	description: 'Say where a task is, why there, and what it waits for',
-	args: { ...common, task: cmd.positional({ type: cmd.string, displayName: 'team/name/number' }) },
+	args: { ...commonArgs, task: cmd.positional({ type: cmd.string, displayName: 'team/name/number' }) },
 	handler: (args) => run(args, 'explain', { task: args.task }, show.explained),
 });
 
 const configGet = cmd.command({
 	name: 'get',
 	description: 'Show the configuration in force',
-	args: common,
+	args: commonArgs,
 	handler: (args) => run(args, 'getConfig', {}, show.config),
 });
 
 const configHistory = cmd.command({
 	name: 'history',
 	description: 'Show who changed what',
-	args: common,
+	args: commonArgs,
 	handler: (args) => run(args, 'getConfig', {}, show.history),
 });
 
@@ -119,7 +119,7 @@
 	name: 'set',
 	description: 'Change one key; accepted only once it is stored',
 	args: {
-		...common,
+		...commonArgs,
 		key: cmd.positional({ type: cmd.string, displayName: 'key' }),
 		value: cmd.positional({ type: cmd.string, displayName: 'value' }),
 		by: cmd.option({
@@ -146,7 +146,7 @@
 const boxes = cmd.command({
 	name: 'boxes',
 	description: "Show the system's processes and their configuration versions",
-	args: common,
+	args: commonArgs,
 	handler: (args) => run(args, 'boxes', {}, show.boxes),
 });
 
@@ -154,7 +154,7 @@
 	name: 'timeline',
 	description: 'Show events of all processes in one order',
 	args: {
-		...common,
+		...commonArgs,
 		about: cmd.positional({
 			type: cmd.optional(cmd.string),
 			displayName: 'task, job, request, worker or box',
--- a/src/cli/woodcross/show.ts
+++ b/src/cli/woodcross/show.ts
@@ -20,8 +20,8 @@
 
 /** A failed call, and when to come back. */
 export function callError(err: operator.CallError): string {
-	const back = err.retryAfterMs === undefined ? '' : ` Try again in ${err.retryAfterMs} ms.`;
-	return `${err.name || `gRPC status ${err.code}`}: ${err.message}${back}`;
+	const retryHint = err.retryAfterMs === undefined ? '' : ` Try again in ${err.retryAfterMs} ms.`;
+	return `${err.name || `gRPC status ${err.code}`}: ${err.message}${retryHint}`;
 }
 
 export function submitted(res: operator.PartsReply): string {
@@ -42,7 +42,7 @@
 
 function shardText(shard: operator.ShardStatus): string {
 	if (shard.problem !== '') return `shard ${shard.shard}: ${shard.problem}`;
-	const head = `shard ${shard.shard} owned by ${shard.owner}, epoch ${shard.epoch}, entry ${shard.entries}`;
+	const heading = `shard ${shard.shard} owned by ${shard.owner}, epoch ${shard.epoch}, entry ${shard.entries}`;
 	const jobs = shard.jobs.map((job) => {
 		const counts = Object.entries(job.counts)
 			.map(([state, count]) => `${count} ${state}`)
@@ -63,7 +63,7 @@
 		`${one.tasks} tasks`,
 		`${one.silentMs} ms ago`,
 	]);
-	return [head, table([...jobs, ...workers])].join('\n');
+	return [heading, table([...jobs, ...workers])].join('\n');
 }
 
 export function explained(res: operator.ExplainReply): string {
--- a/src/core/boxes/index.ts
+++ b/src/core/boxes/index.ts
@@ -7,7 +7,7 @@
 
 const z = zod.z;
 
-const common = {
+const commonFields = {
 	id: z.string(),
 	/** `host:port`. */
 	address: z.string(),
@@ -15,7 +15,7 @@
 };
 
 const workerBox = z.object({
-	...common,
+	...commonFields,
 	rack: z.string(),
 	cores: z.number(),
 	memoryMb: z.number(),
@@ -23,7 +23,7 @@
 });
 
 const backendBox = z.object({
-	...common,
+	...commonFields,
 	service: z.string(),
 	/** Requests it runs at once. */
 	slots: z.number().int().min(1),
@@ -50,10 +50,10 @@
 	return `platform/boxes/${zone}/backend-servers`;
 }
 
-function parseList<T>(item: platform.Stored | undefined, shape: zod.ZodType<T>): T[] | undefined {
+function parseList<T>(item: platform.Stored | undefined, schema: zod.ZodType<T>): T[] | undefined {
 	if (item === undefined) return undefined;
 	try {
-		const parsed = z.array(shape).safeParse(JSON.parse(Buffer.from(item.value).toString('utf8')));
+		const parsed = z.array(schema).safeParse(JSON.parse(Buffer.from(item.value).toString('utf8')));
 		return parsed.success ? parsed.data : undefined;
 	} catch {
 		return undefined;
--- a/src/core/config/keys.ts
+++ b/src/core/config/keys.ts
@@ -56,8 +56,8 @@
 /** Checks one value an operator wants to set. */
 export function checkValue(name: string, value: unknown): results.Result<ConfigValue, errors.Failure> {
 	if (!isConfigName(name)) {
-		const known = Object.keys(configKeys).join(', ');
-		return results.fail(errors.failure('ConfigInvalid', `unknown key ${name}; known keys: ${known}`));
+		const knownKeys = Object.keys(configKeys).join(', ');
+		return results.fail(errors.failure('ConfigInvalid', `unknown key ${name}; known keys: ${knownKeys}`));
 	}
 	const parsed = configKeys[name].schema.safeParse(value);
 	if (parsed.success) return results.ok(parsed.data);
--- a/src/core/config/store.ts
+++ b/src/core/config/store.ts
@@ -15,10 +15,10 @@
  * one change a second a long history would use up a process's 8 KB a second (docs/CAPACITY.md); older changes are
  * events 5002 in the time line. Must outlast the settling of an unanswered write, which takes seconds.
  */
-const historySize = 32;
+const maxHistoryEntries = 32;
 
 /** Wait before an unanswered call is repeated, in milliseconds. */
-const retryMs = 200;
+const retryIntervalMs = 200;
 
 /** The record before the first change. */
 export const emptyRecord: wire.ConfigRecord = { version: 0, values: {}, history: [] };
@@ -53,7 +53,7 @@
 	return change && { version: change.version, record };
 }
 
-function changed(
+function withChange(
 	record: wire.ConfigRecord,
 	change: ConfigChange,
 	value: keys.ConfigValue,
@@ -65,7 +65,7 @@
 	return {
 		version,
 		values: { ...record.values, [change.key]: value },
-		history: [...record.history, entry].slice(-historySize),
+		history: [...record.history, entry].slice(-maxHistoryEntries),
 	};
 }
 
@@ -82,13 +82,13 @@
 	const checked = keys.checkValue(change.key, change.value);
 	if (!checked.ok) return checked;
 	const nonce = crypto.randomUUID();
-	const giveUpAt = clock.now() + timeoutMs;
-	let sent = false;
-	while (clock.now() < giveUpAt) {
+	const deadlineAt = clock.now() + timeoutMs;
+	let hasUnansweredWrite = false;
+	while (clock.now() < deadlineAt) {
 		const item = await store.get(configKey);
 		const record = item.ok ? decodeRecord(item.value) : undefined;
 		if (!item.ok || record?.ok !== true) {
-			await clocks.sleep(clock, retryMs);
+			await clocks.sleep(clock, retryIntervalMs);
 			continue;
 		}
 		const stored = findStored(record.value, nonce);
@@ -96,14 +96,14 @@
 		const current = record.value;
 		// With an unanswered write outstanding, "seen" was checked before it and only the swap decides.
 		if (change.seen !== undefined && current.version !== change.seen) return conflict(change, current);
-		const next = changed(current, change, checked.value, nonce, clock.wall());
+		const next = withChange(current, change, checked.value, nonce, clock.wall());
 		const put = await store.swap(configKey, wire.encodeValue(next), item.value?.version ?? 0);
 		if (put.ok && put.value.swapped) return results.ok({ version: next.version, record: next });
-		if (!put.ok && put.err.effect === 'unknown') sent = true;
+		if (!put.ok && put.err.effect === 'unknown') hasUnansweredWrite = true;
 	}
 	const detail = `${change.key} = ${String(change.value)}`;
 	const retryAfterMs = 2_000;
-	if (sent) return results.fail(errors.failure('OutcomeUnknown', detail, { retryAfterMs }));
+	if (hasUnansweredWrite) return results.fail(errors.failure('OutcomeUnknown', detail, { retryAfterMs }));
 	return results.fail(errors.failure('PlatformUnavailable', detail, { retryAfterMs }));
 }
 
--- a/src/core/config/task.ts
+++ b/src/core/config/task.ts
@@ -13,7 +13,7 @@
 const relistMs = 2_000;
 
 /** Milliseconds that a peer may take to hand over its record. */
-const askMs = 1_000;
+const peerTimeoutMs = 1_000;
 
 /** What the task needs. */
 export interface ConfigDeps {
@@ -27,7 +27,7 @@
 }
 
 /** A process's configuration. */
-export class ConfigTask {
+export class ConfigFollower {
 	record: wire.ConfigRecord = store.emptyRecord;
 	/** Whether a record was learnt since the start; before that the process serves nothing that depends on it. */
 	known = false;
@@ -35,17 +35,17 @@
 
 	private constructor(private readonly deps: ConfigDeps) {}
 
-	static create(deps: ConfigDeps): ConfigTask {
-		const task = new ConfigTask(deps);
-		task.follower = platform.Follower.create(deps.store, deps.clock, {
+	static create(deps: ConfigDeps): ConfigFollower {
+		const configFollower = new ConfigFollower(deps);
+		configFollower.follower = platform.Follower.create(deps.store, deps.clock, {
 			prefix: store.configKey,
 			relistMs,
 			onView: (view) => {
 				const record = store.decodeRecord(view.get(store.configKey));
-				if (record.ok) task.offer(record.value, 'platform');
+				if (record.ok) configFollower.applyIfNewer(record.value, 'platform');
 			},
 		});
-		return task;
+		return configFollower;
 	}
 
 	/** A number of the configuration in force. */
@@ -62,33 +62,33 @@
 	 * Takes over a higher version. One read from the platform is passed on to the zone's peers. A push may have been
 	 * under way for long, so to a process that has just started it proves nothing: it asks first (spec/config.ts).
 	 */
-	offer(record: wire.ConfigRecord, from: 'platform' | 'asked' | 'push'): void {
-		if (from === 'push' && !this.known) return;
-		const first = !this.known;
+	applyIfNewer(record: wire.ConfigRecord, source: 'platform' | 'asked' | 'push'): void {
+		if (source === 'push' && !this.known) return;
+		const isFirst = !this.known;
 		this.known = true;
-		if (record.version <= this.record.version && !(first && record.version === 0)) return;
+		if (record.version <= this.record.version && !(isFirst && record.version === 0)) return;
 		this.record = record;
 		this.deps.events.emit('config.applied', { version: record.version });
 		this.deps.onApplied(record);
-		if (from === 'platform' && record.version > 0) this.relay(record);
+		if (source === 'platform' && record.version > 0) this.pushToZonePeers(record);
 	}
 
 	/** A peer told of a higher version: ask it for the record. */
-	async heard(version: number, address: string): Promise<void> {
+	async fetchIfNewer(version: number, address: string): Promise<void> {
 		if (version <= this.record.version && this.known) return;
-		const res = await this.deps.peers.call<unknown>(address, { type: 'config.get' }, askMs);
+		const res = await this.deps.peers.call<unknown>(address, { type: 'config.get' }, peerTimeoutMs);
 		if (!res.ok || !res.value.ok) return;
 		const parsed = wire.configRecord.safeParse(res.value.value);
-		if (parsed.success) this.offer(parsed.data, 'asked');
+		if (parsed.success) this.applyIfNewer(parsed.data, 'asked');
 	}
 
 	stop(): void {
 		this.follower?.stop();
 	}
 
-	private relay(record: wire.ConfigRecord): void {
+	private pushToZonePeers(record: wire.ConfigRecord): void {
 		for (const address of this.deps.zonePeers()) {
-			void this.deps.peers.call(address, { type: 'config.push', record }, askMs);
+			void this.deps.peers.call(address, { type: 'config.push', record }, peerTimeoutMs);
 		}
 	}
 }
--- a/src/core/entry/backends.ts
+++ b/src/core/entry/backends.ts
@@ -18,22 +18,22 @@
 	/** Failures in a row. */
 	failures: number;
 	/** Not tried before this time, on the monotonic clock. */
-	downUntil: number;
+	backoffUntil: number;
 	/** Known to be leaving, from the list, from its own answers, or from a peer. */
 	leaving: boolean;
 	/** Gone from the list; closed once idle. */
-	gone: boolean;
+	unlisted: boolean;
 }
 
 /** Milliseconds a connection may take to stand. */
-const connectMs = 1_000;
+const connectTimeoutMs = 1_000;
 
 /** Weight of the newest answer time in the moving average. */
 const latencyWeight = 0.1;
 
 /** Pause after a failure in milliseconds: doubles with each in a row up to the largest. */
-const pauseMs = 100;
-const largestPauseMs = 5_000;
+const initialBackoffMs = 100;
+const maxBackoffMs = 5_000;
 
 /** The set of backend servers. */
 export class Backends {
@@ -53,10 +53,10 @@
 	}
 
 	/** Takes over a zone's newest list. The list lags: what is known to be leaving stays so until it is gone. */
-	setZone(zone: string, listed: readonly boxes.BackendBox[]): void {
+	applyZoneList(zone: string, listed: readonly boxes.BackendBox[]): void {
 		const ids = new Set(listed.map((box) => box.id));
 		for (const backend of this.byId.values()) {
-			if (backend.zone === zone && !ids.has(backend.box.id)) this.remove(backend);
+			if (backend.zone === zone && !ids.has(backend.box.id)) this.unlist(backend);
 		}
 		for (const box of listed) this.set(zone, box);
 	}
@@ -73,24 +73,24 @@
 	/** Whether it may get a request now. */
 	open(backend: Backend): boolean {
 		const free = backend.inFlight < backend.share.value;
-		return free && !backend.leaving && !backend.gone && backend.downUntil <= this.clock.now();
+		return free && !backend.leaving && !backend.unlisted && backend.backoffUntil <= this.clock.now();
 	}
 
 	/** Notes how a request ended. */
-	note(backend: Backend, ended: 'answered' | 'refused' | 'failed', tookMs: number): void {
+	noteOutcome(backend: Backend, outcome: 'answered' | 'refused' | 'failed', tookMs: number): void {
 		backend.inFlight -= 1;
-		if (ended === 'answered') {
+		if (outcome === 'answered') {
 			backend.failures = 0;
 			backend.latencyMs += (tookMs - backend.latencyMs) * latencyWeight;
 		}
-		if (ended === 'failed') {
+		if (outcome === 'failed') {
 			backend.failures += 1;
-			const pause = Math.min(largestPauseMs, pauseMs * 2 ** Math.min(10, backend.failures - 1));
-			backend.downUntil = this.clock.now() + pause;
+			const backoffMs = Math.min(maxBackoffMs, initialBackoffMs * 2 ** Math.min(10, backend.failures - 1));
+			backend.backoffUntil = this.clock.now() + backoffMs;
 		}
 		// Its slots are taken by others: leave it alone for about as long as one answer takes.
-		if (ended === 'refused') backend.downUntil = this.clock.now() + Math.max(1, backend.latencyMs / 2);
-		if (backend.gone && backend.inFlight === 0) this.drop(backend);
+		if (outcome === 'refused') backend.backoffUntil = this.clock.now() + Math.max(1, backend.latencyMs / 2);
+		if (backend.unlisted && backend.inFlight === 0) this.removeAndClose(backend);
 	}
 
 	async close(): Promise<void> {
@@ -98,14 +98,14 @@
 	}
 
 	private set(zone: string, box: boxes.BackendBox): void {
-		const known = this.byId.get(box.id);
-		if (known?.box.address === box.address) {
-			known.box = box;
-			known.gone = false;
+		const existing = this.byId.get(box.id);
+		if (existing?.box.address === box.address) {
+			existing.box = box;
+			existing.unlisted = false;
 			if (box.state === 'leaving') this.markLeaving(box.id);
 			return;
 		}
-		if (known !== undefined) this.drop(known);
+		if (existing !== undefined) this.removeAndClose(existing);
 		this.byId.set(box.id, this.build(zone, box));
 		this.log.emit('backend.added', { backend: box.id });
 		if (box.state === 'leaving') this.markLeaving(box.id);
@@ -115,7 +115,7 @@
 		const pool = new undici.Pool(`http://${box.address}`, {
 			connections: Math.max(1, Math.min(box.slots, box.connections)),
 			pipelining: 1,
-			connect: { timeout: connectMs },
+			connect: { timeout: connectTimeoutMs },
 			headersTimeout: 0,
 			bodyTimeout: 0,
 		});
@@ -127,18 +127,18 @@
 			inFlight: 0,
 			latencyMs: 0,
 			failures: 0,
-			downUntil: -Infinity,
+			backoffUntil: -Infinity,
 			leaving: false,
-			gone: false,
+			unlisted: false,
 		};
 	}
 
-	private remove(backend: Backend): void {
-		backend.gone = true;
-		if (backend.inFlight === 0) this.drop(backend);
+	private unlist(backend: Backend): void {
+		backend.unlisted = true;
+		if (backend.inFlight === 0) this.removeAndClose(backend);
 	}
 
-	private drop(backend: Backend): void {
+	private removeAndClose(backend: Backend): void {
 		if (this.byId.get(backend.box.id) === backend) this.byId.delete(backend.box.id);
 		this.log.emit('backend.removed', { backend: backend.box.id });
 		void backend.pool.close();
--- a/src/core/entry/caller.ts
+++ b/src/core/entry/caller.ts
@@ -23,7 +23,7 @@
 const safeMethods = new Set(['GET', 'HEAD', 'OPTIONS']);
 
 /** What the path and headers of a request say. */
-export interface Parsed {
+export interface ParsedRequest {
 	service: string;
 	/** Path and query at the backend server. */
 	path: string;
@@ -44,12 +44,12 @@
 export function parseRequest(
 	req: http.IncomingMessage,
 	defaultDeadlineMs: number,
-): results.Result<Parsed, errors.Failure> {
+): results.Result<ParsedRequest, errors.Failure> {
 	const match = /^\/services\/([a-z0-9][a-z0-9-]{0,62})(\/[^#]*)?$/.exec(req.url ?? '');
 	if (match?.[1] === undefined) return invalid('the path must be /services/<service>/...');
-	const asked = header(req, deadlineHeader);
-	if (asked !== undefined && !/^[1-9]\d{0,8}$/.test(asked))
-		return invalid(`${deadlineHeader}: ${asked} is not a number of ms`);
+	const requestedDeadlineMs = header(req, deadlineHeader);
+	if (requestedDeadlineMs !== undefined && !/^[1-9]\d{0,8}$/.test(requestedDeadlineMs))
+		return invalid(`${deadlineHeader}: ${requestedDeadlineMs} is not a number of ms`);
 	const key = header(req, keyHeader);
 	if (key !== undefined && (key === '' || key.length > maxKeyLength)) {
 		return invalid(`${keyHeader} must have 1 to ${maxKeyLength} characters`);
@@ -59,7 +59,10 @@
 		service: match[1],
 		path: match[2] ?? '/',
 		repeatable: safe || header(req, repeatHeader) === 'safe',
-		deadlineMs: Math.min(defaultDeadlineMs, asked === undefined ? Infinity : Number(asked)),
+		deadlineMs: Math.min(
+			defaultDeadlineMs,
+			requestedDeadlineMs === undefined ? Infinity : Number(requestedDeadlineMs),
+		),
 		key: safe ? undefined : key,
 		caller: header(req, callerHeader) ?? header(req, 'authorization') ?? '',
 	});
@@ -117,7 +120,7 @@
 export function writeWhole(
 	res: http.ServerResponse,
 	id: string,
-	answer: { status: number; headers: forward.AnswerHeaders; body: Uint8Array },
+	answer: { status: number; headers: forward.ResponseHeaders; body: Uint8Array },
 ): void {
 	if (res.destroyed) return;
 	writeHead(res, id, answer);
@@ -134,11 +137,11 @@
 	answer: Extract<forward.SendOutcome, { kind: 'large' }>,
 ): Promise<boolean> {
 	writeHead(res, id, answer);
-	for (const chunk of answer.head) res.write(chunk);
+	for (const chunk of answer.firstChunks) res.write(chunk);
 	try {
 		for await (const chunk of answer.rest as AsyncIterable<Buffer>) {
 			if (res.destroyed) break;
-			if (!res.write(chunk)) await drained(res);
+			if (!res.write(chunk)) await waitForDrain(res);
 		}
 	} catch {
 		res.destroy();
@@ -152,21 +155,21 @@
 function writeHead(
 	res: http.ServerResponse,
 	id: string,
-	answer: { status: number; headers: forward.AnswerHeaders },
+	answer: { status: number; headers: forward.ResponseHeaders },
 ): void {
 	res.statusCode = answer.status;
 	for (const [name, value] of Object.entries(answer.headers)) res.setHeader(name, value);
 	res.setHeader(forward.requestIdHeader, id);
 }
 
-function drained(res: http.ServerResponse): Promise<void> {
+function waitForDrain(res: http.ServerResponse): Promise<void> {
 	return new Promise((resolve) => {
-		const done = (): void => {
-			res.off('drain', done);
-			res.off('close', done);
+		const resolveOnce = (): void => {
+			res.off('drain', resolveOnce);
+			res.off('close', resolveOnce);
 			resolve();
 		};
-		res.on('drain', done);
-		res.on('close', done);
+		res.on('drain', resolveOnce);
+		res.on('close', resolveOnce);
 	});
 }
--- a/src/core/entry/claims.ts
+++ b/src/core/entry/claims.ts
@@ -26,16 +26,16 @@
 	{ kind: 'held'; claim: Claim } | { kind: 'answered'; answer: scheduler.ClaimAnswer };
 
 /** Wait before a key whose request still runs is asked for again, in milliseconds. */
-const againMs = 250;
+const pollIntervalMs = 250;
 
 /** Time told to callers whose key can't be claimed, in milliseconds. */
 const retryAfterMs = 2_000;
 
 /** Milliseconds for which the end of a claim is told again until the shard's owner has stored it. */
-const endMs = 300_000;
+const reportTimeoutMs = 300_000;
 
 /** Wait between tries to tell it, in milliseconds. */
-const endAgainMs = 1_000;
+const reportRetryIntervalMs = 1_000;
 
 /** A caller's key: scoped by service and caller, of fixed length. */
 export function claimKey(service: string, caller: string, key: string): string {
@@ -53,7 +53,7 @@
 }
 
 /** Claims the key before the request is sent; waits while an earlier request with it still runs. */
-export async function begin(
+export async function beginClaim(
 	deps: ClaimDeps,
 	key: string,
 	bodyHash: string,
@@ -64,42 +64,42 @@
 	const holder = `${deps.boot}#${requestId}`;
 	const req = { type: 'claim.begin', shard, key, bodyHash, holder } as const;
 	for (;;) {
-		const left = deadlineAt - deps.clock.now();
-		if (left <= 0) break;
-		const res = await shardCalls.callShard<scheduler.ClaimReply>(deps, req, left);
+		const remainingMs = deadlineAt - deps.clock.now();
+		if (remainingMs <= 0) break;
+		const res = await shardCalls.callShard<scheduler.ClaimReply>(deps, req, remainingMs);
 		if (!res.ok) {
 			// The claim may still be granted. Only we know that its request will never be sent, so only we give it back:
 			// the owner can't tell a call that was given up from one that is being repeated (spec/claim.ts).
-			if (res.err.name !== 'KeyReused') void end(deps, { key, shard, holder }, 'not-run');
-			return results.fail(unclaimed(res.err));
+			if (res.err.name !== 'KeyReused') void endClaim(deps, { key, shard, holder }, 'not-run');
+			return results.fail(toClaimFailure(res.err));
 		}
 		if (res.value.claim === 'granted') return results.ok({ kind: 'held', claim: { key, shard, holder } });
-		const known = earlier(res.value);
-		if (known !== undefined) return known;
-		await clocks.sleep(deps.clock, Math.min(againMs, Math.max(0, deadlineAt - deps.clock.now())));
+		const earlierResult = earlierOutcome(res.value);
+		if (earlierResult !== undefined) return earlierResult;
+		await clocks.sleep(deps.clock, Math.min(pollIntervalMs, Math.max(0, deadlineAt - deps.clock.now())));
 	}
 	const detail = 'the earlier request with this key is still running';
 	return results.fail(errors.failure('MayHaveRun', detail, { retryAfterMs, run: 'may-have-run' }));
 }
 
 /** Tells what became of the claimed request. Lost word leaves the claim as "running", which never allows a rerun. */
-export async function end(
+export async function endClaim(
 	deps: ClaimDeps,
 	claim: Claim,
 	outcome: 'done' | 'not-run' | 'may-have-run',
 	answer?: scheduler.ClaimAnswer,
 ): Promise<void> {
-	const giveUpAt = deps.clock.now() + endMs;
+	const retryUntil = deps.clock.now() + reportTimeoutMs;
 	const req = { type: 'claim.end', ...claim, outcome, answer } as const;
-	while (deps.clock.now() < giveUpAt) {
-		const res = await shardCalls.callShard(deps, req, shardCalls.tryMs);
+	while (deps.clock.now() < retryUntil) {
+		const res = await shardCalls.callShard(deps, req, shardCalls.attemptTimeoutMs);
 		if (res.ok) return;
-		await clocks.sleep(deps.clock, endAgainMs);
+		await clocks.sleep(deps.clock, reportRetryIntervalMs);
 	}
 }
 
 /** Anything but a grant means that nothing was sent to a backend server for this request. */
-function unclaimed(err: errors.Failure): errors.Failure {
+function toClaimFailure(err: errors.Failure): errors.Failure {
 	if (err.name === 'KeyReused') return err;
 	return errors.failure('ClaimUnavailable', err.detail, {
 		retryAfterMs: err.retryAfterMs ?? retryAfterMs,
@@ -107,7 +107,7 @@
 	});
 }
 
-function earlier(
+function earlierOutcome(
 	reply: Extract<scheduler.ClaimReply, { claim: 'taken' }>,
 ): results.Result<ClaimOutcome, errors.Failure> | undefined {
 	if (reply.outcome === 'running') return undefined;
--- a/src/core/entry/forward.ts
+++ b/src/core/entry/forward.ts
@@ -14,18 +14,18 @@
 }
 
 /** Headers of an answer, in order, as pairs. */
-export type AnswerHeaders = Record<string, string | string[]>;
+export type ResponseHeaders = Record<string, string | string[]>;
 
 /** What sending came to. */
 export type SendOutcome =
-	| { kind: 'whole'; status: number; headers: AnswerHeaders; body: Buffer }
+	| { kind: 'whole'; status: number; headers: ResponseHeaders; body: Buffer }
 	/** Too large to hold: `head` came already, `rest` follows and may still break off. */
-	| { kind: 'large'; status: number; headers: AnswerHeaders; head: Buffer[]; rest: stream.Readable }
+	| { kind: 'large'; status: number; headers: ResponseHeaders; firstChunks: Buffer[]; rest: stream.Readable }
 	| { kind: 'refused'; leaving: boolean }
 	| { kind: 'failed'; run: errors.RunOutcome; reason: string };
 
 /** Answers up to this many bytes are held whole before a byte is passed on. */
-export const holdBytes = 1024 * 1024;
+export const maxBufferedBytes = 1024 * 1024;
 
 /** Header by which a backend server says that it did not run the request. */
 export const notRunHeader = 'x-woodcross-not-run';
@@ -37,7 +37,7 @@
 export const requestIdHeader = 'x-request-id';
 
 /** Headers that concern one connection only (RFC 9110, section 7.6.1). */
-const hopHeaders = new Set([
+const hopByHopHeaders = new Set([
 	'connection',
 	'keep-alive',
 	'proxy-authenticate',
@@ -52,10 +52,10 @@
 ]);
 
 /** Headers without those of the connection. */
-export function endToEnd(headers: Record<string, string | string[] | undefined>): AnswerHeaders {
-	const kept: AnswerHeaders = {};
+export function endToEndHeaders(headers: Record<string, string | string[] | undefined>): ResponseHeaders {
+	const kept: ResponseHeaders = {};
 	for (const [name, value] of Object.entries(headers)) {
-		if (value !== undefined && !hopHeaders.has(name)) kept[name] = value;
+		if (value !== undefined && !hopByHopHeaders.has(name)) kept[name] = value;
 	}
 	return kept;
 }
@@ -85,7 +85,7 @@
 			body: req.body,
 			signal: abort.signal,
 		});
-		return await take(req, res);
+		return await readResponse(req, res);
 	} catch (err) {
 		const code = errorCode(err);
 		const reason = err instanceof Error ? err.message : String(err);
@@ -95,18 +95,18 @@
 	}
 }
 
-async function take(req: CallerRequest, res: undici.Dispatcher.ResponseData): Promise<SendOutcome> {
-	const echoed = res.headers[requestIdHeader];
-	if (echoed !== undefined && echoed !== req.id) {
+async function readResponse(req: CallerRequest, res: undici.Dispatcher.ResponseData): Promise<SendOutcome> {
+	const echoedId = res.headers[requestIdHeader];
+	if (echoedId !== undefined && echoedId !== req.id) {
 		// Another request's answer: nothing from this connection is to be trusted.
 		res.body.destroy();
-		return { kind: 'failed', run: 'may-have-run', reason: `the answer is for request ${String(echoed)}` };
+		return { kind: 'failed', run: 'may-have-run', reason: `the answer is for request ${String(echoedId)}` };
 	}
 	if (res.statusCode === 503 && res.headers[notRunHeader] === '1') {
 		await res.body.dump();
 		return { kind: 'refused', leaving: res.headers[leavingHeader] === '1' };
 	}
-	const headers = endToEnd(res.headers);
+	const headers = endToEndHeaders(res.headers);
 	const chunks: Buffer[] = [];
 	let size = 0;
 	const body = res.body as AsyncIterable<Buffer>;
@@ -117,8 +117,8 @@
 			return { kind: 'whole', status: res.statusCode, headers, body: Buffer.concat(chunks) };
 		chunks.push(next.value);
 		size += next.value.length;
-		if (size > holdBytes)
-			return { kind: 'large', status: res.statusCode, headers, head: chunks, rest: res.body };
+		if (size > maxBufferedBytes)
+			return { kind: 'large', status: res.statusCode, headers, firstChunks: chunks, rest: res.body };
 	}
 }
 
--- a/src/core/entry/process.ts
+++ b/src/core/entry/process.ts
@@ -18,24 +18,24 @@
 import type * as wire from '../wire/index.js';
 
 /** Milliseconds between rounds of demand among the entry boxes of a zone. */
-const roundMs = 100;
+const shareIntervalMs = 100;
 
 /** Rounds without word after which a box counts as gone from the shares. */
-const silentRounds = 10;
+const maxMissedRounds = 10;
 
 /** Times a request is offered to backend servers at most, refusals included. */
-const maxTries = 4;
+const maxAttempts = 4;
 
 /** Time told to callers of a stopping box, in milliseconds. */
-const stoppingRetryMs = 100;
+const notReadyRetryAfterMs = 100;
 
 interface PeerDemand {
 	demand: Record<string, number>;
-	heardAt: number;
+	receivedAt: number;
 }
 
 /** One request on its way. */
-interface Flight extends caller.Parsed {
+interface ActiveRequest extends caller.ParsedRequest {
 	req: forward.CallerRequest;
 	deadlineAt: number;
 }
@@ -45,12 +45,12 @@
 	private readonly node: node.Node;
 	private readonly backends: backends.Backends;
 	private readonly dispatcher: dispatcher.Dispatcher;
-	private readonly budget: retries.RetryBudget;
+	private readonly retryBudget: retries.RetryBudget;
 	private readonly peerDemand = new Map<string, PeerDemand>();
-	private readonly lists: platform.Follower[] = [];
-	private sharing: clocks.Timer | undefined;
+	private readonly listFollowers: platform.Follower[] = [];
+	private shareTimer: clocks.Timer | undefined;
 	private inFlight = 0;
-	private idle: () => void = () => undefined;
+	private onIdle: () => void = () => undefined;
 
 	private constructor(private readonly settings: settings.EntrySettings) {
 		this.node = node.Node.create(settings, {
@@ -61,9 +61,9 @@
 			onGossip: (gossip) => {
 				this.onGossip(gossip);
 			},
-			gossipMs: roundMs,
+			gossipIntervalMs: shareIntervalMs,
 			partners: (members) => members.zonePeers('entry'),
-			direct: { prefix: '/services/', serve: (req, res) => this.serve(req, res) },
+			rawHttp: { prefix: '/services/', serve: (req, res) => this.serve(req, res) },
 			gauges: () => ({ in_flight: this.inFlight, backends: this.backends.all.length }),
 		});
 		this.backends = backends.Backends.create(this.node.clock, this.node.events);
@@ -74,18 +74,18 @@
 			random: Math.random,
 			queuePerSlot: () => this.node.config.number('entry.queuePerSlot'),
 		});
-		this.budget = retries.RetryBudget.create(() => this.node.config.number('entry.retryBudgetPercent'));
+		this.retryBudget = retries.RetryBudget.create(() => this.node.config.number('entry.retryBudgetPercent'));
 	}
 
-	static create(given: settings.EntrySettings): Entry {
-		return new Entry(given);
+	static create(checkedSettings: settings.EntrySettings): Entry {
+		return new Entry(checkedSettings);
 	}
 
 	async start(): Promise<void> {
 		await this.node.start();
-		for (const zone of this.settings.zones) this.lists.push(this.followZone(zone));
-		this.sharing = clocks.every(this.node.clock, roundMs, () => {
-			this.shareRound();
+		for (const zone of this.settings.zones) this.listFollowers.push(this.followBackendList(zone));
+		this.shareTimer = clocks.every(this.node.clock, shareIntervalMs, () => {
+			this.updateShares();
 		});
 	}
 
@@ -96,23 +96,23 @@
 		await clocks.sleep(this.node.clock, this.settings['drain-ms']);
 		this.node.httpServer.close();
 		this.node.httpServer.closeIdleConnections();
-		while (this.inFlight > 0) await new Promise<void>((resolve) => (this.idle = resolve));
-		this.sharing?.cancel();
-		for (const list of this.lists) list.stop();
+		while (this.inFlight > 0) await new Promise<void>((resolve) => (this.onIdle = resolve));
+		this.shareTimer?.cancel();
+		for (const list of this.listFollowers) list.stop();
 		await this.node.leave();
 		await this.backends.close();
 		await this.node.close();
 	}
 
-	private followZone(zone: string): platform.Follower {
+	private followBackendList(zone: string): platform.Follower {
 		return platform.Follower.create(this.node.store, this.node.clock, {
 			prefix: boxes.backendsKey(zone),
 			relistMs: boxes.boxesRelistMs,
 			onView: (view) => {
 				const listed = boxes.parseBackends(view.get(boxes.backendsKey(zone)));
 				if (listed === undefined) return;
-				this.backends.setZone(zone, listed);
-				this.shareRound();
+				this.backends.applyZoneList(zone, listed);
+				this.updateShares();
 			},
 		});
 	}
@@ -123,53 +123,54 @@
 
 	private onGossip(gossip: wire.Gossip): void {
 		if (gossip.role !== 'entry') return;
-		this.peerDemand.set(gossip.box, { demand: gossip.demand ?? {}, heardAt: this.node.clock.now() });
+		this.peerDemand.set(gossip.box, { demand: gossip.demand ?? {}, receivedAt: this.node.clock.now() });
 		for (const id of gossip.leaving ?? []) this.backends.markLeaving(id);
 	}
 
 	/** Works out the shares anew from what the zone's entry boxes told last. */
-	private shareRound(): void {
+	private updateShares(): void {
 		const now = this.node.clock.now();
 		for (const [box, peer] of this.peerDemand) {
-			if (now - peer.heardAt > silentRounds * roundMs) this.peerDemand.delete(box);
+			if (now - peer.receivedAt > maxMissedRounds * shareIntervalMs) this.peerDemand.delete(box);
 		}
 		const own = this.dispatcher.demand();
 		const percent = this.node.config.number('entry.overflowPercent');
-		const afar = this.node.members.members.filter((one) => one.role === 'entry');
+		const entryMembers = this.node.members.members.filter((one) => one.role === 'entry');
 		for (const backend of this.backends.all) {
 			const { id, service, slots } = backend.box;
 			if (backend.zone === this.settings.zone) {
 				const demands = [{ box: this.node.boot, demand: own[service] ?? 0 }];
 				for (const [box, peer] of this.peerDemand) demands.push({ box, demand: peer.demand[service] ?? 0 });
-				const kept = this.settings.zones.length > 1 ? shares.keptForAfar(slots, percent) : 0;
+				const reserved = this.settings.zones.length > 1 ? shares.slotsForOtherZones(slots, percent) : 0;
 				const rule = shares.shareRules[this.settings['slot-sharing']];
-				const mine = rule(id, slots - kept, demands).get(this.node.boot) ?? 0;
-				backend.share.next(mine);
+				const ownShare = rule(id, slots - reserved, demands).get(this.node.boot) ?? 0;
+				backend.share.update(ownShare);
 				continue;
 			}
-			const foreign = afar.filter((one) => one.zone !== backend.zone).map((one) => one.boot);
-			const kept = shares.keptForAfar(slots, percent);
-			backend.share.next(shares.shareFromAfar(id, kept, foreign, this.node.boot));
+			const otherZoneBoxes = entryMembers.filter((one) => one.zone !== backend.zone).map((one) => one.boot);
+			const reserved = shares.slotsForOtherZones(slots, percent);
+			backend.share.update(shares.shareForOtherZone(id, reserved, otherZoneBoxes, this.node.boot));
 		}
-		this.dispatcher.pump();
+		this.dispatcher.assignFreeSlots();
 	}
 
 	private async serve(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
 		const startedAt = this.node.clock.now();
-		const given = req.headers[forward.requestIdHeader];
-		const id = typeof given === 'string' && /^[\w.-]{1,128}$/.test(given) ? given : crypto.randomUUID();
+		const receivedId = req.headers[forward.requestIdHeader];
+		const id =
+			typeof receivedId === 'string' && /^[\w.-]{1,128}$/.test(receivedId) ? receivedId : crypto.randomUUID();
 		this.inFlight += 1;
 		this.node.metrics.count('requests');
 		// Connections of a stopping box end with their answer, so that no request meets a closing connection.
 		if (this.node.stopping) res.setHeader('connection', 'close');
 		const err = await this.handle(req, res, id, startedAt);
-		if (err !== undefined) this.tellProblem(res, err, id);
-		this.node.metrics.time('request', this.node.clock.now() - startedAt);
+		if (err !== undefined) this.reportProblem(res, err, id);
+		this.node.metrics.recordLatency('request', this.node.clock.now() - startedAt);
 		this.inFlight -= 1;
-		if (this.inFlight === 0) this.idle();
+		if (this.inFlight === 0) this.onIdle();
 	}
 
-	private tellProblem(res: http.ServerResponse, err: errors.Failure, id: string): void {
+	private reportProblem(res: http.ServerResponse, err: errors.Failure, id: string): void {
 		const name = err.run === 'may-have-run' ? 'request.failed' : 'request.refused';
 		this.node.metrics.count(err.run === 'may-have-run' ? 'requests_may_have_run' : 'requests_not_run');
 		this.node.events.emit(name, { request: id, reason: `${err.name}: ${err.detail}` });
@@ -184,41 +185,41 @@
 	): Promise<errors.Failure | undefined> {
 		if (!this.node.config.known) {
 			const detail = 'the configuration is not known yet';
-			return errors.failure('Stopping', detail, { retryAfterMs: stoppingRetryMs, run: 'not-run' });
+			return errors.failure('Stopping', detail, { retryAfterMs: notReadyRetryAfterMs, run: 'not-run' });
 		}
 		const parsed = caller.parseRequest(req, this.node.config.number('entry.deadlineMs'));
 		if (!parsed.ok) return parsed.err;
 		const body = await caller.readBody(req, this.settings['max-body-bytes']);
 		if (!body.ok) return body.err;
 		const { path, deadlineMs } = parsed.value;
-		const headers = forward.endToEnd(req.headers);
-		const flight: Flight = {
+		const headers = forward.endToEndHeaders(req.headers);
+		const active: ActiveRequest = {
 			...parsed.value,
 			req: { id, method: req.method ?? 'GET', path, headers, body: body.value },
 			deadlineAt: startedAt + deadlineMs,
 		};
-		return flight.key === undefined ? this.run(flight, res) : this.runOnce(flight, flight.key, res);
+		return active.key === undefined ? this.run(active, res) : this.runClaimed(active, active.key, res);
 	}
 
 	/** A request under a caller's key: claimed first, sent at most once, its end told to the claim. */
-	private async runOnce(
-		flight: Flight,
+	private async runClaimed(
+		active: ActiveRequest,
 		key: string,
 		res: http.ServerResponse,
 	): Promise<errors.Failure | undefined> {
 		const deps = this.claimDeps();
-		const name = claims.claimKey(flight.service, flight.caller, key);
-		const hash = claims.requestHash(flight.req.method, flight.req.path, flight.req.body);
-		const begun = await claims.begin(deps, name, hash, flight.req.id, flight.deadlineAt);
-		if (!begun.ok) return begun.err;
-		if (begun.value.kind === 'answered') {
-			const { status, contentType, body } = begun.value.answer;
-			caller.writeWhole(res, flight.req.id, { status, headers: { 'content-type': contentType }, body });
+		const name = claims.claimKey(active.service, active.caller, key);
+		const hash = claims.requestHash(active.req.method, active.req.path, active.req.body);
+		const claimed = await claims.beginClaim(deps, name, hash, active.req.id, active.deadlineAt);
+		if (!claimed.ok) return claimed.err;
+		if (claimed.value.kind === 'answered') {
+			const { status, contentType, body } = claimed.value.answer;
+			caller.writeWhole(res, active.req.id, { status, headers: { 'content-type': contentType }, body });
 			return undefined;
 		}
-		const { claim } = begun.value;
+		const { claim } = claimed.value;
 		let answer: { status: number; contentType: string; body: Uint8Array } | undefined;
-		const err = await this.run(flight, res, (whole) => {
+		const err = await this.run(active, res, (whole) => {
 			answer = {
 				status: whole.status,
 				contentType: String(whole.headers['content-type'] ?? ''),
@@ -226,41 +227,41 @@
 			};
 		});
 		const outcome = err === undefined ? 'done' : (err.run ?? 'may-have-run');
-		void claims.end(deps, claim, outcome, answer);
+		void claims.endClaim(deps, claim, outcome, answer);
 		return err;
 	}
 
 	/** Sends a request, a second time elsewhere if that is allowed and wanted, and writes the answer. */
 	private async run(
-		flight: Flight,
+		active: ActiveRequest,
 		res: http.ServerResponse,
 		onWhole: (answer: Extract<forward.SendOutcome, { kind: 'whole' }>) => void = () => undefined,
 	): Promise<errors.Failure | undefined> {
-		this.budget.first();
+		this.retryBudget.first();
 		let avoid: string | undefined;
 		let mayHaveRun = false;
-		for (let tries = 1; ; tries += 1) {
-			const granted = await this.dispatcher.acquire(flight.service, flight.deadlineAt, avoid);
+		for (let attempt = 1; ; attempt += 1) {
+			const granted = await this.dispatcher.acquire(active.service, active.deadlineAt, avoid);
 			if (!granted.ok) return mayHaveRun ? { ...granted.err, run: 'may-have-run' } : granted.err;
-			const { backend, end } = granted.value;
-			const outcome = await forward.send(backend.pool, flight.req, flight.deadlineAt - this.node.clock.now());
+			const { backend, release } = granted.value;
+			const outcome = await forward.send(backend.pool, active.req, active.deadlineAt - this.node.clock.now());
 			if (outcome.kind === 'whole') {
-				end('answered');
+				release('answered');
 				onWhole(outcome);
-				caller.writeWhole(res, flight.req.id, outcome);
+				caller.writeWhole(res, active.req.id, outcome);
 				return undefined;
 			}
-			if (outcome.kind === 'large') return this.passLarge(flight, res, outcome, end);
-			end(outcome.kind);
+			if (outcome.kind === 'large') return this.streamLarge(active, res, outcome, release);
+			release(outcome.kind);
 			const notRun = outcome.kind === 'refused' || outcome.run === 'not-run';
 			if (outcome.kind === 'refused' && outcome.leaving) this.backends.markLeaving(backend.box.id);
 			mayHaveRun ||= !notRun;
 			const reason = outcome.kind === 'refused' ? 'refused: its slots are taken' : outcome.reason;
 			avoid = backend.box.id;
-			if (tries >= maxTries || !this.mayTryAgain(flight, notRun))
-				return this.failed(flight, backend.box.id, reason, mayHaveRun);
+			if (attempt >= maxAttempts || !this.mayRetry(active, notRun))
+				return this.failed(active, backend.box.id, reason, mayHaveRun);
 			this.node.metrics.count('retries');
-			this.node.events.emit('request.retried', { request: flight.req.id, backend: avoid, reason });
+			this.node.events.emit('request.retried', { request: active.req.id, backend: avoid, reason });
 		}
 	}
 
@@ -268,28 +269,35 @@
 	 * Another try needs time left. What was certainly not run may be tried again a few times, since it cost no backend
 	 * server any work; what may have run only if it is safe to repeat and the budget allows it.
 	 */
-	private mayTryAgain(flight: Flight, notRun: boolean): boolean {
-		if (this.node.clock.now() >= flight.deadlineAt) return false;
-		return notRun || (flight.repeatable && this.budget.second());
+	private mayRetry(active: ActiveRequest, notRun: boolean): boolean {
+		if (this.node.clock.now() >= active.deadlineAt) return false;
+		return notRun || (active.repeatable && this.retryBudget.takeRetry());
 	}
 
-	private failed(flight: Flight, backend: string, reason: string, mayHaveRun: boolean): errors.Failure {
+	private failed(
+		active: ActiveRequest,
+		backend: string,
+		reason: string,
+		mayHaveRun: boolean,
+	): errors.Failure {
 		const run = mayHaveRun ? 'may-have-run' : 'not-run';
-		const late = this.node.clock.now() >= flight.deadlineAt;
+		const isPastDeadline = this.node.clock.now() >= active.deadlineAt;
 		if (!mayHaveRun)
 			return errors.failure('NoBackend', `${backend}: ${reason}`, { retryAfterMs: 1_000, run });
-		return errors.failure(late ? 'DeadlineExceeded' : 'BackendFailed', `${backend}: ${reason}`, { run });
+		return errors.failure(isPastDeadline ? 'DeadlineExceeded' : 'BackendFailed', `${backend}: ${reason}`, {
+			run,
+		});
 	}
 
-	private async passLarge(
-		flight: Flight,
+	private async streamLarge(
+		active: ActiveRequest,
 		res: http.ServerResponse,
 		answer: Extract<forward.SendOutcome, { kind: 'large' }>,
-		end: dispatcher.Grant['end'],
+		release: dispatcher.SlotGrant['release'],
 	): Promise<errors.Failure | undefined> {
-		const whole = await caller.writeLarge(res, flight.req.id, answer);
-		end(whole ? 'answered' : 'failed');
-		if (whole) return undefined;
+		const isComplete = await caller.writeLarge(res, active.req.id, answer);
+		release(isComplete ? 'answered' : 'failed');
+		if (isComplete) return undefined;
 		return errors.failure('BackendFailed', 'a large answer broke off', { run: 'may-have-run' });
 	}
 
--- a/src/core/entry/retry-budget.ts
+++ b/src/core/entry/retry-budget.ts
@@ -1,11 +1,11 @@
 /** Second tries may only be a few per cent of first tries, so that they never multiply a failing zone's load. */
 
 /** Second tries that may be saved up while none is needed. */
-const largestSaving = 10;
+const maxSavedRetries = 10;
 
 /** A budget of second tries. */
 export class RetryBudget {
-	private saved = 1;
+	private savedRetries = 1;
 
 	private constructor(private readonly percent: () => number) {}
 
@@ -16,13 +16,13 @@
 
 	/** Counts a first try. */
 	first(): void {
-		this.saved = Math.min(largestSaving, this.saved + this.percent() / 100);
+		this.savedRetries = Math.min(maxSavedRetries, this.savedRetries + this.percent() / 100);
 	}
 
 	/** Takes a second try, if one is left. */
-	second(): boolean {
-		if (this.saved < 1) return false;
-		this.saved -= 1;
+	takeRetry(): boolean {
+		if (this.savedRetries < 1) return false;
+		this.savedRetries -= 1;
 		return true;
 	}
 }
--- a/src/core/entry/shares.ts
+++ b/src/core/entry/shares.ts
@@ -14,7 +14,7 @@
  * Shares of `slots` for each box. Every box keeps one slot where there are enough, so that a box that had no demand
  * can serve its first request at once; the rest goes by demand, remainders by rendezvous order for this backend.
  */
-export function shareSlots(
+export function shareByDemand(
 	backend: string,
 	slots: number,
 	demands: readonly BoxDemand[],
@@ -31,24 +31,24 @@
 		const exact = total === 0 ? rest / order.length : (rest * (byBox.get(box) ?? 0)) / total;
 		return { box, whole: Math.floor(exact), part: exact - Math.floor(exact) };
 	});
-	let left = rest - wanted.reduce((sum, one) => sum + one.whole, 0);
+	let remaining = rest - wanted.reduce((sum, one) => sum + one.whole, 0);
 	for (const one of wanted) shares.set(one.box, (shares.get(one.box) ?? 0) + one.whole);
 	// A stable sort keeps the rendezvous order among equal remainders.
 	for (const one of [...wanted].sort((a, b) => b.part - a.part)) {
-		if (left <= 0) break;
+		if (remaining <= 0) break;
 		shares.set(one.box, (shares.get(one.box) ?? 0) + 1);
-		left -= 1;
+		remaining -= 1;
 	}
 	return shares;
 }
 
 /** Every box has the same part whatever its demand: the plain baseline. */
-export function shareFixed(
+export function shareEqually(
 	backend: string,
 	slots: number,
 	demands: readonly BoxDemand[],
 ): Map<string, number> {
-	return shareSlots(
+	return shareByDemand(
 		backend,
 		slots,
 		demands.map((one) => ({ box: one.box, demand: 0 })),
@@ -56,7 +56,7 @@
 }
 
 /** Every box may use every slot; the backend server refuses what is too much: the other baseline. */
-export function shareAll(
+export function shareUnlimited(
 	_backend: string,
 	slots: number,
 	demands: readonly BoxDemand[],
@@ -65,33 +65,39 @@
 }
 
 /** A way to share a backend server's slots. */
-export type ShareRule = typeof shareSlots;
+export type ShareRule = typeof shareByDemand;
 
 /** The ways by the name of the setting. */
-export const shareRules = { demand: shareSlots, fixed: shareFixed, none: shareAll } as const satisfies Record<
-	string,
-	ShareRule
->;
+export const shareRules = {
+	demand: shareByDemand,
+	fixed: shareEqually,
+	none: shareUnlimited,
+} as const satisfies Record<string, ShareRule>;
 
 /**
  * Slots of a backend server that an entry box of another availability zone may use: the part kept for them goes
  * whole to the first boxes in rendezvous order, since it is too small to split.
  */
-export function shareFromAfar(backend: string, kept: number, boxes: readonly string[], box: string): number {
+export function shareForOtherZone(
+	backend: string,
+	reserved: number,
+	boxes: readonly string[],
+	box: string,
+): number {
 	const order = hash.rendezvous(`${backend}/afar`, boxes);
 	const rank = order.indexOf(box);
 	if (rank < 0 || order.length === 0) return 0;
-	return Math.floor(kept / order.length) + (rank < kept % order.length ? 1 : 0);
+	return Math.floor(reserved / order.length) + (rank < reserved % order.length ? 1 : 0);
 }
 
 /** Slots kept for other availability zones. */
-export function keptForAfar(slots: number, percent: number): number {
+export function slotsForOtherZones(slots: number, percent: number): number {
 	return percent === 0 ? 0 : Math.min(slots - 1, Math.ceil((slots * percent) / 100));
 }
 
 /** A share that shrinks at once and grows only when two rounds in a row allow it. */
 export class SteadyShare {
-	private last = 0;
+	private previousTarget = 0;
 	private current = 0;
 
 	private constructor() {
@@ -103,10 +109,10 @@
 	}
 
 	/** Takes in a round's target; returns what may be used. */
-	next(target: number): number {
-		this.current = Math.min(target, Math.max(this.last, this.current));
-		if (target <= this.last) this.current = target;
-		this.last = target;
+	update(target: number): number {
+		this.current = Math.min(target, Math.max(this.previousTarget, this.current));
+		if (target <= this.previousTarget) this.current = target;
+		this.previousTarget = target;
 		return this.current;
 	}
 
--- a/src/core/events/index.ts
+++ b/src/core/events/index.ts
@@ -70,23 +70,23 @@
 	emit(name: catalogue.EventName, fields: EventFields = {}): void {
 		const row = catalogue.eventCatalogue[name];
 		const event: LoggedEvent = { id: row.id, name, stamp: this.clock.tick(), process: this.process, fields };
-		this.remember(event);
+		this.addToRing(event);
 		for (const observer of this.observers) observer(event);
 		this.print(event, row.level);
 	}
 
 	/** Calls `fn` with every event from now on. */
-	observe(fn: (event: LoggedEvent) => void): void {
-		this.observers.push(fn);
+	observe(observer: (event: LoggedEvent) => void): void {
+		this.observers.push(observer);
 	}
 
 	/** Recorded events that `wanted` accepts, oldest first. */
-	select(wanted: (event: LoggedEvent) => boolean): LoggedEvent[] {
+	select(matches: (event: LoggedEvent) => boolean): LoggedEvent[] {
 		const ordered = [...this.ring.slice(this.start), ...this.ring.slice(0, this.start)];
-		return ordered.filter(wanted);
+		return ordered.filter(matches);
 	}
 
-	private remember(event: LoggedEvent): void {
+	private addToRing(event: LoggedEvent): void {
 		if (this.ring.length < ringSize) {
 			this.ring.push(event);
 			return;
--- a/src/core/events/json-lines.ts
+++ b/src/core/events/json-lines.ts
@@ -6,45 +6,45 @@
 import * as catalogue from './catalogue.js';
 
 /** Bytes that may wait for the reader; about 4,000 lines. */
-const maxWaitingBytes = 1024 * 1024;
+const maxBufferedBytes = 1024 * 1024;
 
 let dropped = 0;
-let isWatched = false;
+let handlesErrors = false;
 
 /** Writes one line, or counts it as dropped. */
 export function writeLine(value: object): void {
-	if (!isWatched) watchOutput();
-	if (process.stdout.writableLength > maxWaitingBytes) {
+	if (!handlesErrors) handleOutputErrors();
+	if (process.stdout.writableLength > maxBufferedBytes) {
 		dropped += 1;
 		return;
 	}
-	if (dropped > 0) tellDropped();
-	put(value, 1);
+	if (dropped > 0) logDropped();
+	write(value, 1);
 }
 
 /** Tells how many lines were left out. */
-function tellDropped(): void {
+function logDropped(): void {
 	const name = 'log.dropped';
 	const { id, level } = catalogue.eventCatalogue[name];
 	const count = dropped;
 	dropped = 0;
-	put({ id, name, fields: { dropped: count }, level }, count);
+	write({ id, name, fields: { dropped: count }, level }, count);
 }
 
 /** Writes a line; if that fails, `lines` more are left out. */
-function put(value: object, lines: number): void {
+function write(value: object, lines: number): void {
 	process.stdout.write(`${JSON.stringify(value)}\n`, (err) => {
 		if (err) dropped += lines;
 	});
 }
 
 /** An error of the output must not end the process. Another reader may come: each line is tried. */
-function watchOutput(): void {
-	isWatched = true;
-	let isTold = false;
+function handleOutputErrors(): void {
+	handlesErrors = true;
+	let isReported = false;
 	process.stdout.on('error', (err: Error) => {
-		if (isTold) return;
-		isTold = true;
+		if (isReported) return;
+		isReported = true;
 		process.stderr.write(`log lines are lost: ${err.message}\n`);
 	});
 	process.stderr.on('error', () => {
--- a/src/core/metrics/index.ts
+++ b/src/core/metrics/index.ts
@@ -5,7 +5,7 @@
 const quantiles = [50, 90, 99, 99.9, 100];
 
 /** Largest latency recorded, in microseconds. */
-const largestUs = 600_000_000;
+const maxLatencyUs = 600_000_000;
 
 /** A process's metrics. */
 export class Metrics {
@@ -26,13 +26,13 @@
 	}
 
 	/** Records a latency in milliseconds. */
-	time(name: string, ms: number): void {
+	recordLatency(name: string, ms: number): void {
 		let histogram = this.histograms.get(name);
 		if (histogram === undefined) {
-			histogram = hdr.build({ numberOfSignificantValueDigits: 3, highestTrackableValue: largestUs });
+			histogram = hdr.build({ numberOfSignificantValueDigits: 3, highestTrackableValue: maxLatencyUs });
 			this.histograms.set(name, histogram);
 		}
-		histogram.recordValue(Math.min(largestUs, Math.max(0, Math.round(ms * 1000))));
+		histogram.recordValue(Math.min(maxLatencyUs, Math.max(0, Math.round(ms * 1000))));
 	}
 
 	/** A counter's value. */
--- a/src/core/node/index.ts
+++ b/src/core/node/index.ts
@@ -15,7 +15,7 @@
 import type * as common from '../settings/common.js';
 
 /** Milliseconds between gossip rounds of a process without demand of its own. */
-const gossipMs = 1_000;
+const defaultGossipIntervalMs = 1_000;
 
 /** Milliseconds a gossip message may take. */
 const gossipTimeoutMs = 900;
@@ -27,7 +27,7 @@
 const headersTimeoutMs = 10_000;
 
 /** What a program adds to the shared part. */
-export interface NodeParts {
+export interface NodeOptions {
 	role: membership.Role;
 	/** Answers peers' requests beyond gossip, configuration and events. */
 	onPeer: (req: wire.PeerReq) => Promise<results.Result<unknown, errors.Failure>>;
@@ -36,14 +36,14 @@
 	/** What this process adds to its gossip. */
 	gossip?: () => Partial<wire.Gossip>;
 	onGossip?: (gossip: wire.Gossip) => void;
-	gossipMs?: number;
+	gossipIntervalMs?: number;
 	/** Gossip partners; by default every process of the zone. */
 	partners?: (members: membership.Membership) => membership.Member[];
 	/**
 	 * Takes the requests under a path prefix from the Node server itself, before h3, which ends each response a second
 	 * time (docs/decisions/0006-libraries.md).
 	 */
-	direct?: { prefix: string; serve: (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void> };
+	rawHttp?: { prefix: string; serve: (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void> };
 	gauges?: () => Record<string, number>;
 	/** Where callers or operators connect, if that is not the HTTP address. */
 	serves?: string;
@@ -59,14 +59,14 @@
 	readonly store: platform.EtcdStore;
 	readonly peers: wire.PeerClient<wire.PeerReq>;
 	members!: membership.Membership;
-	config!: config.ConfigTask;
+	config!: config.ConfigFollower;
 	private server!: wire.PeerServer<wire.PeerReq>;
 	private http!: http.Server;
-	private gossiping: clocks.Timer | undefined;
+	private gossipTimer: clocks.Timer | undefined;
 
 	private constructor(
 		readonly settings: common.CommonSettings,
-		private readonly parts: NodeParts,
+		private readonly parts: NodeOptions,
 	) {
 		this.boot = `${settings.box}/${parts.role}/${crypto.randomUUID().slice(0, 8)}`;
 		this.events = events.EventLog.create(this.boot, this.clock, settings.log, settings['log-level']);
@@ -75,8 +75,8 @@
 	}
 
 	/** Builds the process without its program's part, so that the part can hold the node. */
-	static create(settings: common.CommonSettings, parts: NodeParts): Node {
-		return new Node(settings, parts);
+	static create(settings: common.CommonSettings, options: NodeOptions): Node {
+		return new Node(settings, options);
 	}
 
 	/** Listens, registers, and starts to follow members and configuration. */
@@ -97,7 +97,7 @@
 		this.members = membership.Membership.create(self, this.store, this.clock, this.events, () => {
 			this.parts.onMembers?.();
 		});
-		this.config = config.ConfigTask.create({
+		this.config = config.ConfigFollower.create({
 			store: this.store,
 			clock: this.clock,
 			events: this.events,
@@ -106,16 +106,20 @@
 			onApplied: (record) => this.parts.onConfig?.(record),
 		});
 		const partners = this.parts.partners ?? ((members: membership.Membership) => members.zonePeers());
-		this.gossiping = clocks.every(this.clock, this.parts.gossipMs ?? gossipMs, () => {
-			this.sendGossip(partners(this.members));
-		});
-		this.askSeeds();
+		this.gossipTimer = clocks.every(
+			this.clock,
+			this.parts.gossipIntervalMs ?? defaultGossipIntervalMs,
+			() => {
+				this.sendGossip(partners(this.members));
+			},
+		);
+		this.querySeeds();
 		this.events.emit('process.started', { peer: self.peer, serves: self.serves });
 	}
 
 	/** Stops taking part: peers and platform learn it at once. Callers' connections are the program's to finish. */
 	async leave(): Promise<void> {
-		this.gossiping?.cancel();
+		this.gossipTimer?.cancel();
 		this.config.stop();
 		await this.members.leave();
 	}
@@ -155,33 +159,37 @@
 			event.res.headers.set('content-type', 'text/plain; version=0.0.4');
 			const { rss } = process.memoryUsage();
 			const { user, system } = process.cpuUsage();
-			const own = { config_version: this.config.record.version, memory_bytes: rss, cpu_us: user + system };
-			return this.metrics.text({ ...own, ...this.parts.gauges?.() });
+			const processGauges = {
+				config_version: this.config.record.version,
+				memory_bytes: rss,
+				cpu_us: user + system,
+			};
+			return this.metrics.text({ ...processGauges, ...this.parts.gauges?.() });
 		});
 		const opts = { maxHeaderSize: maxHeaderBytes, headersTimeout: headersTimeoutMs, requestTimeout: 0 };
-		const pages = h3.toNodeHandler(app);
-		const { direct } = this.parts;
+		const h3Handler = h3.toNodeHandler(app);
+		const { rawHttp } = this.parts;
 		this.http = http.createServer(opts, (req, res) => {
-			if (direct !== undefined && req.url?.startsWith(direct.prefix) === true) void direct.serve(req, res);
-			else void pages(req, res);
+			if (rawHttp !== undefined && req.url?.startsWith(rawHttp.prefix) === true) void rawHttp.serve(req, res);
+			else void h3Handler(req, res);
 		});
 		const [host, port] = splitAddress(this.settings['http-listen']);
 		await new Promise<void>((resolve, reject) => {
 			this.http.once('error', reject);
 			this.http.listen(port, host, resolve);
 		});
-		const at = this.http.address() as net.AddressInfo;
-		return `${at.address}:${at.port}`;
+		const bound = this.http.address() as net.AddressInfo;
+		return `${bound.address}:${bound.port}`;
 	}
 
 	/** While no record is known (the platform is out at the start), the seeds are asked for theirs. */
-	private askSeeds(): void {
+	private querySeeds(): void {
 		if (this.config.known) return;
-		for (const seed of this.settings.peers) void this.config.heard(Infinity, seed);
+		for (const seed of this.settings.peers) void this.config.fetchIfNewer(Infinity, seed);
 	}
 
 	private sendGossip(partners: membership.Member[]): void {
-		this.askSeeds();
+		this.querySeeds();
 		const message: wire.Gossip = {
 			type: 'gossip',
 			box: this.boot,
@@ -191,7 +199,7 @@
 		};
 		for (const member of partners) {
 			void this.peers.call<{ configVersion: number }>(member.peer, message, gossipTimeoutMs).then((res) => {
-				if (res.ok && res.value.ok) void this.config.heard(res.value.value.configVersion, member.peer);
+				if (res.ok && res.value.ok) void this.config.fetchIfNewer(res.value.value.configVersion, member.peer);
 			});
 		}
 	}
@@ -202,7 +210,7 @@
 				this.noteGossip(req);
 				return results.ok({ configVersion: this.config.record.version });
 			case 'config.push':
-				this.config.offer(req.record, 'push');
+				this.config.applyIfNewer(req.record, 'push');
 				return results.ok({ version: this.config.record.version });
 			case 'config.get':
 				if (!this.config.known)
@@ -217,22 +225,22 @@
 
 	private noteGossip(gossip: wire.Gossip): void {
 		const sender = this.members.members.find((one) => one.boot === gossip.box);
-		if (sender !== undefined) void this.config.heard(gossip.configVersion, sender.peer);
+		if (sender !== undefined) void this.config.fetchIfNewer(gossip.configVersion, sender.peer);
 		this.parts.onGossip?.(gossip);
 	}
 
 	/** Events of this process about something; undefined: all. */
 	selectEvents(about: string | undefined, limit: number): events.LoggedEvent[] {
-		const wanted = (event: events.LoggedEvent): boolean =>
+		const matches = (event: events.LoggedEvent): boolean =>
 			about === undefined || event.process.includes(about) || Object.values(event.fields).includes(about);
-		return this.events.select(wanted).slice(-limit);
+		return this.events.select(matches).slice(-limit);
 	}
 }
 
 /** Splits `host:port`. */
 export function splitAddress(address: string): [string, number] {
-	const cut = address.lastIndexOf(':');
-	return [address.slice(0, cut), Number(address.slice(cut + 1))];
+	const colonIndex = address.lastIndexOf(':');
+	return [address.slice(0, colonIndex), Number(address.slice(colonIndex + 1))];
 }
 
 /** Runs `stop` once on SIGTERM or SIGINT, then exits with 0. */
--- a/src/core/operator/client.ts
+++ b/src/core/operator/client.ts
@@ -53,11 +53,11 @@
 
 function toCallError(err: grpc.ServiceError): CallError {
 	const name = String(err.metadata.get('woodcross-error')[0] ?? '');
-	const retry = err.metadata.get('woodcross-retry-after-ms')[0];
+	const retryAfter = err.metadata.get('woodcross-retry-after-ms')[0];
 	return {
 		code: err.code,
 		message: err.details,
 		name,
-		retryAfterMs: retry === undefined ? undefined : Number(retry),
+		retryAfterMs: retryAfter === undefined ? undefined : Number(retryAfter),
 	};
 }
--- a/src/core/operator/jobs.ts
+++ b/src/core/operator/jobs.ts
@@ -14,30 +14,31 @@
 }
 
 /** Milliseconds a call may take in all. */
-const callMs = 8_000;
+const callTimeoutMs = 8_000;
 
 /** Checks a declaration; names the path of the first fault. */
 export function parseSpec(
 	text: string,
 	zones: readonly string[],
 ): results.Result<tasks.JobSpec, errors.Failure> {
-	const bad = (detail: string): results.Result<never, errors.Failure> =>
+	const invalid = (detail: string): results.Result<never, errors.Failure> =>
 		results.fail(errors.failure('InvalidSpec', detail));
 	let raw: unknown;
 	try {
 		raw = JSON.parse(text);
 	} catch (err) {
-		return bad(`not JSON: ${String(err)}`);
+		return invalid(`not JSON: ${String(err)}`);
 	}
 	const parsed = tasks.jobSpec.safeParse(raw);
 	if (!parsed.success) {
 		const issues = parsed.error.issues.map(
 			(issue) => `${issue.path.join('.') || 'top level'}: ${issue.message}`,
 		);
-		return bad(issues.join('; '));
+		return invalid(issues.join('; '));
 	}
 	const unknown = (parsed.data.zones ?? []).filter((zone) => !zones.includes(zone));
-	if (unknown.length > 0) return bad(`zones: ${unknown.join(', ')} not known; zones are ${zones.join(', ')}`);
+	if (unknown.length > 0)
+		return invalid(`zones: ${unknown.join(', ')} not known; zones are ${zones.join(', ')}`);
 	return results.ok(parsed.data);
 }
 
@@ -47,8 +48,8 @@
 	spec: tasks.JobSpec,
 ): Promise<results.Result<types.PartsReply, errors.Failure>> {
 	const parts = shards.partsOf(spec, deps.zones);
-	const done = await Promise.all(parts.map((part) => submitPart(deps, part)));
-	return gather(done);
+	const replies = await Promise.all(parts.map((part) => submitPart(deps, part)));
+	return collectParts(replies);
 }
 
 async function submitPart(
@@ -58,7 +59,7 @@
 	let shard = shards.shardOrder(part, deps.zones, deps.shardsPerZone)[0] ?? '';
 	for (;;) {
 		const req = { type: 'shard.submit', shard, job: part } as const;
-		const res = await shardCalls.callShard<scheduler.SubmitReply>(deps, req, callMs);
+		const res = await shardCalls.callShard<scheduler.SubmitReply>(deps, req, callTimeoutMs);
 		if (!res.ok) return res;
 		if (res.value.at === 'here') return results.ok({ id: part.id, shard, created: res.value.created });
 		shard = res.value.shard;
@@ -71,17 +72,17 @@
 	job: string,
 ): Promise<results.Result<types.PartsReply, errors.Failure>> {
 	const ids = [job, ...deps.zones.map((zone) => `${job}@${zone}`)];
-	const done = await Promise.all(ids.map((id) => cancelPart(deps, id)));
-	const found = done.filter((one) => one.ok || one.err.name !== 'JobUnknown');
+	const replies = await Promise.all(ids.map((id) => cancelPart(deps, id)));
+	const found = replies.filter((one) => one.ok || one.err.name !== 'JobUnknown');
 	if (found.length === 0) return results.fail(errors.failure('JobUnknown', job));
-	return gather(found);
+	return collectParts(found);
 }
 
 async function cancelPart(deps: JobDeps, id: string): Promise<results.Result<types.Part, errors.Failure>> {
 	const req = (shard: string): shardCalls.ShardPeerReq => ({ type: 'shard.cancel', shard, job: id });
 	let unreachable: errors.Failure | undefined;
 	for (const shard of candidateShards(deps, id)) {
-		const res = await shardCalls.callShard<{ at: string; shard?: string }>(deps, req(shard), callMs);
+		const res = await shardCalls.callShard<{ at: string; shard?: string }>(deps, req(shard), callTimeoutMs);
 		if (res.ok && res.value.at === 'here') return results.ok({ id, shard, created: false });
 		if (!res.ok && res.err.name !== 'JobUnknown') unreachable = res.err;
 	}
@@ -96,11 +97,11 @@
 	return shards.shardOrder({ id, spec, tasks: 1 }, deps.zones, deps.shardsPerZone);
 }
 
-function gather(
-	done: results.Result<types.Part, errors.Failure>[],
+function collectParts(
+	replies: results.Result<types.Part, errors.Failure>[],
 ): results.Result<types.PartsReply, errors.Failure> {
 	const parts: types.Part[] = [];
-	for (const one of done) {
+	for (const one of replies) {
 		if (!one.ok) return one;
 		parts.push(one.value);
 	}
--- a/src/core/operator/process.ts
+++ b/src/core/operator/process.ts
@@ -12,16 +12,16 @@
 import type * as wire from '../wire/index.js';
 
 /** Milliseconds a configuration change may take to be stored. */
-const storeMs = 6_000;
+const storeTimeoutMs = 6_000;
 
 /** Milliseconds that processes get to confirm a new version before the operator is answered. */
-const confirmMs = 1_000;
+const confirmTimeoutMs = 1_000;
 
 /** Events of a time line at most. */
-const maxEvents = 20_000;
+const maxTimelineEvents = 20_000;
 
 /** Events of a time line if the operator names no number. */
-const defaultEvents = 500;
+const defaultTimelineEvents = 500;
 
 type Outcome<T> = Promise<results.Result<T, errors.Failure>>;
 
@@ -32,8 +32,8 @@
 
 	private constructor(private readonly settings: settings.OperatorSettings) {}
 
-	static create(given: settings.OperatorSettings): Operator {
-		return new Operator(given);
+	static create(checkedSettings: settings.OperatorSettings): Operator {
+		return new Operator(checkedSettings);
 	}
 
 	async start(): Promise<void> {
@@ -108,36 +108,38 @@
 		const { store, clock } = this.node;
 		const seen = req.seenVersion > 0 ? req.seenVersion : undefined;
 		const change = { key: req.key, value: req.value, by: req.by || 'unnamed', seen };
-		const stored = await config.changeRecord(store, clock, change, storeMs);
+		const stored = await config.changeRecord(store, clock, change, storeTimeoutMs);
 		if (!stored.ok) return stored;
 		const { version, record } = stored.value;
 		this.node.events.emit('config.accepted', { version, key: req.key, reason: change.by });
-		this.node.config.offer(record, 'asked');
-		return results.ok({ version, ...(await this.push(record)) });
+		this.node.config.applyIfNewer(record, 'asked');
+		return results.ok({ version, ...(await this.pushConfig(record)) });
 	}
 
 	/** Tells every known process at once, so that an outage right after the write does not hold the change back. */
-	private async push(record: wire.ConfigRecord): Promise<{ confirmed: string[]; unconfirmed: string[] }> {
+	private async pushConfig(
+		record: wire.ConfigRecord,
+	): Promise<{ confirmed: string[]; unconfirmed: string[] }> {
 		const confirmed: string[] = [];
 		const unconfirmed: string[] = [];
 		const pushes = this.node.members.members.map(async (member) => {
-			const own = member.boot === this.node.boot;
+			const isSelf = member.boot === this.node.boot;
 			const req = { type: 'config.push', record } as const;
-			const res = own
+			const res = isSelf
 				? undefined
-				: await this.node.peers.call<{ version: number }>(member.peer, req, confirmMs);
+				: await this.node.peers.call<{ version: number }>(member.peer, req, confirmTimeoutMs);
 			const version = res?.ok === true && res.value.ok ? res.value.value.version : 0;
-			(own || version >= record.version ? confirmed : unconfirmed).push(member.boot);
+			(isSelf || version >= record.version ? confirmed : unconfirmed).push(member.boot);
 		});
 		await Promise.all(pushes);
 		return { confirmed: confirmed.sort(), unconfirmed: unconfirmed.sort() };
 	}
 
 	private async timeline(req: types.TimelineRequest): Outcome<types.TimelineReply> {
-		const limit = req.limit === 0 ? defaultEvents : req.limit;
-		if (limit < 0 || limit > maxEvents) {
+		const limit = req.limit === 0 ? defaultTimelineEvents : req.limit;
+		if (limit < 0 || limit > maxTimelineEvents) {
 			return results.fail(
-				errors.failure('InvalidRequest', `limit: ${limit} is not between 1 and ${maxEvents}`),
+				errors.failure('InvalidRequest', `limit: ${limit} is not between 1 and ${maxTimelineEvents}`),
 			);
 		}
 		return results.ok(await views.timeline(this.processDeps(), req.about, limit));
@@ -157,7 +159,7 @@
 		return {
 			peers: this.node.peers,
 			members: () => this.node.members.members,
-			ownEvents: (about) => this.node.selectEvents(about, maxEvents),
+			ownEvents: (about) => this.node.selectEvents(about, maxTimelineEvents),
 			self: this.node.members.self,
 			ownVersion: () => this.node.config.record.version,
 		};
--- a/src/core/operator/shard-calls.ts
+++ b/src/core/operator/shard-calls.ts
@@ -17,10 +17,10 @@
 export type ShardPeerReq = Extract<wire.PeerReq, { shard: string }>;
 
 /** Wait before an owner is looked for again, in milliseconds. */
-const searchMs = 200;
+const ownerRetryIntervalMs = 200;
 
 /** Milliseconds one try may take. */
-export const tryMs = 4_000;
+export const attemptTimeoutMs = 4_000;
 
 /**
  * Asks the owner of the request's shard; looks for it again while ownership moves, until `timeoutMs` is over.
@@ -31,29 +31,33 @@
 	req: ShardPeerReq,
 	timeoutMs: number,
 ): Promise<results.Result<T, errors.Failure>> {
-	const giveUpAt = deps.clock.now() + timeoutMs;
-	let sent = false;
+	const deadlineAt = deps.clock.now() + timeoutMs;
+	let mayHaveTakenEffect = false;
 	let reason = `no scheduler of zone ${shards.zoneOfShard(req.shard)} is known`;
 	for (;;) {
-		const left = giveUpAt - deps.clock.now();
-		if (left <= 0) break;
+		const remainingMs = deadlineAt - deps.clock.now();
+		if (remainingMs <= 0) break;
 		const owner = membership.preferredOwner(req.shard, deps.members(), shards.zoneOfShard(req.shard));
 		if (owner !== undefined) {
-			const res = await deps.peers.call<T>(owner.peer, req, Math.min(tryMs, left));
-			if (res.ok && isFinal(res.value)) return sent ? hedged(req, res.value) : res.value;
+			const res = await deps.peers.call<T>(owner.peer, req, Math.min(attemptTimeoutMs, remainingMs));
+			if (res.ok && isFinal(res.value))
+				return mayHaveTakenEffect ? afterUnansweredTry(req, res.value) : res.value;
 			reason = res.ok ? 'ownership is moving' : res.err.reason;
-			sent ||= res.ok
+			mayHaveTakenEffect ||= res.ok
 				? !res.value.ok && res.value.err.name === 'OutcomeUnknown'
 				: res.err.effect === 'unknown';
 		}
-		await clocks.sleep(deps.clock, Math.min(searchMs, Math.max(0, giveUpAt - deps.clock.now())));
+		await clocks.sleep(
+			deps.clock,
+			Math.min(ownerRetryIntervalMs, Math.max(0, deadlineAt - deps.clock.now())),
+		);
 	}
 	// Readers change nothing, so nothing about them is left open.
-	const name = sent && changes(req) ? 'OutcomeUnknown' : 'ShardUnavailable';
+	const name = mayHaveTakenEffect && isWrite(req) ? 'OutcomeUnknown' : 'ShardUnavailable';
 	return results.fail(errors.failure(name, `shard ${req.shard}: ${reason}`, { retryAfterMs: 2_000 }));
 }
 
-function changes(req: ShardPeerReq): boolean {
+function isWrite(req: ShardPeerReq): boolean {
 	return req.type !== 'shard.status' && req.type !== 'shard.explain';
 }
 
@@ -63,11 +67,11 @@
 }
 
 /** "Not stored" holds for the last try only; an earlier try without an answer may have been stored. */
-function hedged<T>(
+function afterUnansweredTry<T>(
 	req: ShardPeerReq,
 	reply: results.Result<T, errors.Failure>,
 ): results.Result<T, errors.Failure> {
-	if (reply.ok || reply.err.name !== 'PlatformUnavailable' || !changes(req)) return reply;
+	if (reply.ok || reply.err.name !== 'PlatformUnavailable' || !isWrite(req)) return reply;
 	return results.fail(
 		errors.failure('OutcomeUnknown', reply.err.detail, { retryAfterMs: reply.err.retryAfterMs }),
 	);
--- a/src/core/operator/views.ts
+++ b/src/core/operator/views.ts
@@ -11,26 +11,26 @@
 import type * as wire from '../wire/index.js';
 
 /** Milliseconds a look at one process or shard may take; what gives no answer by then is said to be missing. */
-const lookMs = 2_000;
+const queryTimeoutMs = 2_000;
 
 /** Every shard's status; a shard that can't be reached is listed with the problem. */
 export async function status(deps: jobs.JobDeps, team: string): Promise<types.StatusReply> {
 	const all = deps.zones.flatMap((zone) => shards.shardsOfZone(zone, deps.shardsPerZone));
-	const looked = await Promise.all(all.map((shard) => shardStatus(deps, shard, team)));
-	return { shards: looked };
+	const statuses = await Promise.all(all.map((shard) => shardStatus(deps, shard, team)));
+	return { shards: statuses };
 }
 
 async function shardStatus(deps: jobs.JobDeps, shard: string, team: string): Promise<types.ShardStatus> {
 	const res = await shardCalls.callShard<scheduler.ShardStatus>(
 		deps,
 		{ type: 'shard.status', shard },
-		lookMs,
+		queryTimeoutMs,
 	);
 	if (!res.ok) {
 		return { shard, owner: '', epoch: 0, entries: 0, jobs: [], workers: [], problem: errors.toLine(res.err) };
 	}
-	const wanted = res.value.jobs.filter((job) => team === '' || job.id.startsWith(`${team}/`));
-	return { ...res.value, jobs: wanted, problem: '' };
+	const matching = res.value.jobs.filter((job) => team === '' || job.id.startsWith(`${team}/`));
+	return { ...res.value, jobs: matching, problem: '' };
 }
 
 /** Explains a task, wherever it is. */
@@ -42,7 +42,7 @@
 	let problem: errors.Failure = errors.failure('JobUnknown', task);
 	for (const shard of jobs.candidateShards(deps, job)) {
 		const req = { type: 'shard.explain', shard, task } as const;
-		const res = await shardCalls.callShard<types.ExplainReply>(deps, req, lookMs);
+		const res = await shardCalls.callShard<types.ExplainReply>(deps, req, queryTimeoutMs);
 		if (res.ok) return res;
 		if (res.err.name !== 'JobUnknown') problem = res.err;
 	}
@@ -61,16 +61,16 @@
 
 /** Every known process, whether it answers, and its configuration version. */
 export async function boxes(deps: ProcessDeps): Promise<types.BoxesReply> {
-	const asked = deps.members().map(async (member): Promise<types.BoxStatus> => {
+	const queries = deps.members().map(async (member): Promise<types.BoxStatus> => {
 		const version = member.boot === deps.self.boot ? deps.ownVersion() : await versionOf(deps, member);
 		const { boot, box, role, zone, serves } = member;
 		return { boot, box, role, zone, serves, reachable: version !== undefined, configVersion: version ?? 0 };
 	});
-	return { boxes: await Promise.all(asked) };
+	return { boxes: await Promise.all(queries) };
 }
 
 async function versionOf(deps: ProcessDeps, member: membership.Member): Promise<number | undefined> {
-	const res = await deps.peers.call<wire.ConfigRecord>(member.peer, { type: 'config.get' }, lookMs);
+	const res = await deps.peers.call<wire.ConfigRecord>(member.peer, { type: 'config.get' }, queryTimeoutMs);
 	if (!res.ok) return undefined;
 	return res.value.ok ? res.value.value.version : 0;
 }
@@ -81,17 +81,17 @@
 	about: string,
 	limit: number,
 ): Promise<types.TimelineReply> {
-	const wanted = about === '' ? undefined : about;
+	const filter = about === '' ? undefined : about;
 	const missing: string[] = [];
-	const gathered = deps.members().map(async (member): Promise<events.LoggedEvent[]> => {
-		if (member.boot === deps.self.boot) return deps.ownEvents(wanted);
-		const req = { type: 'events', about: wanted, limit } as const;
-		const res = await deps.peers.call<events.LoggedEvent[]>(member.peer, req, lookMs);
+	const queries = deps.members().map(async (member): Promise<events.LoggedEvent[]> => {
+		if (member.boot === deps.self.boot) return deps.ownEvents(filter);
+		const req = { type: 'events', about: filter, limit } as const;
+		const res = await deps.peers.call<events.LoggedEvent[]>(member.peer, req, queryTimeoutMs);
 		if (res.ok && res.value.ok) return res.value.value;
 		missing.push(member.boot);
 		return [];
 	});
-	const all = (await Promise.all(gathered)).flat();
+	const all = (await Promise.all(queries)).flat();
 	all.sort((a, b) => events.hlc.compareStamps(a.stamp, b.stamp) || (a.process < b.process ? -1 : 1));
 	return { events: all.slice(-limit).map(toTimelineEvent), missing };
 }
--- a/src/core/scheduler/process.ts
+++ b/src/core/scheduler/process.ts
@@ -42,7 +42,7 @@
 			exchanges: 0,
 			starts: 0,
 			recordCommitMs: (ms) => {
-				this.node.metrics.time('commit', ms);
+				this.node.metrics.recordLatency('commit', ms);
 			},
 		};
 	}
--- a/src/core/wire/client.ts
+++ b/src/core/wire/client.ts
@@ -11,7 +11,7 @@
  * A connection from which nothing came for so long, with a call on it, is taken for dead, in milliseconds. A peer that
  * is only slow answers other calls meanwhile; closing its connection would cut those off and add new ones to its load.
  */
-const silentLinkMs = 1_000;
+const unresponsiveTimeoutMs = 1_000;
 
 /**
  * Why a call brought no reply. `none`: no byte of it left, so it had no effect.
@@ -30,13 +30,13 @@
 /** What a peer call comes to: the peer's own result, or no reply. */
 export type CallResult<T> = results.Result<results.Result<T, errors.Failure>, CallFailure>;
 
-interface Waiting {
-	settle: (result: CallResult<unknown>) => void;
+interface PendingCall {
+	complete: (result: CallResult<unknown>) => void;
 }
 
 /** Connections to peers by address, opened on use. */
 export class PeerClient<Req> {
-	private readonly links = new Map<string, Link>();
+	private readonly connections = new Map<string, Connection>();
 
 	private constructor(
 		private readonly clock: clocks.Clock,
@@ -49,28 +49,28 @@
 
 	/** Sends `req` to the process at `address` (`host:port`) and waits at most `timeoutMs`. */
 	async call<T>(address: string, req: Req, timeoutMs: number): Promise<CallResult<T>> {
-		let link = this.links.get(address);
-		if (link === undefined || link.closed) {
-			link = Link.create(address, this.clock, this.log);
-			this.links.set(address, link);
+		let connection = this.connections.get(address);
+		if (connection === undefined || connection.closed) {
+			connection = Connection.create(address, this.clock, this.log);
+			this.connections.set(address, connection);
 		}
-		return (await link.call(req, timeoutMs)) as CallResult<T>;
+		return (await connection.call(req, timeoutMs)) as CallResult<T>;
 	}
 
 	/** Closes every connection; calls under way end as `unknown`. */
 	close(): void {
-		for (const link of this.links.values()) link.close('closed here');
-		this.links.clear();
+		for (const connection of this.connections.values()) connection.close('closed here');
+		this.connections.clear();
 	}
 }
 
-class Link {
+class Connection {
 	closed = false;
 	private nextId = 1;
 	private connected = false;
 	/** Clock time of the newest byte from the peer, or of the opening. */
-	private heardAt: number;
-	private readonly waiting = new Map<number, Waiting>();
+	private lastReceivedAt: number;
+	private readonly waiting = new Map<number, PendingCall>();
 	private readonly reader = frames.FrameReader.create();
 
 	private constructor(
@@ -78,29 +78,32 @@
 		private readonly clock: clocks.Clock,
 		private readonly log: events.EventLog,
 	) {
-		this.heardAt = clock.now();
+		this.lastReceivedAt = clock.now();
 	}
 
-	static create(address: string, clock: clocks.Clock, log: events.EventLog): Link {
-		const cut = address.lastIndexOf(':');
-		const socket = net.connect({ host: address.slice(0, cut), port: Number(address.slice(cut + 1)) });
-		const link = new Link(socket, clock, log);
+	static create(address: string, clock: clocks.Clock, log: events.EventLog): Connection {
+		const colonIndex = address.lastIndexOf(':');
+		const socket = net.connect({
+			host: address.slice(0, colonIndex),
+			port: Number(address.slice(colonIndex + 1)),
+		});
+		const connection = new Connection(socket, clock, log);
 		socket.setNoDelay(true);
 		socket.on('connect', () => {
-			link.connected = true;
-			link.heardAt = clock.now();
+			connection.connected = true;
+			connection.lastReceivedAt = clock.now();
 		});
 		socket.on('data', (chunk: Buffer) => {
-			link.take(chunk);
+			connection.receive(chunk);
 		});
 		socket.on('error', (err) => {
 			const { code } = err as NodeJS.ErrnoException;
-			link.close(err.message, code === 'ECONNREFUSED' ? 'refused' : 'broken');
+			connection.close(err.message, code === 'ECONNREFUSED' ? 'refused' : 'broken');
 		});
 		socket.on('close', () => {
-			link.close('connection closed');
+			connection.close('connection closed');
 		});
-		return link;
+		return connection;
 	}
 
 	call(req: unknown, timeoutMs: number): Promise<CallResult<unknown>> {
@@ -110,15 +113,15 @@
 		return new Promise((resolve) => {
 			const timer = this.clock.after(timeoutMs, () => {
 				const effect = this.connected ? 'unknown' : 'none';
-				settle(results.fail({ effect, cause: 'silent', reason: `no reply within ${timeoutMs} ms` }));
-				if (this.isSilentSince(sentAt)) this.close('a reply is overdue, and nothing else comes either');
+				complete(results.fail({ effect, cause: 'silent', reason: `no reply within ${timeoutMs} ms` }));
+				if (this.isUnresponsiveSince(sentAt)) this.close('a reply is overdue, and nothing else comes either');
 			});
-			const settle = (result: CallResult<unknown>): void => {
+			const complete = (result: CallResult<unknown>): void => {
 				if (!this.waiting.delete(id)) return;
 				timer.cancel();
 				resolve(result);
 			};
-			this.waiting.set(id, { settle });
+			this.waiting.set(id, { complete });
 			const env: envelopes.Envelope = { id, stamp: this.log.clock.tick(), kind: 'req', body: req };
 			this.socket.write(frames.encodeFrame(env));
 		});
@@ -129,17 +132,18 @@
 		this.closed = true;
 		this.socket.destroy();
 		const effect = this.connected ? 'unknown' : 'none';
-		for (const waiting of [...this.waiting.values()]) waiting.settle(results.fail({ effect, cause, reason }));
+		for (const pending of [...this.waiting.values()])
+			pending.complete(results.fail({ effect, cause, reason }));
 	}
 
 	/** Whether nothing came since a call was sent, and for so long that it never will. */
-	private isSilentSince(sentAt: number): boolean {
+	private isUnresponsiveSince(sentAt: number): boolean {
 		if (!this.connected) return true;
-		return this.heardAt <= sentAt && this.clock.now() - this.heardAt >= silentLinkMs;
+		return this.lastReceivedAt <= sentAt && this.clock.now() - this.lastReceivedAt >= unresponsiveTimeoutMs;
 	}
 
-	private take(chunk: Buffer): void {
-		this.heardAt = this.clock.now();
+	private receive(chunk: Buffer): void {
+		this.lastReceivedAt = this.clock.now();
 		const values = this.reader.push(chunk);
 		if (!values.ok) {
 			this.close(values.err);
@@ -153,7 +157,7 @@
 			}
 			this.log.clock.observe(env.data.stamp);
 			const body = env.data.body as results.Result<unknown, errors.Failure>;
-			this.waiting.get(env.data.id)?.settle(results.ok(body));
+			this.waiting.get(env.data.id)?.complete(results.ok(body));
 		}
 	}
 }
--- a/src/core/wire/frame.ts
+++ b/src/core/wire/frame.ts
@@ -53,7 +53,7 @@
 		this.buffered += chunk.length;
 		const values: unknown[] = [];
 		while (this.buffered >= headerBytes) {
-			const bytes = this.joined();
+			const bytes = this.joinChunks();
 			const length = bytes.readUInt32BE(0);
 			if (length > this.limit)
 				return results.fail(`frame of ${length} bytes is over the limit of ${this.limit}`);
@@ -66,13 +66,13 @@
 		return results.ok(values);
 	}
 
-	private joined(): Buffer {
+	private joinChunks(): Buffer {
 		if (this.chunks.length > 1) this.chunks = [Buffer.concat(this.chunks)];
 		return this.chunks[0] ?? Buffer.alloc(0);
 	}
 
-	private keep(rest: Buffer): void {
-		this.chunks = rest.length > 0 ? [rest] : [];
-		this.buffered = rest.length;
+	private keep(remainder: Buffer): void {
+		this.chunks = remainder.length > 0 ? [remainder] : [];
+		this.buffered = remainder.length;
 	}
 }
--- a/src/core/wire/server.ts
+++ b/src/core/wire/server.ts
@@ -13,7 +13,7 @@
 export type ParseReq<Req> = (body: unknown) => results.Result<Req, string>;
 
 /** A connection that sends nothing at all is closed after this many milliseconds. */
-const silentLimitMs = 30_000;
+const idleTimeoutMs = 30_000;
 
 /** Listens for peers. */
 export class PeerServer<Req> {
@@ -48,8 +48,8 @@
 
 	/** The address peers connect to, `host:port`. */
 	get address(): string {
-		const at = this.server.address() as net.AddressInfo;
-		return `${at.address}:${at.port}`;
+		const bound = this.server.address() as net.AddressInfo;
+		return `${bound.address}:${bound.port}`;
 	}
 
 	/** Stops listening and closes every connection. */
@@ -66,7 +66,7 @@
 	private serve(socket: net.Socket): void {
 		this.sockets.add(socket);
 		socket.setNoDelay(true);
-		socket.setTimeout(silentLimitMs, () => {
+		socket.setTimeout(idleTimeoutMs, () => {
 			this.reject(socket, 'silent for too long');
 		});
 		const reader = frames.FrameReader.create();
@@ -76,7 +76,7 @@
 				this.reject(socket, values.err);
 				return;
 			}
-			for (const value of values.value) this.take(socket, value);
+			for (const value of values.value) this.receive(socket, value);
 		});
 		socket.on('error', () => {
 			socket.destroy();
@@ -84,7 +84,7 @@
 		socket.on('close', () => this.sockets.delete(socket));
 	}
 
-	private take(socket: net.Socket, value: unknown): void {
+	private receive(socket: net.Socket, value: unknown): void {
 		const env = envelopes.envelope.safeParse(value);
 		if (!env.success || env.data.kind !== 'req') {
 			this.reject(socket, 'not a request envelope');
--- a/src/core/wire/types.ts
+++ b/src/core/wire/types.ts
@@ -1,6 +1,6 @@
 /** Messages between the project's own processes, checked on receipt. */
 import * as zod from 'zod';
-import * as jobs from '../task/spec.js';
+import * as taskSpec from '../task/spec.js';
 import * as results from '../result.js';
 
 const z = zod.z;
@@ -67,7 +67,7 @@
 	gossip,
 	z.object({ type: z.literal('config.push'), record: configRecord }),
 	z.object({ type: z.literal('config.get') }),
-	z.object({ type: z.literal('shard.submit'), shard: z.string(), job: jobs.jobPart }),
+	z.object({ type: z.literal('shard.submit'), shard: z.string(), job: taskSpec.jobPart }),
 	z.object({ type: z.literal('shard.cancel'), shard: z.string(), job: z.string() }),
 	z.object({ type: z.literal('shard.status'), shard: z.string(), team: z.string().optional() }),
 	z.object({ type: z.literal('shard.explain'), shard: z.string(), task: z.string() }),
--- a/src/core/worker/types.ts
+++ b/src/core/worker/types.ts
@@ -4,7 +4,7 @@
  * The checks that a worker must make are listed in docs/PROOFS.md.
  */
 import * as zod from 'zod';
-import * as jobs from '../task/spec.js';
+import * as taskSpec from '../task/spec.js';
 
 const z = zod.z;
 
@@ -15,7 +15,7 @@
 		type: z.literal('start'),
 		...taskRef,
 		kind: z.enum(['service', 'batch']),
-		needs: jobs.needs,
+		needs: taskSpec.needs,
 		run: z.record(z.string(), z.union([z.string(), z.number(), z.boolean()])),
 		/** Where an earlier attempt left off. */
 		checkpoint: z.string().optional(),
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -31,7 +31,7 @@
 		const boxes = Array.from({ length: 1 + Math.floor(random() * 6) }, (_, index) => `box-${index}`);
 		const demands = boxes.map((box) => ({ box, demand: Math.floor(random() * 40) }));
 		const slots = 1 + Math.floor(random() * 12);
-		const shares = [...entry.shareSlots(`backend-${round}`, slots, demands).values()];
+		const shares = [...entry.shareByDemand(`backend-${round}`, slots, demands).values()];
 		t.is(
 			shares.reduce((sum, one) => sum + one, 0),
 			slots,
@@ -45,14 +45,14 @@
 		{ box: 'b', demand: 10 },
 		{ box: 'c', demand: 0 },
 	];
-	t.snapshot([...entry.shareSlots('backend-1', 8, demands)].sort());
-	t.snapshot([...entry.shareSlots('backend-1', 2, demands)].sort());
+	t.snapshot([...entry.shareByDemand('backend-1', 8, demands)].sort());
+	t.snapshot([...entry.shareByDemand('backend-1', 2, demands)].sort());
 });
 
 test('a share shrinks at once and grows only when two rounds allow it', (t) => {
 	const share = entry.SteadyShare.create();
 	t.deepEqual(
-		[4, 4, 8, 8, 3, 6, 6].map((target) => share.next(target)),
+		[4, 4, 8, 8, 3, 6, 6].map((target) => share.update(target)),
 		[0, 4, 4, 8, 3, 3, 6],
 	);
 });
@@ -62,7 +62,7 @@
 	let second = 0;
 	for (let first = 0; first < 1000; first += 1) {
 		budget.first();
-		if (budget.second()) second += 1;
+		if (budget.takeRetry()) second += 1;
 	}
 	t.true(second >= 50 && second <= 51, String(second));
 });
