--- a/dev/measure/dispatch-load.ts
+++ b/dev/measure/dispatch-load.ts
@@ -40,7 +40,7 @@
 
 async function play(name: string, workers: number): Promise<report.Row> {
 	const pattern = patterns.createPattern(name, workers, lengthMs, seed);
-	const { clock, fleet, takeOver, submit } = world.createWorld(pattern.plan);
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(pattern.plan);
 	const capacity = { milliCores: pattern.workerMilliCores, memoryMb: 128_000, accelerators: 0 };
 	for (let number = 1; number <= workers; number += 1) fleet.add(`w${String(number)}`, { capacity });
 	const owner = await takeOver();
--- a/test/address-reuse.test.ts
+++ b/test/address-reuse.test.ts
@@ -7,93 +7,93 @@
  * task 3 ms later.
  */
 import test from 'ava';
-import * as real from './fixtures/real-boxes.js';
-import * as world from './fixtures/dispatching.js';
+import * as realBoxes from './fixtures/real-boxes.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-function long(): workers.RunPlan {
+function longPlan(): workers.RunPlan {
 	return { ms: 30_000, how: 'done' };
 }
 
 /** A worker that crashed and came back at its address under `reborn`; its new life runs two tasks of two jobs. */
-async function rebornWorld(reborn: string): Promise<{
-	made: world.TestWorld;
-	first: world.TestOwner;
-	living: workers.FakeWorker;
+async function createAddressReuse(replacementId: string): Promise<{
+	environment: fixtures.TestEnvironment;
+	first: fixtures.TestOwner;
+	liveWorker: workers.FakeWorker;
 }> {
-	const made = world.createWorld(long);
-	const { clock, fleet: all, takeOver, submit } = made;
-	const dead = all.add('w5').entry;
+	const environment = fixtures.createEnvironment(longPlan);
+	const { clock, fleet, takeOver, submit } = environment;
+	const deadEntry = fleet.add('w5').entry;
 	const first = await takeOver();
 	await clock.pass(1_000);
-	const living = all.add(reborn, { address: dead.address });
-	all.lapsing = [dead];
-	first.dispatcher.setWorkers([living.entry], [], false);
+	const liveWorker = fleet.add(replacementId, { address: deadEntry.address });
+	fleet.lapsing = [deadEntry];
+	first.dispatcher.setWorkers([liveWorker.entry], [], false);
 	await clock.pass(500);
-	await submit(first, world.job('job1', [world.step({ milliCores: 10_000 })]));
-	await submit(first, world.job('job2', [world.step({ milliCores: 10_000 })]));
+	await submit(first, fixtures.job('job1', [fixtures.step({ milliCores: 10_000 })]));
+	await submit(first, fixtures.job('job2', [fixtures.step({ milliCores: 10_000 })]));
 	await clock.pass(500);
-	return { made, first, living };
+	return { environment, first, liveWorker };
 }
 
 /** Lets time pass, and looks for tasks with two runs at once all the while. */
-async function watchRuns(
+async function assertNoDoubleRuns(
 	t: { deepEqual: (a: unknown, b: unknown) => unknown },
-	made: world.TestWorld,
+	environment: fixtures.TestEnvironment,
 	ms: number,
 ) {
 	for (let passed = 0; passed < ms; passed += 10) {
-		await made.clock.pass(10);
-		t.deepEqual(made.fleet.doubled(), []);
+		await environment.clock.pass(10);
+		t.deepEqual(environment.fleet.doubled(), []);
 	}
 }
 
-for (const reborn of ['w4', 'w6'])
-	test(`a successor that reads a dead entry beside the living ${reborn} at one address starts nothing twice`, async (t) => {
-		const { made, first, living } = await rebornWorld(reborn);
-		t.is(living.running.size, 2);
+for (const replacementId of ['w4', 'w6'])
+	test(`a successor that reads a dead entry beside the living ${replacementId} at one address starts nothing twice`, async (t) => {
+		const { environment, first, liveWorker } = await createAddressReuse(replacementId);
+		t.is(liveWorker.running.size, 2);
 		first.dispatcher.close();
-		made.fleet.add('w1');
-		made.fleet.add('w2');
-		const second = await made.takeOver();
-		await watchRuns(t, made, 3_000);
-		t.is(living.running.size, 2);
+		environment.fleet.add('w1');
+		environment.fleet.add('w2');
+		const second = await environment.takeOver();
+		await assertNoDoubleRuns(t, environment, 3_000);
+		t.is(liveWorker.running.size, 2);
 		second.dispatcher.close();
 	});
 
 test('a worker that does not answer its successor at first keeps its tasks, whatever is listed at its address', async (t) => {
-	const { made, first, living } = await rebornWorld('w6');
+	const { environment, first, liveWorker } = await createAddressReuse('w6');
 	first.dispatcher.close();
-	made.fleet.add('w1');
-	made.fleet.add('w2');
-	living.fault = 'silent';
-	const second = await made.takeOver();
-	await watchRuns(t, made, 1_000);
-	living.fault = 'none';
-	await watchRuns(t, made, 3_000);
-	t.is(living.running.size, 2);
+	environment.fleet.add('w1');
+	environment.fleet.add('w2');
+	liveWorker.fault = 'silent';
+	const second = await environment.takeOver();
+	await assertNoDoubleRuns(t, environment, 1_000);
+	liveWorker.fault = 'none';
+	await assertNoDoubleRuns(t, environment, 3_000);
+	t.is(liveWorker.running.size, 2);
 	second.dispatcher.close();
 });
 
 test('an owner that lists the workers again starts nothing twice', async (t) => {
-	const { made, first, living } = await rebornWorld('w4');
-	made.fleet.add('w1');
-	made.fleet.add('w2');
-	first.dispatcher.setWorkers(made.fleet.entries(), [], false);
-	await watchRuns(t, made, 500);
-	first.dispatcher.setWorkers(made.fleet.entries(), [], true);
-	await watchRuns(t, made, 3_000);
-	t.is(living.running.size, 2);
+	const { environment, first, liveWorker } = await createAddressReuse('w4');
+	environment.fleet.add('w1');
+	environment.fleet.add('w2');
+	first.dispatcher.setWorkers(environment.fleet.entries(), [], false);
+	await assertNoDoubleRuns(t, environment, 500);
+	first.dispatcher.setWorkers(environment.fleet.entries(), [], true);
+	await assertNoDoubleRuns(t, environment, 3_000);
+	t.is(liveWorker.running.size, 2);
 	first.dispatcher.close();
 });
 
 test('what ran in the life before is started again as soon as the next life is listed at its address', async (t) => {
-	const made = world.createWorld(long);
-	const { clock, fleet, takeOver, submit } = made;
+	const environment = fixtures.createEnvironment(longPlan);
+	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await clock.pass(1_200);
-	await submit(owner, world.job('job1', [world.step()]));
+	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	// The connection hangs: the question under way is given up after a second.
 	await clock.pass(300);
 	w1.fault = 'silent';
@@ -116,7 +116,7 @@
 		ended: () => undefined,
 		forgotten: () => undefined,
 	};
-	const startsOf = (count: number): Promise<void> =>
+	const waitForStarts = (count: number): Promise<void> =>
 		new Promise((resolve) => {
 			noteStart = () => {
 				if (starts.length >= count) resolve();
@@ -126,24 +126,29 @@
 	const shortJob = '00000000000000a3';
 	const plan = (task: string): workers.RunPlan =>
 		task.startsWith(shortJob) ? { ms: 50, how: 'done' } : { ms: 'endless', how: 'done' };
-	const { platform, startTwo } = await real.setUp(t, { plan, journal });
+	const { platform, startTwo } = await realBoxes.setUp(t, { plan, journal });
 	const { owner, other } = await startTwo();
-	const dead = 'i-1';
-	const living = 'i-0';
-	await owner.logged((line) => line.name === 'worker.reached' && line.fields.worker === dead);
-	platform.replaceWorker(dead, living, platform.fleet.workers.get(dead)?.entry.address ?? '', 'lapsing');
-	await owner.logged((line) => line.name === 'worker.reached' && line.fields.worker === living);
+	const deadWorkerId = 'i-1';
+	const liveWorkerId = 'i-0';
+	await owner.logged((line) => line.name === 'worker.reached' && line.fields.worker === deadWorkerId);
+	platform.replaceWorker(
+		deadWorkerId,
+		liveWorkerId,
+		platform.fleet.workers.get(deadWorkerId)?.entry.address ?? '',
+		'lapsing',
+	);
+	await owner.logged((line) => line.name === 'worker.reached' && line.fields.worker === liveWorkerId);
 	const body = { spec: 'a proof', steps: [{ count: 1, cpu: 10_000, mem_mb: 100, estimate_ms: 100 }] };
 	for (const id of ['00000000000000a1', '00000000000000a2'])
-		t.is((await real.call(other.callers, 'POST', id, body)).status, 200);
-	await startsOf(2);
+		t.is((await realBoxes.call(other.callers, 'POST', id, body)).status, 200);
+	await waitForStarts(2);
 	for (const id of ['i-2', 'i-3']) await platform.startWorker(id, (address) => address);
 	await owner.logged((line) => line.name === 'worker.reached' && line.fields.worker === 'i-3');
 	await owner.kill();
 	await other.logged((line) => line.name === 'takeover.settled');
 	// Its tasks are placed in the same round as what is free at that time, or in a later one.
-	t.is((await real.call(other.callers, 'POST', shortJob, body)).status, 200);
-	await real.completed(other, shortJob);
+	t.is((await realBoxes.call(other.callers, 'POST', shortJob, body)).status, 200);
+	await realBoxes.waitUntilCompleted(other, shortJob);
 	t.deepEqual(
 		starts.map((one) => [one.task, one.epoch]),
 		[
--- a/test/address-view.test.ts
+++ b/test/address-view.test.ts
@@ -8,11 +8,11 @@
 const worker = '127.0.0.1:40001';
 
 /** A box that reaches the worker at `own`, and takes note of addresses that it does not know. */
-function bookOf(own: string, unknown: string[]): addressViews.AddressBook {
+function createAddressBook(ownAddress: string, unknown: string[]): addressViews.AddressBook {
 	return {
-		seen: (address) => (address === worker ? own : address),
+		seen: (address) => (address === worker ? ownAddress : address),
 		real: (seen) => {
-			if (seen === own) return Promise.resolve(worker);
+			if (seen === ownAddress) return Promise.resolve(worker);
 			unknown.push(seen);
 			return Promise.resolve(seen);
 		},
@@ -27,26 +27,28 @@
 	const clock = virtual.VirtualClock.create();
 	const store = memory.MemoryStore.create(clock);
 	const unknown: string[] = [];
-	const one = addressViews.withAddresses(store.view(), bookOf('127.0.0.1:50001', unknown));
-	const two = addressViews.withAddresses(store.view(), bookOf('127.0.0.1:50002', unknown));
+	const firstView = addressViews.withAddresses(store.view(), createAddressBook('127.0.0.1:50001', unknown));
+	const secondView = addressViews.withAddresses(store.view(), createAddressBook('127.0.0.1:50002', unknown));
 	const value = Buffer.from('é 127.0.0.1:50001 and 127.0.0.1:41111');
 	const write = { key: 'k', value };
-	const after = async <T>(call: Promise<T>): Promise<T> => {
+	const awaitAfterDelay = async <T>(call: Promise<T>): Promise<T> => {
 		await clock.pass(100);
 		return call;
 	};
-	await after(one.commit({ expected: [], writes: [write], removes: [] }));
+	await awaitAfterDelay(firstView.commit({ expected: [], writes: [write], removes: [] }));
 	t.deepEqual(unknown, ['127.0.0.1:41111']);
-	const plain = await after(store.view().get('k'));
-	t.is(plain.ok ? textOf(plain.value) : '', 'é 127.0.0.1:40001 and 127.0.0.1:41111');
-	const got = await after(two.get('k'));
+	const rawItem = await awaitAfterDelay(store.view().get('k'));
+	t.is(rawItem.ok ? textOf(rawItem.value) : '', 'é 127.0.0.1:40001 and 127.0.0.1:41111');
+	const got = await awaitAfterDelay(secondView.get('k'));
 	t.is(got.ok ? textOf(got.value) : '', 'é 127.0.0.1:50002 and 127.0.0.1:41111');
-	const listed = await after(one.list(''));
+	const listed = await awaitAfterDelay(firstView.list(''));
 	t.deepEqual(listed.ok ? listed.value.items.map(textOf) : [], [value.toString('utf8')]);
-	const refused = await after(two.commit({ expected: [{ key: 'k', version: 0 }], writes: [], removes: [] }));
+	const refused = await awaitAfterDelay(
+		secondView.commit({ expected: [{ key: 'k', version: 0 }], writes: [], removes: [] }),
+	);
 	const current = refused.ok && refused.value.type === 'conflict' ? refused.value.current : [];
 	t.deepEqual(current.map(textOf), ['é 127.0.0.1:50002 and 127.0.0.1:41111']);
-	const followed = await after(two.follow('', 0, 0));
+	const followed = await awaitAfterDelay(secondView.follow('', 0, 0));
 	const changes = followed.ok && followed.value.type === 'changes' ? followed.value.changes : [];
 	t.deepEqual(
 		changes.map((one) => Buffer.from(one.value ?? []).toString('utf8')),
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -7,22 +7,28 @@
 import * as results from '../src/core/result.js';
 import * as service from '../src/core/box/job-service.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as jobs from '../src/core/jobs/index.js';
 
-const urgent: jobs.QueuePolicy = {
-	...world.queue,
+const urgentQueue: jobs.QueuePolicy = {
+	...fixtures.queue,
 	name: 'urgent',
 	priority: 0,
 	stretch: 1.5,
 	objectiveMs: 250,
 };
-const wide: jobs.QueuePolicy = { ...world.queue, name: 'wide', priority: 2, stretch: 2, objectiveMs: 1_000 };
+const wideQueue: jobs.QueuePolicy = {
+	...fixtures.queue,
+	name: 'wide',
+	priority: 2,
+	stretch: 2,
+	objectiveMs: 1_000,
+};
 
 /** A chain of two steps of 1.7 s. */
 const wideSteps = [
-	world.step({ count: 40, estimateMs: 1_700 }),
-	world.step({ count: 40, estimateMs: 1_700, after: [0] }),
+	fixtures.step({ count: 40, estimateMs: 1_700 }),
+	fixtures.step({ count: 40, estimateMs: 1_700, after: [0] }),
 ];
 
 /** A box that knows of this backlog. */
@@ -58,15 +64,15 @@
 		{ priority: 0, waitMs: 2_000 },
 		{ priority: 2, waitMs: 17_000 },
 	]);
-	const short = [world.step({ estimateMs: 600 })];
-	t.deepEqual(admission.decide({ queue: urgent, steps: short }, backlog), { type: 'admit' });
-	t.deepEqual(admission.decide({ queue: wide, steps: wideSteps }, backlog), {
+	const short = [fixtures.step({ estimateMs: 600 })];
+	t.deepEqual(admission.decide({ queue: urgentQueue, steps: short }, backlog), { type: 'admit' });
+	t.deepEqual(admission.decide({ queue: wideQueue, steps: wideSteps }, backlog), {
 		type: 'refuse',
 		waitMs: 17_000,
 		limitMs: admission.maxWaitMs,
 	});
 	// 3 x (1.5 x 600 + 250) ms after its acceptance it is worth nothing, and it takes 600 ms.
-	t.is(admission.waitLimitMs({ queue: urgent, steps: short }), 2_850);
+	t.is(admission.waitLimitMs({ queue: urgentQueue, steps: short }), 2_850);
 });
 
 test('without a rate nothing is known of the backlog, and all is taken in', (t) => {
@@ -87,33 +93,34 @@
 
 test('a load that goes on above what can be started: the backlog stays bounded, urgent work is never refused', (t) => {
 	const rate = admission.FinishRate.create();
-	const perS = 110;
-	const owed = new Map<number, number>([
+	const finishedPerS = 110;
+	const outstanding = new Map<number, number>([
 		[0, 0],
 		[2, 0],
 	]);
 	const refused = { urgent: 0, wide: 0 };
-	let longest = 0;
+	let longestBacklogS = 0;
 	for (let second = 0; second < 60; second += 1) {
-		const backlog = admission.estimateBacklog(owed, rate.tasksPerS);
+		const backlog = admission.estimateBacklog(outstanding, rate.tasksPerS);
 		// Each second 24 urgent tasks and four wide jobs of 80 tasks: three times what is finished.
-		const takes = (queue: jobs.QueuePolicy, steps: jobs.StepSpec[]): boolean =>
+		const isAdmitted = (queue: jobs.QueuePolicy, steps: jobs.StepSpec[]): boolean =>
 			admission.decide({ queue, steps }, backlog).type === 'admit';
-		if (takes(urgent, [world.step({ estimateMs: 600 })])) owed.set(0, (owed.get(0) ?? 0) + 24);
+		if (isAdmitted(urgentQueue, [fixtures.step({ estimateMs: 600 })]))
+			outstanding.set(0, (outstanding.get(0) ?? 0) + 24);
 		else refused.urgent += 1;
 		for (let job = 0; job < 4; job += 1)
-			if (takes(wide, wideSteps)) owed.set(2, (owed.get(2) ?? 0) + 80);
+			if (isAdmitted(wideQueue, wideSteps)) outstanding.set(2, (outstanding.get(2) ?? 0) + 80);
 			else refused.wide += 1;
-		const first = Math.min(perS, owed.get(0) ?? 0);
-		owed.set(0, (owed.get(0) ?? 0) - first);
-		owed.set(2, Math.max(0, (owed.get(2) ?? 0) - (perS - first)));
-		rate.addSecond(perS, (owed.get(0) ?? 0) + (owed.get(2) ?? 0));
-		longest = Math.max(longest, (owed.get(2) ?? 0) / perS);
+		const urgentFinished = Math.min(finishedPerS, outstanding.get(0) ?? 0);
+		outstanding.set(0, (outstanding.get(0) ?? 0) - urgentFinished);
+		outstanding.set(2, Math.max(0, (outstanding.get(2) ?? 0) - (finishedPerS - urgentFinished)));
+		rate.addSecond(finishedPerS, (outstanding.get(0) ?? 0) + (outstanding.get(2) ?? 0));
+		longestBacklogS = Math.max(longestBacklogS, (outstanding.get(2) ?? 0) / finishedPerS);
 	}
 	t.is(refused.urgent, 0);
 	t.true(refused.wide > 100);
 	// Without a limit 14,000 tasks, more than two minutes' work, would be owed at the end.
-	t.true(longest < 16, `the backlog came to ${longest.toFixed(1)} s`);
+	t.true(longestBacklogS < 16, `the backlog came to ${longestBacklogS.toFixed(1)} s`);
 });
 
 test('callers come back by what they wait for, spread, those of urgent queues first', (t) => {
@@ -134,7 +141,7 @@
 	let backlog: admission.Backlog = [];
 	const { box, log } = createBox(store, clock, () => backlog);
 	const submit = async (id: string): Promise<service.Answer<'accepted'>> => {
-		const answer = box.submit(wide, id, { text: '', steps: wideSteps });
+		const answer = box.submit(wideQueue, id, { text: '', steps: wideSteps });
 		await clock.pass(50);
 		return answer;
 	};
--- a/test/advice.test.ts
+++ b/test/advice.test.ts
@@ -1,7 +1,7 @@
 /** The adviser's word on which workers may run a step, and how much of the fleet it is asked about. */
 import test from 'ava';
 import * as adviserCall from '../platform/adviser-call.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as http from '../platform/http-client.js';
 import type * as fleet from '../src/core/fleet/types.js';
 import type * as jobs from '../src/core/jobs/index.js';
@@ -11,7 +11,7 @@
 /** Every third worker is good. */
 const goodEvery = 3;
 
-const advised: jobs.QueuePolicy = { ...world.queue, advised: true };
+const advised: jobs.QueuePolicy = { ...fixtures.queue, advised: true };
 
 const adviser: fleet.AskAdviser = (_step, workers) => {
 	const good = workers.filter((id) => Number(id.slice(1)) % goodEvery === 0);
@@ -22,43 +22,43 @@
 };
 
 /** Plays a job of one step, whose tasks take a whole worker each, under the adviser. */
-async function play(spec: Partial<jobs.StepSpec>): Promise<jobs.JobState | undefined> {
-	const made = world.createWorld(() => ({ ms: 500, how: 'done' }), undefined, adviser);
-	for (let index = 0; index < workerCount; index += 1) made.fleet.add(`w${String(index)}`);
-	const owner = await made.takeOver();
-	await made.clock.pass(1_200);
-	await made.submit(
+async function runJob(spec: Partial<jobs.StepSpec>): Promise<jobs.JobState | undefined> {
+	const environment = fixtures.createEnvironment(() => ({ ms: 500, how: 'done' }), undefined, adviser);
+	for (let index = 0; index < workerCount; index += 1) environment.fleet.add(`w${String(index)}`);
+	const owner = await environment.takeOver();
+	await environment.clock.pass(1_200);
+	await environment.submit(
 		owner,
-		world.job('job1', [world.step({ milliCores: 32_000, ...spec })], { queue: advised }),
+		fixtures.job('job1', [fixtures.step({ milliCores: 32_000, ...spec })], { queue: advised }),
 	);
-	await made.clock.pass(10_000);
+	await environment.clock.pass(10_000);
 	owner.dispatcher.close();
 	return owner.dispatcher.stateOf('job1');
 }
 
 test('a gang that needs more good workers than one answer names is started', async (t) => {
-	t.is(await play({ count: 17, gang: true }), 'completed');
+	t.is(await runJob({ count: 17, gang: true }), 'completed');
 });
 
 test('a step that may have few tasks on a worker is done beyond the good workers of one answer', async (t) => {
-	t.is(await play({ count: 25, milliCores: 100, maxPerWorker: 1 }), 'completed');
+	t.is(await runJob({ count: 25, milliCores: 100, maxPerWorker: 1 }), 'completed');
 });
 
 test('a step of as many tasks as there are good workers is done', async (t) => {
-	t.is(await play({ count: 30 }), 'completed');
+	t.is(await runJob({ count: 30 }), 'completed');
 });
 
 test('the adviser hears the names of workers, and its tickets are for the lives that were asked about', async (t) => {
-	const asked: unknown[] = [];
+	const requests: unknown[] = [];
 	const body = { good: [['i-2', 'a ticket']], validity_ms: 5_000 };
 	const client: Pick<http.JsonClient, 'send'> = {
 		send: (_address, call) => {
-			asked.push(call.body);
+			requests.push(call.body);
 			return Promise.resolve({ ok: true, value: { status: 200, body } });
 		},
 	};
 	const res = await adviserCall.askAdviser(client, 'adviser:1')('job1.0.0', ['i-1@5', 'i-2@7']);
-	t.deepEqual(asked, [{ step: 'job1.0.0', workers: ['i-1', 'i-2'] }]);
+	t.deepEqual(requests, [{ step: 'job1.0.0', workers: ['i-1', 'i-2'] }]);
 	t.deepEqual(res, {
 		ok: true,
 		value: { good: [{ worker: 'i-2@7', ticket: 'a ticket' }], validMs: 5_000 },
--- a/test/beliefs.test.ts
+++ b/test/beliefs.test.ts
@@ -7,36 +7,36 @@
 import * as events from '../src/core/events/index.js';
 import * as results from '../src/core/result.js';
 import * as service from '../src/core/box/job-service.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 import type * as protocol from '../src/core/box/peer-protocol.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-function long(): workers.RunPlan {
+function longPlan(): workers.RunPlan {
 	return { ms: 30_000, how: 'done' };
 }
 
-function half(): workers.RunPlan {
+function halfSecondPlan(): workers.RunPlan {
 	return { ms: 500, how: 'done' };
 }
 
 /** Lets time pass; returns the tasks that had two runs at once in that time. */
-async function doubledWithin(made: world.TestWorld, ms: number): Promise<string[]> {
-	const seen = new Set<string>();
+async function findDoubleRuns(environment: fixtures.TestEnvironment, ms: number): Promise<string[]> {
+	const doubleRuns = new Set<string>();
 	for (let passed = 0; passed < ms; passed += 10) {
-		await made.clock.pass(10);
-		for (const task of made.fleet.doubled()) seen.add(task);
+		await environment.clock.pass(10);
+		for (const task of environment.fleet.doubled()) doubleRuns.add(task);
 	}
-	return [...seen];
+	return [...doubleRuns];
 }
 
 /** A box; `tell`: what it tells the owner, `generation`: of the owner that it knows. */
 function createBox(
-	made: world.TestWorld,
+	environment: fixtures.TestEnvironment,
 	generation: () => number,
-	tell: (req: protocol.BoxReq) => void,
+	notify: (req: protocol.BoxReq) => void,
 ): service.JobService {
-	const { clock, store } = made;
+	const { clock, store } = environment;
 	const log = events.EventLog.create('entry-2', clock);
 	return service.JobService.create({
 		...contacts.monitorContact(store.view(), log, () => clock.now()),
@@ -44,7 +44,7 @@
 		events: log,
 		dispatcher: () => undefined,
 		callOwner: (req) => {
-			tell(req);
+			notify(req);
 			return Promise.resolve(results.fail({ sent: true, reason: 'not awaited' }));
 		},
 		ownerGeneration: generation,
@@ -55,18 +55,18 @@
 }
 
 /** Hands a job in at a box. */
-async function handIn(
-	made: world.TestWorld,
+async function submitAt(
+	environment: fixtures.TestEnvironment,
 	box: service.JobService,
 	id: string,
 ): Promise<service.Answer<'accepted'>> {
-	const answer = box.submit(world.queue, id, { text: '', steps: [world.step()] });
-	await made.clock.pass(20);
+	const answer = box.submit(fixtures.queue, id, { text: '', steps: [fixtures.step()] });
+	await environment.clock.pass(20);
 	return answer;
 }
 
 /** What keeps the second owner from the workers and from the store. */
-interface Hindrance {
+interface SecondOwnerFaults {
 	isCut: () => boolean;
 	fault: () => memory.StoreFault;
 }
@@ -75,70 +75,75 @@
  * A second owner has read the store. Then a box that still knows the first owner stores a job and tells that one, which
  * starts it; and the job is handed in once more, at a box that knows the second owner.
  */
-async function handInTwice(by: Hindrance): Promise<{ made: world.TestWorld; end: () => void }> {
-	const made = world.createWorld(long);
-	const { clock, fleet } = made;
+async function submitTwice(
+	faults: SecondOwnerFaults,
+): Promise<{ environment: fixtures.TestEnvironment; close: () => void }> {
+	const environment = fixtures.createEnvironment(longPlan);
+	const { clock, fleet } = environment;
 	fleet.add('w1');
 	fleet.add('w2');
-	const first = await made.takeOver();
+	const first = await environment.takeOver();
 	await clock.pass(1_000);
-	const second = await made.takeOver((worker) => worker === 'w1' && by.isCut(), by.fault);
+	const second = await environment.takeOver((worker) => worker === 'w1' && faults.isCut(), faults.fault);
 	await clock.pass(100);
 	const id = '00000000000000a1';
-	const told = (owner: world.TestOwner) => (req: protocol.BoxReq) => {
+	const notifyOwner = (owner: fixtures.TestOwner) => (req: protocol.BoxReq) => {
 		if (req.type === 'job.stored') owner.dispatcher.addJob(req.record);
 	};
-	await handIn(
-		made,
-		createBox(made, () => 1, told(first)),
+	await submitAt(
+		environment,
+		createBox(environment, () => 1, notifyOwner(first)),
 		id,
 	);
-	await handIn(
-		made,
-		createBox(made, () => 2, told(second)),
+	await submitAt(
+		environment,
+		createBox(environment, () => 2, notifyOwner(second)),
 		id,
 	);
-	const end = (): void => {
+	const close = (): void => {
 		first.dispatcher.close();
 		second.dispatcher.close();
 	};
-	return { made, end };
+	return { environment, close };
 }
 
 test('a hand-in repeated at a box of the new owner does not start what runs on a worker that has not answered', async (t) => {
-	const { made, end } = await handInTwice({ isCut: () => true, fault: () => 'none' });
+	const { environment, close } = await submitTwice({
+		isCut: () => true,
+		fault: () => 'none',
+	});
 	t.deepEqual(
-		made.fleet.starts.slice(0, 1).map((one) => [one.worker, one.epoch]),
+		environment.fleet.starts.slice(0, 1).map((one) => [one.worker, one.epoch]),
 		[['w1', 1]],
 	);
-	t.deepEqual(await doubledWithin(made, 3_000), []);
-	end();
+	t.deepEqual(await findDoubleRuns(environment, 3_000), []);
+	close();
 });
 
 test('a repeated hand-in tells the owner the record that is stored, or nothing', async (t) => {
-	const made = world.createWorld(long);
-	const told: number[] = [];
+	const environment = fixtures.createEnvironment(longPlan);
+	const notifiedGenerations: number[] = [];
 	let generation = 1;
 	const box = createBox(
-		made,
+		environment,
 		() => generation,
 		(req) => {
-			if (req.type === 'job.stored') told.push(req.record.acceptedUnder);
+			if (req.type === 'job.stored') notifiedGenerations.push(req.record.acceptedUnder);
 		},
 	);
-	await handIn(made, box, '00000000000000a1');
+	await submitAt(environment, box, '00000000000000a1');
 	generation = 2;
-	await handIn(made, box, '00000000000000a1');
-	t.deepEqual([...new Set(told)], [1]);
+	await submitAt(environment, box, '00000000000000a1');
+	t.deepEqual([...new Set(notifiedGenerations)], [1]);
 });
 
 test('tasks on a worker that is silent for seconds do not count as at work when another worker is emptied', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(long);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(longPlan);
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const owner = await takeOver();
 	const spread = { count: 2, milliCores: 20_000, lasting: true, mayMiss: 1 };
-	await submit(owner, world.job('job1', [world.step(spread)]));
+	await submit(owner, fixtures.job('job1', [fixtures.step(spread)]));
 	await clock.pass(1_000);
 	t.deepEqual(fleet.starts.map((one) => one.worker).sort(), ['w1', 'w2']);
 	w2.fault = 'silent';
@@ -149,17 +154,17 @@
 });
 
 /** A job of one time that is due a second from now. */
-function scheduled(made: world.TestWorld): Parameters<world.TestWorld['submit']>[1] {
-	const schedule = { times: 1, firstAt: made.clock.wall() + 1_000, intervalMs: 1_000 };
-	return world.job('timed', [world.step({ milliCores: 20_000 })], { schedule });
+function scheduled(environment: fixtures.TestEnvironment): Parameters<fixtures.TestEnvironment['submit']>[1] {
+	const schedule = { times: 1, firstAt: environment.clock.wall() + 1_000, intervalMs: 1_000 };
+	return fixtures.job('timed', [fixtures.step({ milliCores: 20_000 })], { schedule });
 }
 
 test('the end of a scheduled task is not forgotten by an owner whose wall clock is behind', async (t) => {
-	const made = world.createWorld(half);
-	const { clock, fleet, takeOver, submit } = made;
+	const environment = fixtures.createEnvironment(halfSecondPlan);
+	const { clock, fleet, takeOver, submit } = environment;
 	fleet.add('w1');
 	const first = await takeOver();
-	await submit(first, scheduled(made));
+	await submit(first, scheduled(environment));
 	await clock.pass(1_200);
 	t.is(fleet.starts.length, 1);
 	first.dispatcher.close();
@@ -172,11 +177,11 @@
 });
 
 test('a scheduled run goes on under an owner whose wall clock is behind', async (t) => {
-	const made = world.createWorld(long);
-	const { clock, fleet, takeOver, submit } = made;
+	const environment = fixtures.createEnvironment(longPlan);
+	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
-	await submit(first, scheduled(made));
+	await submit(first, scheduled(environment));
 	await clock.pass(1_200);
 	t.is(w1.running.size, 1);
 	first.dispatcher.close();
@@ -184,50 +189,50 @@
 	// Its clock reaches the time just after it has heard of the run, on a worker that takes no more work.
 	const second = await takeOver(undefined, undefined, undefined, -300);
 	second.dispatcher.setWorkers([{ ...w1.entry, draining: true, remainingMs: 60_000 }], [], false);
-	const doubled = await doubledWithin(made, 3_000);
+	const doubled = await findDoubleRuns(environment, 3_000);
 	t.deepEqual({ doubled, starts: fleet.starts.length }, { doubled: [], starts: 1 });
 	second.dispatcher.close();
 });
 
 /** More small tasks on one worker than a report lists ends. */
-const many = 700;
+const smallTaskCount = 700;
 
-function manySmall(): Parameters<world.TestWorld['submit']>[1] {
-	return world.job('many', [world.step({ count: many, milliCores: 40, memoryMb: 1 })]);
+function manySmallTasks(): Parameters<fixtures.TestEnvironment['submit']>[1] {
+	return fixtures.job('many', [fixtures.step({ count: smallTaskCount, milliCores: 40, memoryMb: 1 })]);
 }
 
 test('a run that a full report does not list may have ended', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 3_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 3_000, how: 'done' }));
 	fleet.add('w1');
 	const owner = await takeOver();
 	await clock.pass(1_000);
-	await submit(owner, manySmall());
+	await submit(owner, manySmallTasks());
 	await clock.pass(12_000);
-	t.is(fleet.starts.length, many);
+	t.is(fleet.starts.length, smallTaskCount);
 	owner.dispatcher.close();
 });
 
 test('a successor starts nothing whose end a full first report leaves out', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 3_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 3_000, how: 'done' }));
 	fleet.add('w1');
 	const first = await takeOver();
 	await clock.pass(1_000);
-	await submit(first, manySmall());
+	await submit(first, manySmallTasks());
 	await clock.pass(2_000);
 	first.dispatcher.close();
 	await clock.pass(2_000);
 	const second = await takeOver();
 	await clock.pass(12_000);
-	t.is(fleet.starts.length, many);
+	t.is(fleet.starts.length, smallTaskCount);
 	second.dispatcher.close();
 });
 
 test('a job that could not be cleared away is not run again when the store is listed anew', async (t) => {
 	let fault: memory.StoreFault = 'none';
-	const { clock, fleet, store, takeOver, submit } = world.createWorld(half);
+	const { clock, fleet, store, takeOver, submit } = fixtures.createEnvironment(halfSecondPlan);
 	fleet.add('w1');
 	const owner = await takeOver(undefined, () => fault);
-	const record = world.job('job1', [world.step()]);
+	const record = fixtures.job('job1', [fixtures.step()]);
 	await submit(owner, record);
 	await clock.pass(119_000);
 	t.is(fleet.starts.length, 1);
@@ -242,16 +247,16 @@
 });
 
 test('another worker at the address that a living one had before is no proof of its end', async (t) => {
-	const made = world.createWorld(long);
-	const { clock, fleet, takeOver, submit } = made;
+	const environment = fixtures.createEnvironment(longPlan);
+	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await clock.pass(500);
-	await submit(owner, world.job('job1', [world.step()]));
+	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(500);
 	w1.entry.address = 'elsewhere:1';
 	fleet.add('w2', { address: 'w1:1' });
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
-	t.deepEqual(await doubledWithin(made, 4_000), []);
+	t.deepEqual(await findDoubleRuns(environment, 4_000), []);
 	owner.dispatcher.close();
 });
--- a/test/box.test.ts
+++ b/test/box.test.ts
@@ -5,41 +5,41 @@
 import * as path from 'node:path';
 import test from 'ava';
 import * as boxes from '../stand-ins/box-process.js';
-import * as real from './fixtures/real-boxes.js';
+import * as realBoxes from './fixtures/real-boxes.js';
 
 test('a job handed in at one box is run by the other, and both tell its state', async (t) => {
-	const { platform, startTwo } = await real.setUp(t);
+	const { platform, startTwo } = await realBoxes.setUp(t);
 	const { owner, other } = await startTwo();
 	const id = '00000000000000a1';
-	t.is((await real.call(other.callers, 'POST', id, real.body)).status, 200);
-	t.is((await real.call(owner.callers, 'POST', id, real.body)).status, 200);
-	await real.ended(owner, id);
+	t.is((await realBoxes.call(other.callers, 'POST', id, realBoxes.jobBody)).status, 200);
+	t.is((await realBoxes.call(owner.callers, 'POST', id, realBoxes.jobBody)).status, 200);
+	await realBoxes.waitUntilEnded(owner, id);
 	// The end is told once it is stored, some milliseconds after it was seen.
-	await real.completed(other, id);
+	await realBoxes.waitUntilCompleted(other, id);
 	t.is(platform.fleet.starts.length, 2);
-	t.deepEqual((await real.call(owner.callers, 'GET', '')).body, { pending: 0 });
-	t.is((await real.call(other.callers, 'GET', '00000000000000ff')).status, 410);
+	t.deepEqual((await realBoxes.call(owner.callers, 'GET', '')).body, { pending: 0 });
+	t.is((await realBoxes.call(other.callers, 'GET', '00000000000000ff')).status, 410);
 });
 
 test('bad input is turned away at once and nothing is stored', async (t) => {
-	const { platform, start } = await real.setUp(t);
+	const { platform, start } = await realBoxes.setUp(t);
 	const box = await start('entry-1');
 	const before = platform.store.keys().filter((key) => key.includes('/jobs/'));
 	const id = '00000000000000b1';
-	const step = real.body.steps[0];
-	const tries: [string, string, unknown][] = [
+	const step = realBoxes.jobBody.steps[0];
+	const cases: [string, string, unknown][] = [
 		['no JSON', id, '{'],
 		['no steps', id, { spec: 'x', steps: [] }],
 		['a step after itself', id, { spec: 'x', steps: [{ ...step, after: [0] }] }],
 		['a step after a later one', id, { spec: 'x', steps: [{ ...step, after: [1] }, step] }],
 		['no task', id, { spec: 'x', steps: [{ ...step, count: 0 }] }],
-		['a long text', id, { spec: 'x'.repeat(5_000), steps: real.body.steps }],
-		['a large body', id, { spec: 'x', steps: real.body.steps, more: 'x'.repeat(70_000) }],
-		['no id', 'not-an-id', real.body],
+		['a long text', id, { spec: 'x'.repeat(5_000), steps: realBoxes.jobBody.steps }],
+		['a large body', id, { spec: 'x', steps: realBoxes.jobBody.steps, more: 'x'.repeat(70_000) }],
+		['no id', 'not-an-id', realBoxes.jobBody],
 	];
 	const replies: [string, number, unknown][] = [];
-	for (const [what, tail, sent] of tries) {
-		const reply = await real.call(box.callers, 'POST', tail, sent);
+	for (const [what, tail, sent] of cases) {
+		const reply = await realBoxes.call(box.callers, 'POST', tail, sent);
 		replies.push([what, reply.status, reply.body.detail]);
 	}
 	t.snapshot(replies);
@@ -50,41 +50,41 @@
 });
 
 test('without the store nothing is accepted, the answer says so at once, and service comes back', async (t) => {
-	const { platform, start } = await real.setUp(t);
+	const { platform, start } = await realBoxes.setUp(t);
 	const box = await start('entry-1');
 	await box.logged((line) => line.name === 'owner.taken');
 	platform.storeFault = 'down';
-	const refused = await real.call(box.callers, 'POST', '00000000000000c1', real.body);
+	const refused = await realBoxes.call(box.callers, 'POST', '00000000000000c1', realBoxes.jobBody);
 	t.is(refused.status, 503);
 	t.is(refused.body.notRun, true);
 	t.is(refused.retryAfter, '1');
 	platform.storeFault = 'none';
 	await box.logged((line) => line.name === 'store.regained');
-	t.is((await real.call(box.callers, 'POST', '00000000000000c2', real.body)).status, 200);
-	await real.ended(box, '00000000000000c2');
+	t.is((await realBoxes.call(box.callers, 'POST', '00000000000000c2', realBoxes.jobBody)).status, 200);
+	await realBoxes.waitUntilEnded(box, '00000000000000c2');
 	t.false(platform.fleet.starts.some((one) => one.task.startsWith('00000000000000c1')));
 });
 
 test('when the owner is killed another box goes on, and no task runs twice', async (t) => {
-	const { platform, startTwo } = await real.setUp(t);
+	const { platform, startTwo } = await realBoxes.setUp(t);
 	const { owner: first, other: second } = await startTwo();
 	const id = '00000000000000d1';
-	t.is((await real.call(second.callers, 'POST', id, real.body)).status, 200);
+	t.is((await realBoxes.call(second.callers, 'POST', id, realBoxes.jobBody)).status, 200);
 	await first.logged((line) => line.name === 'task.placed');
 	await first.kill();
 	await second.logged((line) => line.name === 'owner.taken');
-	await real.completed(second, id);
+	await realBoxes.waitUntilCompleted(second, id);
 	const starts = platform.fleet.starts.map((one) => one.task);
 	t.deepEqual([...starts].sort(), [...new Set(starts)].sort());
 });
 
 test('a planned stop hands the dispatching over and ends with status 0', async (t) => {
-	const { startTwo } = await real.setUp(t);
+	const { startTwo } = await realBoxes.setUp(t);
 	const { owner: first, other: second } = await startTwo();
-	const ending = first.kill('SIGTERM');
+	const exiting = first.kill('SIGTERM');
 	await second.logged((line) => line.name === 'owner.taken');
-	t.is((await real.call(second.callers, 'POST', '00000000000000e1', real.body)).status, 200);
-	t.is(await ending, 0);
+	t.is((await realBoxes.call(second.callers, 'POST', '00000000000000e1', realBoxes.jobBody)).status, 200);
+	t.is(await exiting, 0);
 });
 
 test('a settings file that can not be used ends the process with the name of the field', (t) => {
--- a/test/broken-log.test.ts
+++ b/test/broken-log.test.ts
@@ -2,11 +2,11 @@
 import * as childProcess from 'node:child_process';
 import events from 'node:events';
 import test from 'ava';
-import * as real from './fixtures/real-boxes.js';
+import * as realBoxes from './fixtures/real-boxes.js';
 import type * as stream from 'node:stream';
 
 /** Its other end sees that nobody reads any more. */
-async function breakOff(output: stream.Readable | null): Promise<void> {
+async function closeReader(output: stream.Readable | null): Promise<void> {
 	if (output === null) throw new Error('no pipe');
 	const closed = events.once(output, 'close');
 	output.destroy();
@@ -14,12 +14,12 @@
 }
 
 test('a box whose log is read by nobody any more goes on serving, and ends as planned', async (t) => {
-	const { start } = await real.setUp(t);
+	const { start } = await realBoxes.setUp(t);
 	const box = await start('entry-1');
-	await breakOff(box.process.stdout);
+	await closeReader(box.process.stdout);
 	for (const id of ['00000000000000a1', '00000000000000a2', '00000000000000a3']) {
-		t.is((await real.call(box.callers, 'POST', id, real.body)).status, 200);
-		t.is((await real.call(box.callers, 'GET', id)).status, 200);
+		t.is((await realBoxes.call(box.callers, 'POST', id, realBoxes.jobBody)).status, 200);
+		t.is((await realBoxes.call(box.callers, 'GET', id)).status, 200);
 	}
 	t.is(await box.kill('SIGTERM'), 0);
 });
@@ -35,7 +35,7 @@
 		return Promise.race([events.once(child, 'message'), ended]);
 	};
 	t.is((await write())[0], 'written');
-	await breakOff(child.stdout);
-	await breakOff(child.stderr);
+	await closeReader(child.stdout);
+	await closeReader(child.stderr);
 	for (let number = 0; number < 3; number += 1) t.is((await write())[0], 'written');
 });
--- a/test/call-repeater.test.ts
+++ b/test/call-repeater.test.ts
@@ -2,65 +2,65 @@
 import test from 'ava';
 import * as delays from '../src/core/dispatch/answer-delays.js';
 import * as settings from '../src/core/dispatch/settings.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 
 const workerCount = 12;
 
 /** Calls are given up after so long, in milliseconds. */
-const givenUpAfterMs = 1_000;
+const callTimeoutMs = 1_000;
 
 /** An owner of workers that each run a task which lasts. */
-async function besideLasting() {
-	const made = world.createWorld(() => ({ ms: 'endless', how: 'done' }));
-	const { clock, fleet } = made;
+async function createWithLongRunning() {
+	const environment = fixtures.createEnvironment(() => ({ ms: 'endless', how: 'done' }));
+	const { clock, fleet } = environment;
 	for (let number = 0; number < workerCount; number += 1) fleet.add(`w${String(number)}`);
-	const owner = await made.takeOver();
-	const lasting = { lasting: true, maxPerWorker: 1, count: workerCount };
-	await made.submit(owner, world.job('lasting', [world.step(lasting)]));
+	const owner = await environment.takeOver();
+	const longRunning = { lasting: true, maxPerWorker: 1, count: workerCount };
+	await environment.submit(owner, fixtures.job('lasting', [fixtures.step(longRunning)]));
 	await clock.pass(5_000);
-	const [one] = fleet.workers.values();
-	if (one === undefined) throw new Error('there is no worker');
+	const [worker] = fleet.workers.values();
+	if (worker === undefined) throw new Error('there is no worker');
 	owner.dispatcher.load();
-	return { ...made, owner, one };
+	return { ...environment, owner, worker };
 }
 
 test('a question that is carried out late is asked once more, long before it is given up', async (t) => {
-	const { clock, owner, one } = await besideLasting();
-	const hold = one.hold.bind(one);
-	let askedAt = clock.now();
-	let longestMs = 0;
-	one.hold = (req) => {
-		longestMs = Math.max(longestMs, clock.now() - askedAt);
-		askedAt = clock.now();
+	const { clock, owner, worker } = await createWithLongRunning();
+	const hold = worker.hold.bind(worker);
+	let lastPolledAt = clock.now();
+	let maxIntervalMs = 0;
+	worker.hold = (req) => {
+		maxIntervalMs = Math.max(maxIntervalMs, clock.now() - lastPolledAt);
+		lastPolledAt = clock.now();
 		return hold(req);
 	};
 	await clock.pass(2_000);
-	one.fault = 'late';
+	worker.fault = 'late';
 	await clock.pass(20);
-	while (clock.now() - askedAt < settings.pollWaitMs + 20) await clock.pass(10);
-	one.fault = 'none';
+	while (clock.now() - lastPolledAt < settings.pollWaitMs + 20) await clock.pass(10);
+	worker.fault = 'none';
 	await clock.pass(3_000);
-	t.true(longestMs < settings.pollWaitMs + givenUpAfterMs / 2, `${String(longestMs)} ms`);
+	t.true(maxIntervalMs < settings.pollWaitMs + callTimeoutMs / 2, `${String(maxIntervalMs)} ms`);
 	t.is(owner.events.select(({ name }) => name === 'worker.unanswered').length, 0);
 	owner.dispatcher.close();
 });
 
 test('starts that are carried out late are sent again long before they are given up', async (t) => {
-	const { clock, fleet, owner, submit } = await besideLasting();
+	const { clock, fleet, owner, submit } = await createWithLongRunning();
 	const count = 2 * workerCount;
 	const before = fleet.starts.length;
-	await submit(owner, world.job('short', [world.step({ count, maxPerWorker: 2 })]));
+	await submit(owner, fixtures.job('short', [fixtures.step({ count, maxPerWorker: 2 })]));
 	for (const worker of fleet.workers.values()) worker.fault = 'late';
 	await clock.pass(30);
 	for (const worker of fleet.workers.values()) worker.fault = 'none';
-	await clock.pass(givenUpAfterMs - 100);
+	await clock.pass(callTimeoutMs - 100);
 	t.is(fleet.starts.length - before, count);
 	owner.dispatcher.close();
 });
 
 test('nothing is repeated while all answers come late', async (t) => {
-	const { clock, fleet, owner } = await besideLasting();
-	for (fleet.reportDelayMs = 0; fleet.reportDelayMs < givenUpAfterMs; fleet.reportDelayMs += 50)
+	const { clock, fleet, owner } = await createWithLongRunning();
+	for (fleet.reportDelayMs = 0; fleet.reportDelayMs < callTimeoutMs; fleet.reportDelayMs += 50)
 		await clock.pass(500);
 	owner.dispatcher.load();
 	await clock.pass(10_000);
@@ -69,46 +69,46 @@
 });
 
 test('an owner whose processor is full repeats nothing', async (t) => {
-	const { clock, fleet, takeOverBusy, submit } = world.createWorld(() => ({ ms: 300, how: 'done' }));
+	const { clock, fleet, takeOverBusy, submit } = fixtures.createEnvironment(() => ({ ms: 300, how: 'done' }));
 	for (let number = 0; number < 200; number += 1) fleet.add(`w${String(number)}`);
 	const { owner, processor } = await takeOverBusy({ send: 1, answer: 2 });
-	await submit(owner, world.job('burst', [world.step({ count: 4_000, milliCores: 4_000 })]));
+	await submit(owner, fixtures.job('burst', [fixtures.step({ count: 4_000, milliCores: 4_000 })]));
 	let repeats = 0;
-	let longestMs = 0;
+	let maxQueueMs = 0;
 	for (let passed = 0; passed < 8_000; passed += 50) {
 		await clock.pass(50);
-		longestMs = Math.max(longestMs, processor.queueMs);
+		maxQueueMs = Math.max(maxQueueMs, processor.queueMs);
 		repeats += owner.dispatcher.load().repeats;
 	}
-	t.true(longestMs > 200, 'the processor was full');
+	t.true(maxQueueMs > 200, 'the processor was full');
 	t.is(repeats, 0);
 	owner.dispatcher.close();
 });
 
 test('where no worker answers any more, a few are asked once more', async (t) => {
-	const { clock, fleet, owner } = await besideLasting();
+	const { clock, fleet, owner } = await createWithLongRunning();
 	for (const worker of fleet.workers.values()) worker.fault = 'silent';
-	await clock.pass(settings.pollWaitMs + givenUpAfterMs + 200);
+	await clock.pass(settings.pollWaitMs + callTimeoutMs + 200);
 	const { repeats } = owner.dispatcher.load();
 	t.true(repeats > 0 && repeats < workerCount, `${String(repeats)} repeats`);
 	owner.dispatcher.close();
 });
 
 test('a worker that stays silent is asked no more than a few times for each question', async (t) => {
-	const { clock, owner, one } = await besideLasting();
-	one.fault = 'silent';
-	await clock.pass(settings.pollWaitMs + givenUpAfterMs + 200);
+	const { clock, owner, worker } = await createWithLongRunning();
+	worker.fault = 'silent';
+	await clock.pass(settings.pollWaitMs + callTimeoutMs + 200);
 	owner.dispatcher.load();
 	await clock.pass(10_000);
 	const { repeats } = owner.dispatcher.load();
-	t.true(repeats <= 3 * (10_000 / givenUpAfterMs), `${String(repeats)} repeats`);
+	t.true(repeats <= 3 * (10_000 / callTimeoutMs), `${String(repeats)} repeats`);
 	owner.dispatcher.close();
 });
 
 test('answers are unusually late above four times what they vary by', (t) => {
-	const known = delays.AnswerDelays.create();
-	for (let number = 0; number < 100; number += 1) known.addSample(100);
-	t.true(known.usualDelayMs > 99 && known.usualDelayMs < 110);
-	known.addSample(500);
-	t.true(known.usualDelayMs > 500);
+	const answerDelays = delays.AnswerDelays.create();
+	for (let number = 0; number < 100; number += 1) answerDelays.addSample(100);
+	t.true(answerDelays.usualDelayMs > 99 && answerDelays.usualDelayMs < 110);
+	answerDelays.addSample(500);
+	t.true(answerDelays.usualDelayMs > 500);
 });
--- a/test/cancelled-runs.test.ts
+++ b/test/cancelled-runs.test.ts
@@ -1,20 +1,20 @@
 /** What runs of a cancelled job, however it came to run: it is stopped soon after it began. */
 import test from 'ava';
 import * as ledger from '../src/core/ledger/index.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 
 /** A run of a cancelled job ends within this, in milliseconds: a report that lists it, and its stop. */
-const stoppedWithinMs = 1_500;
+const maxRunAfterCancelMs = 1_500;
 
-const long = { ms: 60_000, how: 'done' as const };
+const longPlan = { ms: 60_000, how: 'done' as const };
 
 test('a start that is carried out after its job was cancelled is stopped', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => long);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => longPlan);
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await clock.pass(1_200);
 	w1.fault = 'late';
-	await submit(owner, world.job('job1', [world.step()]));
+	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(50);
 	owner.dispatcher.cancelJob('job1');
 	// Only the start comes late: from now on the worker answers.
@@ -24,15 +24,15 @@
 		await clock.pass(50);
 		runningMs += w1.running.size * 50;
 	}
-	t.true(runningMs <= stoppedWithinMs, `it ran for ${runningMs} ms`);
+	t.true(runningMs <= maxRunAfterCancelMs, `it ran for ${runningMs} ms`);
 	owner.dispatcher.close();
 });
 
 test('what a removed owner started is stopped by its successor if the job was cancelled meanwhile', async (t) => {
-	const { clock, store, fleet, takeOver, submit } = world.createWorld(() => long);
+	const { clock, store, fleet, takeOver, submit } = fixtures.createEnvironment(() => longPlan);
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
-	await submit(first, world.job('job1', [world.step({ count: 3 })]));
+	await submit(first, fixtures.job('job1', [fixtures.step({ count: 3 })]));
 	await clock.pass(500);
 	t.is(w1.running.size, 3);
 	first.dispatcher.close();
@@ -40,7 +40,7 @@
 	await clock.pass(50);
 	t.is((await cancelling).type, 'cancelled');
 	const second = await takeOver();
-	await clock.pass(stoppedWithinMs);
+	await clock.pass(maxRunAfterCancelMs);
 	t.is(w1.running.size, 0);
 	t.is(second.dispatcher.stateOf('job1'), 'cancelled');
 	second.dispatcher.close();
@@ -48,11 +48,11 @@
 
 test('a lasting task is not started if its job is cancelled while its worker is being stored', async (t) => {
 	let fault: 'none' | 'down' = 'none';
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => long);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => longPlan);
 	fleet.add('w1');
 	const owner = await takeOver(undefined, () => fault);
 	await clock.pass(1_200);
-	await submit(owner, world.job('job1', [world.step({ lasting: true })]));
+	await submit(owner, fixtures.job('job1', [fixtures.step({ lasting: true })]));
 	fault = 'down';
 	await clock.pass(1_000);
 	owner.dispatcher.cancelJob('job1');
@@ -63,17 +63,17 @@
 });
 
 test('a run of a cancelled job that a successor finds keeps its room until it has ended', async (t) => {
-	const { clock, store, fleet, takeOver, submit } = world.createWorld(() => long);
+	const { clock, store, fleet, takeOver, submit } = fixtures.createEnvironment(() => longPlan);
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
-	await submit(first, world.job('job1', [world.step({ milliCores: 20_000 })]));
+	await submit(first, fixtures.job('job1', [fixtures.step({ milliCores: 20_000 })]));
 	await clock.pass(500);
 	first.dispatcher.close();
 	const cancelling = ledger.cancel(store.view(), 'job1');
 	await clock.pass(50);
 	await cancelling;
 	const second = await takeOver();
-	await submit(second, world.job('job2', [world.step({ milliCores: 20_000 })]));
+	await submit(second, fixtures.job('job2', [fixtures.step({ milliCores: 20_000 })]));
 	for (let passed = 0; passed < 2_000; passed += 10) {
 		await clock.pass(10);
 		t.true(w1.running.size <= 1);
--- a/test/chart.test.ts
+++ b/test/chart.test.ts
@@ -8,7 +8,7 @@
 for (const file of chartFiles) {
 	test(`${file} reads the same to XState`, (t) => {
 		const chart = tasks.readChartFile(file);
-		const ours = tasks.loadChart<string, string>(file);
+		const interpreter = tasks.loadChart<string, string>(file);
 		const machine = xstate.createMachine(chart as xstate.MachineConfig<object, xstate.EventObject>);
 		const events = new Set(Object.values(chart.states).flatMap((state) => Object.keys(state.on ?? {})));
 		const table: string[] = [];
@@ -16,9 +16,9 @@
 			for (const event of events) {
 				const from = machine.resolveState({ value: state, context: {} });
 				const [next] = xstate.transition(machine, from, { type: event });
-				t.is(ours.next(state, event) ?? state, next.value as string, `${state} on ${event}`);
-				const taken = ours.next(state, event);
-				if (taken !== undefined) table.push(`${state} --${event}--> ${taken}`);
+				t.is(interpreter.next(state, event) ?? state, next.value as string, `${state} on ${event}`);
+				const nextState = interpreter.next(state, event);
+				if (nextState !== undefined) table.push(`${state} --${event}--> ${nextState}`);
 			}
 		}
 		t.snapshot(table);
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -16,24 +16,24 @@
 import type * as platform from '../src/core/platform/types.js';
 
 /** Bounds of the users' deployments, in milliseconds, and some between. */
-const bounds = [1_500, 2_000, 2_500, 3_000, 4_000];
+const applyBoundsMs = [1_500, 2_000, 2_500, 3_000, 4_000];
 
 /** What a call over a new connection takes in the store's slow hours, in milliseconds. */
 const slowAnswerMs = 250;
 
 /** A follower of the configuration under a virtual clock, whose connection to the store can go silent. */
-class Followed {
+class TestFollower {
 	readonly clock = time.VirtualClock.create();
 	readonly store = memory.MemoryStore.create(this.clock);
 	readonly log = events.EventLog.create('entry-1', this.clock);
 	/** Whether the store answers this box, as its other calls tell. */
 	readonly contact = { reachable: true };
 	/** The next waits never come to an answer. */
-	isSilent = false;
+	nextWaitHangs = false;
 	/** The store answers nothing. */
-	isDown = false;
+	isStoreDown = false;
 	/** Waits are answered with the newest revision and without the changes up to it. */
-	isPassedOver = false;
+	omitsChanges = false;
 	readonly follower: boxConfiguration.ConfigurationFollower;
 
 	private constructor(applyMs: number) {
@@ -53,20 +53,20 @@
 		});
 	}
 
-	static create(applyMs: number): Followed {
-		return new Followed(applyMs);
+	static create(applyMs: number): TestFollower {
+		return new TestFollower(applyMs);
 	}
 
 	write(version: number): void {
-		this.store.put('op/config', configurations.stored(version));
+		this.store.put('op/config', configurations.storedConfiguration(version));
 	}
 
-	logged(name: events.EventName): number {
+	countLogged(name: events.EventName): number {
 		return this.log.select((event) => event.name === name).length;
 	}
 
 	private view(): platform.RecordStore {
-		const view = this.store.view(() => (this.isDown ? 'down' : 'none'));
+		const view = this.store.view(() => (this.isStoreDown ? 'down' : 'none'));
 		return {
 			...view,
 			list: async (prefix) => {
@@ -75,13 +75,13 @@
 			},
 			follow: async (prefix, revision, waitMs) => {
 				const answer = view.follow(prefix, revision, waitMs);
-				const endsAt = this.clock.now() + waitMs + limits.longPollGraceMs;
+				const timeoutAt = this.clock.now() + waitMs + limits.longPollGraceMs;
 				const res = await answer;
-				if (this.isPassedOver && res.ok && res.value.type === 'changes')
+				if (this.omitsChanges && res.ok && res.value.type === 'changes')
 					return results.ok({ ...res.value, changes: [] });
-				if (!this.isSilent) return res;
-				this.isSilent = false;
-				await this.sleep(endsAt - this.clock.now());
+				if (!this.nextWaitHangs) return res;
+				this.nextWaitHangs = false;
+				await this.sleep(timeoutAt - this.clock.now());
 				return results.fail({ effect: 'unknown', reason: 'no answer' });
 			},
 		};
@@ -95,107 +95,107 @@
 }
 
 test('a wait that goes silent at any time puts a confirmed configuration out of force for no longer than allowed', async (t) => {
-	for (const applyMs of bounds)
+	for (const applyMs of applyBoundsMs)
 		for (let phaseMs = 0; phaseMs < applyMs; phaseMs += 125) {
-			const followed = Followed.create(applyMs);
-			await followed.clock.pass(1_000 + phaseMs);
-			followed.isSilent = true;
-			followed.write(2);
-			await followed.clock.pass(applyMs);
-			t.is(followed.follower.version, 2, `${String(applyMs)} ms allowed, silent after ${String(phaseMs)}`);
+			const harness = TestFollower.create(applyMs);
+			await harness.clock.pass(1_000 + phaseMs);
+			harness.nextWaitHangs = true;
+			harness.write(2);
+			await harness.clock.pass(applyMs);
+			t.is(harness.follower.version, 2, `${String(applyMs)} ms allowed, silent after ${String(phaseMs)}`);
 		}
 });
 
 test('a configuration that the store does not confirm in time is logged, again and again, until it is', async (t) => {
-	const followed = Followed.create(2_000);
-	await followed.clock.pass(3_000);
-	t.is(followed.logged('config.unconfirmed'), 0);
-	followed.isDown = true;
-	await followed.clock.pass(8_500);
-	t.is(followed.logged('config.unconfirmed'), 2);
-	t.is(followed.logged('config.confirmed'), 0);
-	followed.isDown = false;
-	await followed.clock.pass(1_500);
-	t.is(followed.logged('config.confirmed'), 1);
-	t.true(followed.follower.ageMs < 2_000);
+	const harness = TestFollower.create(2_000);
+	await harness.clock.pass(3_000);
+	t.is(harness.countLogged('config.unconfirmed'), 0);
+	harness.isStoreDown = true;
+	await harness.clock.pass(8_500);
+	t.is(harness.countLogged('config.unconfirmed'), 2);
+	t.is(harness.countLogged('config.confirmed'), 0);
+	harness.isStoreDown = false;
+	await harness.clock.pass(1_500);
+	t.is(harness.countLogged('config.confirmed'), 1);
+	t.true(harness.follower.ageMs < 2_000);
 });
 
 /** The owner is not asked. */
-function never(): Promise<Uint8Array | undefined> {
+function failIfOwnerAsked(): Promise<Uint8Array | undefined> {
 	throw new Error('the owner is asked though the store answers');
 }
 
 test('a change that no wait brought is found as soon as another box tells of it', async (t) => {
-	for (const tell of [
-		(followed: Followed) =>
-			void followed.follower.onAdvertised({ version: 2, ageMs: 0 }, followed.clock.now(), never),
-		(followed: Followed) => void followed.follower.listIfNewer(2),
+	for (const advertise of [
+		(harness: TestFollower) =>
+			void harness.follower.onAdvertised({ version: 2, ageMs: 0 }, harness.clock.now(), failIfOwnerAsked),
+		(harness: TestFollower) => void harness.follower.listIfNewer(2),
 	]) {
-		const followed = Followed.create(2_000);
-		await followed.clock.pass(500);
-		followed.isPassedOver = true;
-		followed.write(2);
-		await followed.clock.pass(3_000);
-		t.is(followed.follower.version, 1);
-		t.false(followed.follower.mayBeStale, 'the store answers, so nothing tells this box');
-		tell(followed);
-		t.true(followed.follower.mayBeStale);
-		await followed.clock.pass(2 * slowAnswerMs);
-		t.is(followed.follower.version, 2);
-		t.false(followed.follower.mayBeStale);
+		const harness = TestFollower.create(2_000);
+		await harness.clock.pass(500);
+		harness.omitsChanges = true;
+		harness.write(2);
+		await harness.clock.pass(3_000);
+		t.is(harness.follower.version, 1);
+		t.false(harness.follower.mayBeStale, 'the store answers, so nothing tells this box');
+		advertise(harness);
+		t.true(harness.follower.mayBeStale);
+		await harness.clock.pass(2 * slowAnswerMs);
+		t.is(harness.follower.version, 2);
+		t.false(harness.follower.mayBeStale);
 	}
 });
 
 test('where the list does not bring what the owner told of, the owner gives it', async (t) => {
-	const followed = Followed.create(2_000);
-	await followed.clock.pass(500);
-	const { follower, clock } = followed;
-	const tell = (): Promise<void> =>
+	const harness = TestFollower.create(2_000);
+	await harness.clock.pass(500);
+	const { follower, clock } = harness;
+	const advertise = (): Promise<void> =>
 		follower.onAdvertised({ version: 2, ageMs: 0 }, clock.now(), () =>
-			Promise.resolve(configurations.stored(2)),
+			Promise.resolve(configurations.storedConfiguration(2)),
 		);
-	await tell();
+	await advertise();
 	await clock.pass(2 * slowAnswerMs);
-	t.is(followed.follower.version, 1, 'the list is read first');
-	await tell();
-	t.is(followed.follower.version, 2);
+	t.is(harness.follower.version, 1, 'the list is read first');
+	await advertise();
+	t.is(harness.follower.version, 2);
 });
 
 test('without the store a box takes over what the owner gives, and what it confirms', async (t) => {
-	const followed = Followed.create(2_000);
-	await followed.clock.pass(500);
-	followed.isDown = true;
-	followed.contact.reachable = false;
-	await followed.clock.pass(3_000);
-	t.true(followed.follower.mayBeStale);
-	const { follower, clock } = followed;
+	const harness = TestFollower.create(2_000);
+	await harness.clock.pass(500);
+	harness.isStoreDown = true;
+	harness.contact.reachable = false;
+	await harness.clock.pass(3_000);
+	t.true(harness.follower.mayBeStale);
+	const { follower, clock } = harness;
 	await follower.onAdvertised({ version: 1, ageMs: 300 }, clock.now() - 500, () =>
-		Promise.resolve(configurations.stored(9)),
+		Promise.resolve(configurations.storedConfiguration(9)),
 	);
 	t.is(follower.ageMs, 800, 'as old as the owner says, and as the answer may be');
 	t.false(follower.mayBeStale);
 	await follower.onAdvertised({ version: 2, ageMs: 300 }, clock.now(), () => Promise.resolve(undefined));
 	t.true(follower.mayBeStale, 'the owner gave nothing');
 	await follower.onAdvertised({ version: 2, ageMs: 300 }, clock.now(), () =>
-		Promise.resolve(configurations.stored(2)),
+		Promise.resolve(configurations.storedConfiguration(2)),
 	);
-	t.is(followed.follower.version, 2);
+	t.is(harness.follower.version, 2);
 	t.false(follower.mayBeStale);
 	await follower.onAdvertised({ version: 3, ageMs: 300 }, clock.now(), () =>
-		Promise.resolve(configurations.stored(1)),
+		Promise.resolve(configurations.storedConfiguration(1)),
 	);
-	t.is(followed.follower.version, 2, 'never back');
+	t.is(harness.follower.version, 2, 'never back');
 });
 
 test('an owner gives a large configuration to one box after another', (t) => {
 	let now = 0;
-	const shared = sharing.SharingRateLimit.create(() => now);
-	const large = Buffer.alloc(350_000);
-	t.truthy(shared.tryShare(large));
+	const rateLimit = sharing.SharingRateLimit.create(() => now);
+	const largeConfiguration = Buffer.alloc(350_000);
+	t.truthy(rateLimit.tryShare(largeConfiguration));
 	now = 3_900;
-	t.is(shared.tryShare(large), undefined);
+	t.is(rateLimit.tryShare(largeConfiguration), undefined);
 	now = 4_100;
-	t.truthy(shared.tryShare(large));
+	t.truthy(rateLimit.tryShare(largeConfiguration));
 });
 
 test('a wait of the owner that goes silent is repeated before its box counts as in touch again', (t) => {
@@ -204,12 +204,12 @@
 });
 
 test('a box that was suspended is in doubt of its configuration until that is confirmed', async (t) => {
-	const followed = Followed.create(2_000);
-	await followed.clock.pass(1_000);
-	t.false(followed.follower.mayBeStale);
-	followed.clock.resume();
-	t.true(followed.follower.mayBeStale);
+	const harness = TestFollower.create(2_000);
+	await harness.clock.pass(1_000);
+	t.false(harness.follower.mayBeStale);
+	harness.clock.resume();
+	t.true(harness.follower.mayBeStale);
 	// The answer to the wait that was under way may have been given before.
-	await followed.clock.pass(4_000);
-	t.false(followed.follower.mayBeStale);
+	await harness.clock.pass(4_000);
+	t.false(harness.follower.mayBeStale);
 });
--- a/test/crash-history.test.ts
+++ b/test/crash-history.test.ts
@@ -8,7 +8,7 @@
 const startsAfterBound = 2;
 
 /** What may become of a run. */
-const outcome = fc.constantFrom('crashed', 'ended', 'never started', 'unheard under an earlier owner');
+const runOutcome = fc.constantFrom('crashed', 'ended', 'never started', 'unheard under an earlier owner');
 
 /** Starts a task again and again with these outcomes until it is given up; returns its starts after the third crash. */
 function startsAfterThirdCrash(outcomes: readonly string[]): number {
@@ -74,7 +74,7 @@
 });
 
 test('whatever becomes of them, no more than two starts follow the third crash', (t) => {
-	const run = fc.property(fc.array(outcome, { maxLength: 20 }), (outcomes) => {
+	const run = fc.property(fc.array(runOutcome, { maxLength: 20 }), (outcomes) => {
 		return startsAfterThirdCrash(outcomes) <= startsAfterBound;
 	});
 	t.notThrows(() => {
--- a/test/crashing-tasks.test.ts
+++ b/test/crashing-tasks.test.ts
@@ -10,27 +10,27 @@
 import * as crashing from '../dev/soak/crashing.js';
 import * as ledger from '../src/core/ledger/index.js';
 import * as random from '../dev/random.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as fleetTypes from '../src/core/fleet/types.js';
 import type * as jobs from '../src/core/jobs/index.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
 /** Jobs that crash nothing are to be done so long after they were handed in, in milliseconds. */
-const soundWithinMs = 60_000;
+const soundTimeoutMs = 60_000;
 
-const soundJobs = 24;
+const soundJobCount = 24;
 
-const soundStep = world.step({ count: 6, milliCores: 4_000, estimateMs: 1_500 });
+const soundStep = fixtures.step({ count: 6, milliCores: 4_000, estimateMs: 1_500 });
 
 /** A world of ten workers; tasks of jobs whose names begin with `bad` crash theirs, the first of a job if it is a gang. */
-function createWorld(crashMs: number, soundMs = 1_500): world.TestWorld {
-	const made = world.createWorld((task) => planOf(task, crashMs, soundMs));
-	for (let index = 0; index < 10; index += 1) made.fleet.add(`w${String(index)}`);
-	return made;
+function createCrashEnvironment(crashMs: number, soundMs = 1_500): fixtures.TestEnvironment {
+	const environment = fixtures.createEnvironment((task) => planOf(task, crashMs, soundMs));
+	for (let index = 0; index < 10; index += 1) environment.fleet.add(`w${String(index)}`);
+	return environment;
 }
 
 /** A worker's entry that leaves no task a place. */
-function withoutRoom(entry: fleetTypes.WorkerEntry): fleetTypes.WorkerEntry {
+function withoutCapacity(entry: fleetTypes.WorkerEntry): fleetTypes.WorkerEntry {
 	return { ...entry, capacity: { ...entry.capacity, milliCores: 0 } };
 }
 
@@ -43,29 +43,29 @@
 }
 
 /** Owners of a world that follow one another; the newest hears of the workers that crash and come back. */
-class Reign {
+class OwnerSuccession {
 	private constructor(
-		private readonly made: world.TestWorld,
-		private current: world.TestOwner,
+		private readonly environment: fixtures.TestEnvironment,
+		private current: fixtures.TestOwner,
 	) {}
 
-	static async begin(made: world.TestWorld): Promise<Reign> {
-		const reign = new Reign(made, await made.takeOver());
-		made.fleet.onListed = (added, removed) => {
-			reign.owner.dispatcher.setWorkers(added, removed, false);
+	static async start(environment: fixtures.TestEnvironment): Promise<OwnerSuccession> {
+		const succession = new OwnerSuccession(environment, await environment.takeOver());
+		environment.fleet.onListed = (added, removed) => {
+			succession.owner.dispatcher.setWorkers(added, removed, false);
 		};
-		await made.clock.pass(1_200);
-		return reign;
+		await environment.clock.pass(1_200);
+		return succession;
 	}
 
-	get owner(): world.TestOwner {
+	get owner(): fixtures.TestOwner {
 		return this.current;
 	}
 
 	/** The owner dies, and another takes over. */
-	async change(): Promise<void> {
+	async replaceOwner(): Promise<void> {
 		this.current.dispatcher.close();
-		this.current = await this.made.takeOver();
+		this.current = await this.environment.takeOver();
 	}
 
 	close(): void {
@@ -74,18 +74,21 @@
 }
 
 /** Hands in the jobs that crash nothing, one every 250 ms. */
-async function submitSound(made: world.TestWorld, reign: Reign): Promise<string[]> {
-	const ids = Array.from({ length: soundJobs }, (_, index) => `sound${String(index)}`);
+async function submitSound(
+	environment: fixtures.TestEnvironment,
+	succession: OwnerSuccession,
+): Promise<string[]> {
+	const ids = Array.from({ length: soundJobCount }, (_, index) => `sound${String(index)}`);
 	for (const id of ids) {
-		await made.submit(reign.owner, world.job(id, [soundStep]));
-		await made.clock.pass(240);
+		await environment.submit(succession.owner, fixtures.job(id, [soundStep]));
+		await environment.clock.pass(240);
 	}
 	return ids;
 }
 
 /** The jobs of these that are not in this state. */
-function others(reign: Reign, ids: string[], state: jobs.JobState): string[] {
-	return ids.filter((id) => reign.owner.dispatcher.stateOf(id) !== state);
+function notInState(succession: OwnerSuccession, ids: string[], state: jobs.JobState): string[] {
+	return ids.filter((id) => succession.owner.dispatcher.stateOf(id) !== state);
 }
 
 for (const [title, crashMs] of [
@@ -93,126 +96,130 @@
 	['after a while', 900],
 ] as const)
 	test(`a task that crashes each worker ${title} is given up, and jobs beside it are done`, async (t) => {
-		const made = createWorld(crashMs);
-		const reign = await Reign.begin(made);
-		await made.submit(reign.owner, world.job('bad', [world.step()]));
-		const sound = await submitSound(made, reign);
-		await made.clock.pass(soundWithinMs);
-		t.true(crashes.historyOf(made, 'bad.0.0.0').late <= crashing.startsAfterBound);
-		t.is(reign.owner.dispatcher.stateOf('bad'), 'failed');
-		t.deepEqual(others(reign, sound, 'completed'), []);
-		reign.close();
+		const environment = createCrashEnvironment(crashMs);
+		const succession = await OwnerSuccession.start(environment);
+		await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
+		const sound = await submitSound(environment, succession);
+		await environment.clock.pass(soundTimeoutMs);
+		t.true(crashes.crashCountsOf(environment, 'bad.0.0.0').late <= crashing.startsAfterBound);
+		t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
+		t.deepEqual(notInState(succession, sound, 'completed'), []);
+		succession.close();
 	});
 
 test('a task that crashes each worker at once is given up after the second crash', async (t) => {
-	const made = createWorld(10);
-	const reign = await Reign.begin(made);
-	await made.submit(reign.owner, world.job('bad', [world.step()]));
-	await submitSound(made, reign);
-	await made.clock.pass(soundWithinMs);
-	t.is(crashes.historyOf(made, 'bad.0.0.0').crashes, 2);
-	reign.close();
+	const environment = createCrashEnvironment(10);
+	const succession = await OwnerSuccession.start(environment);
+	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
+	await submitSound(environment, succession);
+	await environment.clock.pass(soundTimeoutMs);
+	t.is(crashes.crashCountsOf(environment, 'bad.0.0.0').crashes, 2);
+	succession.close();
 });
 
 test('a successor goes on counting, whenever its predecessor dies', async (t) => {
 	for (const crashMs of [10, 900])
-		for (const reignMs of [400, 1_700, 2_900, 5_000]) {
-			const made = createWorld(crashMs);
-			const reign = await Reign.begin(made);
-			await made.submit(reign.owner, world.job('bad', [world.step()]));
-			for (let passed = 0; passed < soundWithinMs; passed += reignMs) {
-				await made.clock.pass(reignMs);
-				await reign.change();
+		for (const tenureMs of [400, 1_700, 2_900, 5_000]) {
+			const environment = createCrashEnvironment(crashMs);
+			const succession = await OwnerSuccession.start(environment);
+			await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
+			for (let passed = 0; passed < soundTimeoutMs; passed += tenureMs) {
+				await environment.clock.pass(tenureMs);
+				await succession.replaceOwner();
 			}
 			t.true(
-				crashes.historyOf(made, 'bad.0.0.0').late <= crashing.startsAfterBound,
-				`${String(crashMs)}, ${String(reignMs)}`,
+				crashes.crashCountsOf(environment, 'bad.0.0.0').late <= crashing.startsAfterBound,
+				`${String(crashMs)}, ${String(tenureMs)}`,
 			);
-			reign.close();
+			succession.close();
 		}
 });
 
 test('a crash that no owner saw counts, though the next owner dies before it starts the task again', async (t) => {
-	const made = createWorld(300);
-	const reign = await Reign.begin(made);
-	await made.submit(reign.owner, world.job('bad', [world.step()]));
-	await made.clock.pass(290);
-	await reign.change();
+	const environment = createCrashEnvironment(300);
+	const succession = await OwnerSuccession.start(environment);
+	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
+	await environment.clock.pass(290);
+	await succession.replaceOwner();
 	// It learns that the worker went down, and has no room for the task.
-	const { onListed, workers } = made.fleet;
-	made.fleet.onListed = (added, removed) => {
-		reign.owner.dispatcher.setWorkers(added.map(withoutRoom), removed, false);
+	const { onListed, workers } = environment.fleet;
+	environment.fleet.onListed = (added, removed) => {
+		succession.owner.dispatcher.setWorkers(added.map(withoutCapacity), removed, false);
 	};
-	made.fleet.onListed(
+	environment.fleet.onListed(
 		[...workers.values()].map(({ entry }) => entry),
 		[],
 	);
-	await made.clock.pass(20_000);
-	t.is(made.fleet.starts.length, 1);
-	made.fleet.onListed = onListed;
-	await reign.change();
-	await made.clock.pass(soundWithinMs);
-	t.is(reign.owner.dispatcher.stateOf('bad'), 'failed');
-	t.is(crashes.historyOf(made, 'bad.0.0.0').crashes, 4, 'the one that nobody saw among them');
-	reign.close();
+	await environment.clock.pass(20_000);
+	t.is(environment.fleet.starts.length, 1);
+	environment.fleet.onListed = onListed;
+	await succession.replaceOwner();
+	await environment.clock.pass(soundTimeoutMs);
+	t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
+	t.is(crashes.crashCountsOf(environment, 'bad.0.0.0').crashes, 4, 'the one that nobody saw among them');
+	succession.close();
 });
 
 test('several tasks that crash their workers, handed in with everything else, are each given up', async (t) => {
-	const made = createWorld(10);
-	const reign = await Reign.begin(made);
+	const environment = createCrashEnvironment(10);
+	const succession = await OwnerSuccession.start(environment);
 	const bad = ['bad0', 'bad1', 'bad2'];
-	for (const id of bad) await made.submit(reign.owner, world.job(id, [world.step()]));
-	const sound = await submitSound(made, reign);
-	await made.clock.pass(soundWithinMs);
-	for (const id of bad) t.true(crashes.historyOf(made, `${id}.0.0.0`).late <= crashing.startsAfterBound);
-	t.deepEqual(others(reign, bad, 'failed'), []);
-	t.deepEqual(others(reign, sound, 'completed'), []);
-	reign.close();
+	for (const id of bad) await environment.submit(succession.owner, fixtures.job(id, [fixtures.step()]));
+	const sound = await submitSound(environment, succession);
+	await environment.clock.pass(soundTimeoutMs);
+	for (const id of bad)
+		t.true(crashes.crashCountsOf(environment, `${id}.0.0.0`).late <= crashing.startsAfterBound);
+	t.deepEqual(notInState(succession, bad, 'failed'), []);
+	t.deepEqual(notInState(succession, sound, 'completed'), []);
+	succession.close();
 });
 
 test('a lasting task that crashes each worker is given up', async (t) => {
-	const made = createWorld(10);
-	const reign = await Reign.begin(made);
-	await made.submit(reign.owner, world.job('bad', [world.step({ lasting: true })]));
-	const sound = await submitSound(made, reign);
-	await made.clock.pass(soundWithinMs);
-	t.true(crashes.historyOf(made, 'bad.0.0.0').late <= crashing.startsAfterBound);
-	t.is(reign.owner.dispatcher.stateOf('bad'), 'failed');
-	t.deepEqual(others(reign, sound, 'completed'), []);
-	reign.close();
+	const environment = createCrashEnvironment(10);
+	const succession = await OwnerSuccession.start(environment);
+	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step({ lasting: true })]));
+	const sound = await submitSound(environment, succession);
+	await environment.clock.pass(soundTimeoutMs);
+	t.true(crashes.crashCountsOf(environment, 'bad.0.0.0').late <= crashing.startsAfterBound);
+	t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
+	t.deepEqual(notInState(succession, sound, 'completed'), []);
+	succession.close();
 });
 
 test('a gang of which one member crashes its worker is given up', async (t) => {
-	const made = createWorld(10);
-	const reign = await Reign.begin(made);
-	await made.submit(reign.owner, world.job('half', [world.step({ count: 3, gang: true })]));
-	await made.clock.pass(soundWithinMs);
-	t.true(crashes.historyOf(made, 'half.0.0.0').late <= crashing.startsAfterBound);
-	t.is(reign.owner.dispatcher.stateOf('half'), 'failed');
-	reign.close();
+	const environment = createCrashEnvironment(10);
+	const succession = await OwnerSuccession.start(environment);
+	await environment.submit(succession.owner, fixtures.job('half', [fixtures.step({ count: 3, gang: true })]));
+	await environment.clock.pass(soundTimeoutMs);
+	t.true(crashes.crashCountsOf(environment, 'half.0.0.0').late <= crashing.startsAfterBound);
+	t.is(succession.owner.dispatcher.stateOf('half'), 'failed');
+	succession.close();
 });
 
 test('a job of many tasks that crash their workers does not take the workers down again and again', async (t) => {
-	const made = createWorld(10);
-	const reign = await Reign.begin(made);
-	await made.submit(reign.owner, world.job('bad', [world.step({ count: 200 })]));
-	await made.clock.pass(soundWithinMs);
-	t.is(reign.owner.dispatcher.stateOf('bad'), 'failed');
+	const environment = createCrashEnvironment(10);
+	const succession = await OwnerSuccession.start(environment);
+	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step({ count: 200 })]));
+	await environment.clock.pass(soundTimeoutMs);
+	t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
 	// All ten may go down before the first loss is known; after that, one suspect at a time.
-	t.true(made.fleet.crashes.length <= 12, String(made.fleet.crashes.length));
-	reign.close();
+	t.true(environment.fleet.crashes.length <= 12, String(environment.fleet.crashes.length));
+	succession.close();
 });
 
 for (const dark of [false, true])
 	test(`workers that crash by chance, ${dark ? 'without power' : 'alone or three at a time'}, cost no job`, async (t) => {
 		const draw = random.seeded(dark ? 2 : 1);
-		const made = createWorld(10);
-		const { clock, fleet } = made;
-		const reign = await Reign.begin(made);
-		await made.submit(reign.owner, world.job('lasting', [world.step({ count: 4, lasting: true })]));
+		const environment = createCrashEnvironment(10);
+		const { clock, fleet } = environment;
+		const succession = await OwnerSuccession.start(environment);
+		await environment.submit(
+			succession.owner,
+			fixtures.job('lasting', [fixtures.step({ count: 4, lasting: true })]),
+		);
 		const ids = Array.from({ length: 60 }, (_, index) => `sound${String(index)}`);
 		for (const [index, id] of ids.entries()) {
-			await made.submit(reign.owner, world.job(id, [soundStep]));
+			await environment.submit(succession.owner, fixtures.job(id, [soundStep]));
 			await clock.pass(1_000);
 			const count = index % 6 === 5 ? 3 : Number(index % 3 === 2);
 			const living = [...fleet.workers.values()];
@@ -222,49 +229,51 @@
 			}
 		}
 		await clock.pass(30_000);
-		t.deepEqual(others(reign, ids, 'completed'), []);
-		t.is(reign.owner.dispatcher.stateOf('lasting'), 'running');
-		reign.close();
+		t.deepEqual(notInState(succession, ids, 'completed'), []);
+		t.is(succession.owner.dispatcher.stateOf('lasting'), 'running');
+		succession.close();
 	});
 
 test('a caller is told why a job has failed, by its owner and by the store', async (t) => {
-	const made = createWorld(10);
-	const reign = await Reign.begin(made);
-	await made.submit(reign.owner, world.job('bad', [world.step()]));
-	await made.clock.pass(soundWithinMs);
+	const environment = createCrashEnvironment(10);
+	const succession = await OwnerSuccession.start(environment);
+	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
+	await environment.clock.pass(soundTimeoutMs);
 	const failure = '2 workers went down, or may have, under task bad.0.0.0: it brought them down';
-	t.deepEqual(reign.owner.dispatcher.viewOf('bad'), { state: 'failed', failure });
-	const reading = ledger.readJob(made.store.view(), 'bad');
-	await made.clock.pass(50);
+	t.deepEqual(succession.owner.dispatcher.viewOf('bad'), { state: 'failed', failure });
+	const reading = ledger.readJob(environment.store.view(), 'bad');
+	await environment.clock.pass(50);
 	const stored = await reading;
 	t.deepEqual(stored.ok && stored.value && ledger.toJobView(stored.value), { state: 'failed', failure });
-	reign.close();
+	succession.close();
 });
 
 test('starts that were never sent, as their owners died, are not held against a task', async (t) => {
-	const made = createWorld(10, 500);
-	const { clock, fleet } = made;
-	let owner = await made.takeOver();
+	const environment = createCrashEnvironment(10, 500);
+	const { clock, fleet } = environment;
+	let owner = await environment.takeOver();
 	fleet.onListed = (added, removed) => {
 		owner.dispatcher.setWorkers(added, removed, false);
 	};
-	const placed = (): number => owner.events.select((event) => event.name === 'task.placed').length;
+	const placedCount = (): number => owner.events.select((event) => event.name === 'task.placed').length;
 	await clock.pass(1_200);
-	await made.submit(owner, world.job('sound', [world.step()]));
+	await environment.submit(owner, fixtures.job('sound', [fixtures.step()]));
 	await clock.pass(100);
-	const only = [...fleet.workers.values()].find((one) => one.running.size > 0);
-	if (only !== undefined) fleet.crash(only, { downMs: 1_000, dark: false });
+	const busyWorker = [...fleet.workers.values()].find((one) => one.running.size > 0);
+	if (busyWorker !== undefined) fleet.crash(busyWorker, { downMs: 1_000, dark: false });
 	for (let deaths = 0; deaths < 4; deaths += 1) {
 		owner.dispatcher.close();
-		let hasBegun = false;
+		let hasTakenOver = false;
 		// The store takes what is written from its placing on, and its answers are lost: the start is not sent.
-		owner = await made.takeOver(undefined, () => (hasBegun && placed() > 0 ? 'lost' : 'none'));
-		hasBegun = true;
-		while (placed() === 0) await clock.pass(1);
+		owner = await environment.takeOver(undefined, () =>
+			hasTakenOver && placedCount() > 0 ? 'lost' : 'none',
+		);
+		hasTakenOver = true;
+		while (placedCount() === 0) await clock.pass(1);
 		await clock.pass(100);
 	}
 	owner.dispatcher.close();
-	owner = await made.takeOver();
+	owner = await environment.takeOver();
 	await clock.pass(10_000);
 	t.deepEqual(
 		fleet.starts.map((one) => one.task),
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -132,7 +132,7 @@
 	t.snapshot({ throttles: [...evicted.throttles], evictions: evicted.evictions });
 });
 
-const waits = { leaseMs: 10, horizonMs: 100, marginMs: 1, maxClockDrift: 0, unreachableMs: 5 };
+const silenceSettings = { leaseMs: 10, horizonMs: 100, marginMs: 1, maxClockDrift: 0, unreachableMs: 5 };
 
 test('silence proves nothing before every lease that anybody gave has ended', (t) => {
 	const view = types.newWorkerView({
@@ -142,12 +142,13 @@
 		capacity: { cores: 1, memoryMb: 1, accelerators: 0 },
 		leaving: false,
 	});
-	const proved = (released: boolean): number => silence.provenStoppedAt(view, { at: 1000, released }, waits);
-	t.is(proved(false), 1111);
-	t.is(proved(true), 1011);
+	const provedStoppedAt = (released: boolean): number =>
+		silence.provenStoppedAt(view, { at: 1000, released }, silenceSettings);
+	t.is(provedStoppedAt(false), 1111);
+	t.is(provedStoppedAt(true), 1011);
 	view.fenced = true;
 	view.leaseEndsBy = 1050;
-	t.is(proved(false), 1051);
+	t.is(provedStoppedAt(false), 1051);
 });
 
 test('frames cut a stream anywhere give the same values', (t) => {
@@ -228,8 +229,9 @@
 			swaps += 1;
 			current = { key, value, version: swaps };
 			if (swaps > 1) return Promise.resolve({ ok: true, value: { swapped: true, version: swaps } });
-			const mine = config.decodeRecord(current);
-			if (mine.ok) current = { key, value: wire.encodeValue(other(mine.value)), version: swaps + 1 };
+			const firstChange = config.decodeRecord(current);
+			if (firstChange.ok)
+				current = { key, value: wire.encodeValue(other(firstChange.value)), version: swaps + 1 };
 			return Promise.resolve({ ok: false, err: { effect: 'unknown', reason: 'lost' } });
 		},
 	} as unknown as platform.Store;
--- a/test/decoders.test.ts
+++ b/test/decoders.test.ts
@@ -12,53 +12,65 @@
 const params = { seed: 20_261, numRuns: 500 };
 
 /** A field as its writer meant it, missing, or of any other type. */
-function spoilt<T>(good: fc.Arbitrary<T>): fc.Arbitrary<unknown> {
+function possiblyInvalid<T>(good: fc.Arbitrary<T>): fc.Arbitrary<unknown> {
 	return fc.oneof({ weight: 4, arbitrary: good }, fc.constant(undefined), fc.jsonValue());
 }
 
-const amount = spoilt(fc.nat());
-const word = spoilt(fc.string());
+const amountField = possiblyInvalid(fc.nat());
+const textField = possiblyInvalid(fc.string());
 
 const workerEntry = fc.record({
-	service: word,
-	address: spoilt(fc.constant('10.0.0.1:80')),
-	zone: word,
-	state: spoilt(fc.constantFrom('ready', 'draining', 'resting')),
-	capacity: spoilt(fc.record({ cpu: amount, mem_mb: amount, gpu: amount })),
-	labels: spoilt(fc.array(fc.string())),
-	remaining_ms: amount,
+	service: textField,
+	address: possiblyInvalid(fc.constant('10.0.0.1:80')),
+	zone: textField,
+	state: possiblyInvalid(fc.constantFrom('ready', 'draining', 'resting')),
+	capacity: possiblyInvalid(fc.record({ cpu: amountField, mem_mb: amountField, gpu: amountField })),
+	labels: possiblyInvalid(fc.array(fc.string())),
+	remaining_ms: amountField,
 });
 
 const operatorsConfiguration = fc.record({
-	version: amount,
-	routes: spoilt(
-		fc.array(fc.record({ name: word, host: word, path_prefix: word, service: word, attempts: amount })),
+	version: amountField,
+	routes: possiblyInvalid(
+		fc.array(
+			fc.record({
+				name: textField,
+				host: textField,
+				path_prefix: textField,
+				service: textField,
+				attempts: amountField,
+			}),
+		),
 	),
-	services: spoilt(fc.array(fc.record({ name: word, admission_check: spoilt(fc.boolean()) }))),
-	limits: spoilt(fc.record({ max_header_bytes: amount, max_body_bytes: amount })),
+	services: possiblyInvalid(
+		fc.array(fc.record({ name: textField, admission_check: possiblyInvalid(fc.boolean()) })),
+	),
+	limits: possiblyInvalid(fc.record({ max_header_bytes: amountField, max_body_bytes: amountField })),
 });
 
 const wave = fc.record({
-	wave: amount,
-	machines: spoilt(fc.array(fc.string())),
-	within_s: amount,
-	maximum: amount,
+	wave: amountField,
+	machines: possiblyInvalid(fc.array(fc.string())),
+	within_s: amountField,
+	maximum: amountField,
 });
 
 const job = fc.record({
-	spec: word,
-	steps: spoilt(fc.array(fc.record({ count: amount, cpu: amount, after: spoilt(fc.array(fc.nat())) }))),
-	max_runs: amount,
+	spec: textField,
+	steps: possiblyInvalid(
+		fc.array(fc.record({ count: amountField, cpu: amountField, after: possiblyInvalid(fc.array(fc.nat())) })),
+	),
+	max_runs: amountField,
 });
 
 /** A value as JSON, or any bytes at all. */
-function written(value: fc.Arbitrary<unknown>): fc.Arbitrary<Uint8Array> {
+function encoded(value: fc.Arbitrary<unknown>): fc.Arbitrary<Uint8Array> {
 	const text = value.map((one) => Buffer.from(JSON.stringify(one)) as Uint8Array);
 	return fc.oneof({ weight: 3, arbitrary: text }, fc.uint8Array());
 }
 
 test('worker entries', (t) => {
-	const property = fc.property(written(workerEntry), (value) => {
+	const property = fc.property(encoded(workerEntry), (value) => {
 		const entry = workerEntries.decodeWorker('servers/w1', value);
 		if (entry === undefined) return;
 		const { capacity } = entry;
@@ -70,7 +82,7 @@
 });
 
 test('configurations', (t) => {
-	const property = fc.property(written(operatorsConfiguration), (value) => {
+	const property = fc.property(encoded(operatorsConfiguration), (value) => {
 		const decoded = configuration.decodeConfiguration(value);
 		if (decoded.ok) t.is(typeof decoded.value.version, 'number');
 		else t.not(decoded.err, '');
@@ -80,7 +92,7 @@
 });
 
 test('waves of upkeep', (t) => {
-	const property = fc.property(written(wave), (value) => {
+	const property = fc.property(encoded(wave), (value) => {
 		const decoded = waves.decodeWave('op/wave/3', value);
 		if (decoded !== undefined) t.true(Number.isInteger(decoded.number) && Number.isFinite(decoded.withinMs));
 	});
@@ -89,7 +101,7 @@
 });
 
 test('jobs that callers hand in', (t) => {
-	const property = fc.property(written(job), (value) => {
+	const property = fc.property(encoded(job), (value) => {
 		const decoded = jobBody.decodeJob(value);
 		if (!decoded.ok) return;
 		t.true(decoded.value.steps.every((step) => step.count >= 1 && step.milliCores >= 0));
@@ -109,7 +121,7 @@
 
 test('a configuration whose last queue was dropped is taken, however its empty lists are written', (t) => {
 	for (const empty of [{}, { routes: null, services: null }, { routes: [], services: [] }]) {
-		const decoded = configuration.decodeConfiguration(configurations.stored(8, empty));
+		const decoded = configuration.decodeConfiguration(configurations.storedConfiguration(8, empty));
 		t.true(decoded.ok && decoded.value.routes.length === 0, JSON.stringify(empty));
 	}
 });
@@ -117,23 +129,23 @@
 test('fields of a queue or a pool that are null count as left out', (t) => {
 	const route = { name: 'r', host: 'h', path_prefix: '/p/' };
 	const nulls = { slo_ms: null, priority: null, service: null, attempts: null, stretch: null };
-	const left = configuration.decodeConfiguration(
-		configurations.stored(8, { routes: [route], services: [{ name: 's' }] }),
+	const omitted = configuration.decodeConfiguration(
+		configurations.storedConfiguration(8, { routes: [route], services: [{ name: 's' }] }),
 	);
-	const written = configuration.decodeConfiguration(
-		configurations.stored(8, {
+	const explicitNulls = configuration.decodeConfiguration(
+		configurations.storedConfiguration(8, {
 			routes: [{ ...route, ...nulls }],
 			services: [{ name: 's', admission_check: null, headroom: null }],
 		}),
 	);
-	t.true(left.ok);
-	t.deepEqual(written, left);
+	t.true(omitted.ok);
+	t.deepEqual(explicitNulls, omitted);
 });
 
 test('a queue that can not be read does not keep the others of its version out of force', (t) => {
 	const good = { name: 'r', host: 'h', path_prefix: '/p/' };
 	const decoded = configuration.decodeConfiguration(
-		configurations.stored(8, { routes: [good, { name: 'bad' }], services: [] }),
+		configurations.storedConfiguration(8, { routes: [good, { name: 'bad' }], services: [] }),
 	);
 	t.true(decoded.ok);
 	if (!decoded.ok) return;
--- a/test/dispatch.test.ts
+++ b/test/dispatch.test.ts
@@ -1,15 +1,15 @@
 /** Dispatching under failure, in memory: what is started where and how often, and what callers are told. */
 import test from 'ava';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as jobs from '../src/core/jobs/index.js';
 
-const half = { ms: 500, how: 'done' as const };
+const halfSecondPlan = { ms: 500, how: 'done' as const };
 
 test('a job of two steps runs each task once, in order, and is shown as completed', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => half);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => halfSecondPlan);
 	fleet.add('w1');
 	const owner = await takeOver();
-	await submit(owner, world.job('job1', [world.step({ count: 2 }), world.step({ after: [0] })]));
+	await submit(owner, fixtures.job('job1', [fixtures.step({ count: 2 }), fixtures.step({ after: [0] })]));
 	t.is(owner.dispatcher.stateOf('job1'), 'pending');
 	await clock.pass(200);
 	t.is(owner.dispatcher.stateOf('job1'), 'running');
@@ -20,11 +20,11 @@
 });
 
 test('a task that failed too often ends its job; its failures are counted once across a takeover', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 300, how: 'failed' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 300, how: 'failed' }));
 	fleet.add('w1');
 	fleet.add('w2');
 	const first = await takeOver();
-	await submit(first, world.job('job1', [world.step()]));
+	await submit(first, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(450);
 	first.dispatcher.close();
 	const second = await takeOver();
@@ -37,10 +37,13 @@
 });
 
 test("a silent worker's lasting tasks start elsewhere once their lease is over, not earlier", async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 'endless', how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({
+		ms: 'endless',
+		how: 'done',
+	}));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await submit(owner, world.job('job1', [world.step({ lasting: true })]));
+	await submit(owner, fixtures.job('job1', [fixtures.step({ lasting: true })]));
 	await clock.pass(1_000);
 	t.is(fleet.starts.length, 1);
 	fleet.add('w2');
@@ -58,11 +61,14 @@
 });
 
 test('a worker whose clock is slow keeps its tasks to itself until its own lease is over', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 'endless', how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({
+		ms: 'endless',
+		how: 'done',
+	}));
 	const w1 = fleet.add('w1');
 	w1.rate = 0.98;
 	const owner = await takeOver();
-	await submit(owner, world.job('job1', [world.step({ lasting: true })]));
+	await submit(owner, fixtures.job('job1', [fixtures.step({ lasting: true })]));
 	await clock.pass(1_000);
 	fleet.add('w2');
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
@@ -76,12 +82,12 @@
 });
 
 test('a start that is carried out late, after the task ran elsewhere, does not start a second run', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 4_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 4_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await clock.pass(1_200);
 	w1.fault = 'late';
-	await submit(owner, world.job('job1', [world.step()]));
+	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(300);
 	fleet.add('w2');
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
@@ -95,12 +101,12 @@
 });
 
 test('a start whose answer is lost runs once', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => half);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => halfSecondPlan);
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await clock.pass(1_200);
 	w1.fault = 'lost';
-	await submit(owner, world.job('job1', [world.step()]));
+	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(400);
 	w1.fault = 'none';
 	await clock.pass(4_000);
@@ -110,12 +116,12 @@
 });
 
 test('a refused connection after a start without an answer does not prove that the run never started', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 4_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 4_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await clock.pass(1_200);
 	w1.fault = 'lost';
-	await submit(owner, world.job('job1', [world.step()]));
+	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(300);
 	w1.fault = 'refused';
 	fleet.add('w2');
@@ -131,11 +137,11 @@
 });
 
 test('a successor starts nothing again before every worker of its predecessor has answered', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 2_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 2_000, how: 'done' }));
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const first = await takeOver();
-	await submit(first, world.job('job1', [world.step({ count: 6 })]));
+	await submit(first, fixtures.job('job1', [fixtures.step({ count: 6 })]));
 	await clock.pass(500);
 	t.is(fleet.starts.length, 6);
 	w2.fault = 'silent';
@@ -152,7 +158,7 @@
 });
 
 test('a job that an earlier owner was told of after the takeover does not start twice', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 2_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 2_000, how: 'done' }));
 	fleet.add('w1');
 	fleet.add('w2');
 	const first = await takeOver();
@@ -160,7 +166,7 @@
 	const second = await takeOver((worker) => worker === 'w1');
 	await clock.pass(100);
 	// The accepting box still knows the first owner, which reaches the worker that the second does not.
-	const job = world.job('job1', [world.step({ maxPerWorker: 1 })]);
+	const job = fixtures.job('job1', [fixtures.step({ maxPerWorker: 1 })]);
 	await submit(first, job);
 	await clock.pass(20);
 	second.dispatcher.addJob({ ...job, acceptedUnder: first.ledger.generation });
@@ -173,14 +179,14 @@
 });
 
 test('a run of a job that the successor has not read yet is neither stopped nor doubled', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 2_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 2_000, how: 'done' }));
 	fleet.add('w1');
 	fleet.add('w2');
 	const first = await takeOver();
 	await clock.pass(500);
 	let isCut = true;
 	const second = await takeOver(() => isCut);
-	const job = world.job('job1', [world.step({ count: 2 })]);
+	const job = fixtures.job('job1', [fixtures.step({ count: 2 })]);
 	await submit(first, job);
 	await clock.pass(20);
 	t.is(fleet.starts.length, 2);
@@ -198,13 +204,13 @@
 });
 
 test('an end of a job that the successor has not read yet is not forgotten', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => half);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => halfSecondPlan);
 	fleet.add('w1');
 	const first = await takeOver();
 	await clock.pass(500);
 	let isCut = true;
 	const second = await takeOver(() => isCut);
-	const job = world.job('job1', [world.step()]);
+	const job = fixtures.job('job1', [fixtures.step()]);
 	await submit(first, job);
 	await clock.pass(20);
 	first.dispatcher.close();
@@ -219,7 +225,7 @@
 });
 
 test('a job accepted after a takeover starts at once, whoever is still silent', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => half);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => halfSecondPlan);
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const first = await takeOver();
@@ -227,22 +233,22 @@
 	w2.fault = 'silent';
 	first.dispatcher.close();
 	const second = await takeOver();
-	await submit(second, world.job('job2', [world.step()]));
+	await submit(second, fixtures.job('job2', [fixtures.step()]));
 	await clock.pass(100);
 	t.is(fleet.starts.length, 1);
 	second.dispatcher.close();
 });
 
 test('an owner that is replaced while it can still reach workers is turned away by them', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => half);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => halfSecondPlan);
 	fleet.add('w1');
 	const first = await takeOver();
 	await clock.pass(500);
 	const second = await takeOver();
 	await clock.pass(1_500);
-	t.true(first.fenced());
-	await submit(second, world.job('job1', [world.step()]));
-	first.dispatcher.addJob(world.job('job1', [world.step()]));
+	t.true(first.isFenced());
+	await submit(second, fixtures.job('job1', [fixtures.step()]));
+	first.dispatcher.addJob(fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(2_000);
 	t.is(fleet.starts.length, 1);
 	second.dispatcher.close();
@@ -250,10 +256,10 @@
 
 test('an end is shown, and forgotten by the worker, only once it is stored', async (t) => {
 	let fault: 'none' | 'down' = 'none';
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => half);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => halfSecondPlan);
 	const w1 = fleet.add('w1');
 	const owner = await takeOver(undefined, () => fault);
-	await submit(owner, world.job('job1', [world.step()]));
+	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(300);
 	fault = 'down';
 	await clock.pass(1_000);
@@ -267,10 +273,10 @@
 });
 
 test('a cancelled job starts nothing more, and what runs is stopped', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 3_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 3_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await submit(owner, world.job('job1', [world.step(), world.step({ after: [0] })]));
+	await submit(owner, fixtures.job('job1', [fixtures.step(), fixtures.step({ after: [0] })]));
 	await clock.pass(200);
 	owner.dispatcher.cancelJob('job1');
 	t.is(owner.dispatcher.stateOf('job1'), 'cancelled');
@@ -281,10 +287,13 @@
 });
 
 test('a worker that comes back as another life gives up what it ran at once', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 'endless', how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({
+		ms: 'endless',
+		how: 'done',
+	}));
 	fleet.add('w1');
 	const owner = await takeOver();
-	await submit(owner, world.job('job1', [world.step({ lasting: true })]));
+	await submit(owner, fixtures.job('job1', [fixtures.step({ lasting: true })]));
 	await clock.pass(500);
 	fleet.add('w1-again', { address: 'w1:1' });
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
@@ -298,14 +307,17 @@
 
 test('short tasks make room among lasting ones, which go on once there is room again', async (t) => {
 	const plan = (task: string): { ms: number | 'endless'; how: 'done' } =>
-		task.startsWith('lasting') ? { ms: 'endless', how: 'done' } : half;
-	const { clock, fleet, takeOver, submit } = world.createWorld(plan);
+		task.startsWith('lasting') ? { ms: 'endless', how: 'done' } : halfSecondPlan;
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(plan);
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await submit(owner, world.job('lasting', [world.step({ count: 4, milliCores: 8_000, lasting: true })]));
+	await submit(
+		owner,
+		fixtures.job('lasting', [fixtures.step({ count: 4, milliCores: 8_000, lasting: true })]),
+	);
 	await clock.pass(5_000);
 	t.is(w1.running.size, 4);
-	await submit(owner, world.job('short', [world.step({ count: 2 })]));
+	await submit(owner, fixtures.job('short', [fixtures.step({ count: 2 })]));
 	await clock.pass(2_000);
 	t.is(owner.dispatcher.stateOf('short'), 'completed');
 	await clock.pass(8_000);
@@ -315,12 +327,12 @@
 
 test('a run that stands still is stopped, tried elsewhere, and counts against its worker', async (t) => {
 	const plan = (_task: string, run: number): { ms: number | 'endless'; how: 'done'; percent?: number } =>
-		run === 1 ? { ms: 'endless', how: 'done', percent: 40 } : half;
-	const { clock, fleet, takeOver, submit } = world.createWorld(plan);
+		run === 1 ? { ms: 'endless', how: 'done', percent: 40 } : halfSecondPlan;
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(plan);
 	fleet.add('w1');
 	fleet.add('w2');
 	const owner = await takeOver();
-	await submit(owner, world.job('job1', [world.step()]));
+	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(2_000);
 	t.is(fleet.starts.length, 1);
 	await clock.pass(4_000);
@@ -330,14 +342,14 @@
 });
 
 test('a queue that has fallen behind serves what can still be in time first, and the rest after it', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 900, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 900, how: 'done' }));
 	fleet.add('w1');
 	const owner = await takeOver();
 	// One at a time; each should be done within 1.5 s of its hand-in.
-	const whole = [world.step({ milliCores: 32_000, estimateMs: 500 })];
-	for (let number = 0; number < 6; number += 1) await submit(owner, world.job(`old${number}`, whole));
+	const whole = [fixtures.step({ milliCores: 32_000, estimateMs: 500 })];
+	for (let number = 0; number < 6; number += 1) await submit(owner, fixtures.job(`old${number}`, whole));
 	await clock.pass(3_500);
-	await submit(owner, world.job('new', whole));
+	await submit(owner, fixtures.job('new', whole));
 	await clock.pass(6_000);
 	const order = fleet.starts.map((one) => one.task);
 	t.true(order.indexOf('new.0.0.0') <= 4, order.join(' '));
@@ -346,16 +358,19 @@
 });
 
 test('a lasting task that fits is started, whatever larger one has been waiting for room', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 'endless', how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({
+		ms: 'endless',
+		how: 'done',
+	}));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	const lasting = (milliCores: number): jobs.StepSpec[] => [world.step({ milliCores, lasting: true })];
-	await submit(owner, world.job('first', lasting(20_000)));
+	const longRunning = (milliCores: number): jobs.StepSpec[] => [fixtures.step({ milliCores, lasting: true })];
+	await submit(owner, fixtures.job('first', longRunning(20_000)));
 	await clock.pass(3_000);
 	// Will never fit beside the first, which stays.
-	await submit(owner, world.job('large', lasting(16_000)));
+	await submit(owner, fixtures.job('large', longRunning(16_000)));
 	await clock.pass(3_500);
-	await submit(owner, world.job('small', lasting(10_000)));
+	await submit(owner, fixtures.job('small', longRunning(10_000)));
 	await clock.pass(6_000);
 	t.deepEqual([...w1.running.keys()].sort(), ['first.0.0.0', 'small.0.0.0']);
 	owner.dispatcher.close();
@@ -363,16 +378,16 @@
 
 test('no worker is kept from short tasks for a lasting one that it will never hold', async (t) => {
 	const plan = (task: string): { ms: number | 'endless'; how: 'done' } =>
-		task.startsWith('short') ? half : { ms: 'endless', how: 'done' };
-	const { clock, fleet, takeOver, submit } = world.createWorld(plan);
+		task.startsWith('short') ? halfSecondPlan : { ms: 'endless', how: 'done' };
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(plan);
 	fleet.add('w1');
 	const owner = await takeOver();
-	const lasting = (milliCores: number): jobs.StepSpec[] => [world.step({ milliCores, lasting: true })];
-	await submit(owner, world.job('first', lasting(20_000)));
+	const longRunning = (milliCores: number): jobs.StepSpec[] => [fixtures.step({ milliCores, lasting: true })];
+	await submit(owner, fixtures.job('first', longRunning(20_000)));
 	await clock.pass(3_000);
-	await submit(owner, world.job('large', lasting(16_000)));
+	await submit(owner, fixtures.job('large', longRunning(16_000)));
 	await clock.pass(3_500);
-	await submit(owner, world.job('short', [world.step()]));
+	await submit(owner, fixtures.job('short', [fixtures.step()]));
 	await clock.pass(100);
 	t.is(owner.dispatcher.stateOf('short'), 'running');
 	owner.dispatcher.close();
@@ -381,24 +396,27 @@
 test('a lasting task that was stopped for short ones is back within seconds, however many short ones wait', async (t) => {
 	const plan = (task: string): { ms: number | 'endless'; how: 'done' } =>
 		task.startsWith('lasting') ? { ms: 'endless', how: 'done' } : { ms: 400, how: 'done' };
-	const { clock, fleet, takeOver, submit } = world.createWorld(plan);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(plan);
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await submit(owner, world.job('lasting', [world.step({ count: 3, milliCores: 8_000, lasting: true })]));
+	await submit(
+		owner,
+		fixtures.job('lasting', [fixtures.step({ count: 3, milliCores: 8_000, lasting: true })]),
+	);
 	await clock.pass(5_000);
 	const awayMs = [0, 0, 0];
-	let longestMs = 0;
+	let maxAwayMs = 0;
 	for (let round = 0; round < 150; round += 1) {
 		// More than the worker holds, and no two ends leave room for a lasting task together.
-		await submit(owner, world.job(`short${round}`, [world.step({ count: 2, milliCores: 5_000 })]));
+		await submit(owner, fixtures.job(`short${round}`, [fixtures.step({ count: 2, milliCores: 5_000 })]));
 		await clock.pass(90);
 		for (const index of awayMs.keys()) {
 			const isAway = !w1.running.has(`lasting.0.0.${index}`);
 			awayMs[index] = isAway ? (awayMs[index] ?? 0) + 100 : 0;
-			longestMs = Math.max(longestMs, awayMs[index]);
+			maxAwayMs = Math.max(maxAwayMs, awayMs[index]);
 		}
 	}
-	t.true(longestMs > 1_000, 'short tasks did make room');
-	t.true(longestMs < 6_000, `a lasting task was away for ${longestMs} ms`);
+	t.true(maxAwayMs > 1_000, 'short tasks did make room');
+	t.true(maxAwayMs < 6_000, `a lasting task was away for ${maxAwayMs} ms`);
 	owner.dispatcher.close();
 });
--- a/test/doubtful-configuration.test.ts
+++ b/test/doubtful-configuration.test.ts
@@ -8,11 +8,11 @@
 import * as undici from 'undici';
 import type * as service from '../src/core/box/job-service.js';
 
-const known = { name: 'r', host: 'proofs.example', path_prefix: '/known/' };
+const knownRoute = { name: 'r', host: 'proofs.example', path_prefix: '/known/' };
 
 /** Status and Retry-After of a question for a queue's count. */
-async function ask(isConfigurationInDoubt: boolean, path: string): Promise<[number, unknown]> {
-	const value = configurations.stored(1, { routes: [known], services: [] });
+async function requestCount(isConfigurationInDoubt: boolean, path: string): Promise<[number, unknown]> {
+	const value = configurations.storedConfiguration(1, { routes: [knownRoute], services: [] });
 	const decoded = configuration.decodeConfiguration(value);
 	if (!decoded.ok) throw new Error(decoded.err);
 	const pending = () => Promise.resolve({ type: 'ok' as const, value: 0 });
@@ -23,7 +23,7 @@
 		service: { pending } as unknown as service.JobService,
 	});
 	const address = await listening.listen(server, '127.0.0.1:0');
-	const res = await undici.request(`http://${address}${path}`, { headers: { host: known.host } });
+	const res = await undici.request(`http://${address}${path}`, { headers: { host: knownRoute.host } });
 	await res.body.dump();
 	server.closeAllConnections();
 	server.close();
@@ -31,10 +31,10 @@
 }
 
 test('a queue that is not known is called unknown only by a configuration that is confirmed', async (t) => {
-	t.deepEqual(await ask(false, '/added/'), [404, undefined]);
-	t.deepEqual(await ask(true, '/added/'), [503, '1']);
+	t.deepEqual(await requestCount(false, '/added/'), [404, undefined]);
+	t.deepEqual(await requestCount(true, '/added/'), [503, '1']);
 });
 
 test('a queue that is known is served whatever the age of the configuration', async (t) => {
-	t.deepEqual(await ask(true, '/known/'), [200, undefined]);
+	t.deepEqual(await requestCount(true, '/known/'), [200, undefined]);
 });
--- a/test/evacuations.test.ts
+++ b/test/evacuations.test.ts
@@ -4,38 +4,43 @@
 import * as evacuations from '../platform/evacuations.js';
 import * as events from '../src/core/events/index.js';
 import * as memory from '../stand-ins/fleet/memory-store.js';
-import * as real from './fixtures/real-boxes.js';
+import * as realBoxes from './fixtures/real-boxes.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 
 /** A start has to heed an evacuation that was stored so long ago, in milliseconds. */
 const evacuateMs = 5_000;
 
 /** Two workers in each of two zones. */
-async function twoZones(plan: Parameters<typeof world.createWorld>[0]) {
-	const made = world.createWorld(plan);
+async function createTwoZones(plan: Parameters<typeof fixtures.createEnvironment>[0]) {
+	const environment = fixtures.createEnvironment(plan);
 	for (const zone of ['rennes', 'brest'])
-		for (const number of [1, 2]) made.fleet.add(`${zone}-${String(number)}`, { zone, labels: [zone] });
-	const owner = await made.takeOver();
-	await made.clock.pass(1_200);
+		for (const number of [1, 2]) environment.fleet.add(`${zone}-${String(number)}`, { zone, labels: [zone] });
+	const owner = await environment.takeOver();
+	await environment.clock.pass(1_200);
 	const evacuate = (...zones: string[]): void => {
-		owner.dispatcher.noteEvacuations(new Set(zones), made.clock.now());
+		owner.dispatcher.noteEvacuations(new Set(zones), environment.clock.now());
 	};
 	const startsIn = (zone: string, since = 0): string[] =>
-		made.fleet.starts.filter((one) => one.at >= since && one.worker.startsWith(zone)).map((one) => one.task);
-	return { ...made, owner, evacuate, startsIn };
+		environment.fleet.starts
+			.filter((one) => one.at >= since && one.worker.startsWith(zone))
+			.map((one) => one.task);
+	return { ...environment, owner, evacuate, startsIn };
 }
 
 test('an evacuated zone gets no work, what runs there runs on, and it gets work again once that is taken back', async (t) => {
-	const { clock, owner, submit, evacuate, startsIn } = await twoZones(() => ({ ms: 2_000, how: 'done' }));
-	const wide = [world.step({ count: 40, milliCores: 3_000 })];
-	await submit(owner, world.job('before', wide));
+	const { clock, owner, submit, evacuate, startsIn } = await createTwoZones(() => ({
+		ms: 2_000,
+		how: 'done',
+	}));
+	const wide = [fixtures.step({ count: 40, milliCores: 3_000 })];
+	await submit(owner, fixtures.job('before', wide));
 	await clock.pass(500);
-	const begun = startsIn('rennes').length;
-	t.true(begun > 0);
+	const startedBefore = startsIn('rennes').length;
+	t.true(startedBefore > 0);
 	evacuate('rennes');
 	const evacuatedAt = clock.now();
-	await submit(owner, world.job('after', [world.step({ count: 30, milliCores: 2_000 })]));
+	await submit(owner, fixtures.job('after', [fixtures.step({ count: 30, milliCores: 2_000 })]));
 	await clock.pass(8_000);
 	t.deepEqual(startsIn('rennes', evacuatedAt), []);
 	t.is(owner.dispatcher.stateOf('before'), 'completed');
@@ -45,7 +50,7 @@
 	t.is(names.filter((name) => name === 'zone.evacuated').length, 1);
 	t.is(names.filter((name) => name === 'zone.emptied').length, 1);
 	evacuate();
-	await submit(owner, world.job('again', wide));
+	await submit(owner, fixtures.job('again', wide));
 	await clock.pass(3_000);
 	t.true(startsIn('rennes', evacuatedAt).length > 0);
 	t.is(owner.dispatcher.stateOf('again'), 'completed');
@@ -53,12 +58,12 @@
 });
 
 test('a start without an answer is not repeated in a zone that is evacuated meanwhile', async (t) => {
-	const { clock, fleet, owner, submit, evacuate, startsIn } = await twoZones(() => ({
+	const { clock, fleet, owner, submit, evacuate, startsIn } = await createTwoZones(() => ({
 		ms: 500,
 		how: 'done',
 	}));
 	for (const worker of fleet.workers.values()) worker.fault = 'silent';
-	await submit(owner, world.job('job1', [world.step({ count: 12, milliCores: 10_000 })]));
+	await submit(owner, fixtures.job('job1', [fixtures.step({ count: 12, milliCores: 10_000 })]));
 	await clock.pass(500);
 	evacuate('rennes');
 	for (const worker of fleet.workers.values()) worker.fault = 'none';
@@ -69,11 +74,11 @@
 });
 
 test('a start that waits for the store is not sent to a zone that is evacuated meanwhile', async (t) => {
-	const { clock, store, owner, submit, evacuate, startsIn } = await twoZones(() => ({
+	const { clock, store, owner, submit, evacuate, startsIn } = await createTwoZones(() => ({
 		ms: 'endless',
 		how: 'done',
 	}));
-	await submit(owner, world.job('job1', [world.step({ count: 4, milliCores: 10_000, lasting: true })]));
+	await submit(owner, fixtures.job('job1', [fixtures.step({ count: 4, milliCores: 10_000, lasting: true })]));
 	store.writeMs = 400;
 	await clock.pass(100);
 	t.deepEqual(startsIn(''), []);
@@ -86,16 +91,16 @@
 });
 
 test('nothing is started while all zones are evacuated, and all is done afterwards', async (t) => {
-	const { clock, fleet, owner, submit, evacuate } = await twoZones(() => ({ ms: 500, how: 'done' }));
+	const { clock, fleet, owner, submit, evacuate } = await createTwoZones(() => ({ ms: 500, how: 'done' }));
 	evacuate('rennes', 'brest');
 	await submit(
 		owner,
-		world.job('job1', [world.step({ count: 4, gang: true }), world.step({ count: 3, after: [0] })]),
+		fixtures.job('job1', [fixtures.step({ count: 4, gang: true }), fixtures.step({ count: 3, after: [0] })]),
 	);
-	await submit(owner, world.job('job2', [world.step({ count: 2, speculative: true })]));
+	await submit(owner, fixtures.job('job2', [fixtures.step({ count: 2, speculative: true })]));
 	await clock.pass(5_000);
 	t.deepEqual(fleet.starts, []);
-	t.is(owner.dispatcher.pendingOf(world.queue.name), 2);
+	t.is(owner.dispatcher.pendingOf(fixtures.queue.name), 2);
 	evacuate();
 	await clock.pass(5_000);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
@@ -104,10 +109,10 @@
 });
 
 test('an older list does not take an evacuation back', async (t) => {
-	const { clock, owner, submit, evacuate, startsIn } = await twoZones(() => ({ ms: 500, how: 'done' }));
+	const { clock, owner, submit, evacuate, startsIn } = await createTwoZones(() => ({ ms: 500, how: 'done' }));
 	evacuate('rennes');
 	owner.dispatcher.noteEvacuations(new Set(), clock.now() - 1);
-	await submit(owner, world.job('job1', [world.step({ count: 30 })]));
+	await submit(owner, fixtures.job('job1', [fixtures.step({ count: 30 })]));
 	await clock.pass(3_000);
 	t.deepEqual(startsIn('rennes'), []);
 	owner.dispatcher.close();
@@ -118,67 +123,67 @@
 	const clock = time.VirtualClock.create();
 	const store = memory.MemoryStore.create(clock);
 	const log = events.EventLog.create('test', clock);
-	const told: { zones: string[]; heldAt: number }[] = [];
+	const reads: { zones: string[]; heldAt: number }[] = [];
 	const list = evacuationList.EvacuationList.create({
 		adapter: evacuations,
 		store: store.view(fault),
 		clock,
 		events: log,
 		zones: ['rennes', 'brest'],
-		onRead: (zones, heldAt) => void told.push({ zones: [...zones], heldAt }),
+		onRead: (zones, heldAt) => void reads.push({ zones: [...zones], heldAt }),
 	});
 	const put = (zone: string, text: string): void => {
 		store.put(`op/evacuate/${zone}`, Buffer.from(text));
 	};
 	const rejected = (): unknown[] =>
 		log.select((event) => event.name === 'evacuation.rejected').map((event) => event.fields);
-	return { clock, store, told, list, put, rejected };
+	return { clock, store, reads, list, put, rejected };
 }
 
 test('evacuations are read within their bound through changes, lost history and an entry that goes', async (t) => {
-	const { clock, store, told, list, put } = followList();
+	const { clock, store, reads, list, put } = followList();
 	put('rennes', '{}');
 	store.forget();
 	await clock.pass(evacuateMs);
-	t.deepEqual(told.at(-1)?.zones, ['rennes']);
+	t.deepEqual(reads.at(-1)?.zones, ['rennes']);
 	put('brest', '{"reason":"flood"}');
 	await clock.pass(evacuateMs);
-	t.deepEqual(told.at(-1)?.zones, ['brest', 'rennes']);
+	t.deepEqual(reads.at(-1)?.zones, ['brest', 'rennes']);
 	store.drop('op/evacuate/rennes');
 	await clock.pass(evacuateMs);
-	t.deepEqual(told.at(-1)?.zones, ['brest']);
+	t.deepEqual(reads.at(-1)?.zones, ['brest']);
 	list.close();
 });
 
 test('an entry that can not be read leaves its zone as it was, and is told of once', async (t) => {
-	const { clock, told, list, put, rejected } = followList();
+	const { clock, reads, list, put, rejected } = followList();
 	put('rennes', '{}');
 	await clock.pass(1_000);
 	put('rennes', 'no JSON');
 	put('brest', '[1]');
 	put('nantes', '{}');
 	await clock.pass(10_000);
-	t.deepEqual(told.at(-1)?.zones, ['nantes', 'rennes']);
+	t.deepEqual(reads.at(-1)?.zones, ['nantes', 'rennes']);
 	t.snapshot(rejected());
 	list.close();
 });
 
 test('a store that is down tells nothing of evacuations', async (t) => {
 	let fault: memory.StoreFault = 'none';
-	const { clock, told, list, put } = followList(() => fault);
+	const { clock, reads, list, put } = followList(() => fault);
 	put('rennes', '{}');
 	await clock.pass(1_000);
 	fault = 'down';
 	const downAt = clock.now();
 	await clock.pass(10_000);
-	t.true((told.at(-1)?.heldAt ?? Infinity) <= downAt);
-	t.deepEqual(told.at(-1)?.zones, ['rennes']);
+	t.true((reads.at(-1)?.heldAt ?? Infinity) <= downAt);
+	t.deepEqual(reads.at(-1)?.zones, ['rennes']);
 	list.close();
 });
 
 test('over real boxes: an evacuated zone gets no work, from the next owner neither', async (t) => {
 	const starts: string[] = [];
-	const { platform, startTwo } = await real.setUp(t, {
+	const { platform, startTwo } = await realBoxes.setUp(t, {
 		plan: () => ({ ms: 100, how: 'done' }),
 		journal: {
 			started: ({ worker }) => void starts.push(worker),
@@ -187,21 +192,21 @@
 		},
 	});
 	const { owner, other } = await startTwo();
-	await real.call(other.callers, 'POST', '0000000000000001', real.body);
-	await real.completed(other, '0000000000000001');
+	await realBoxes.call(other.callers, 'POST', '0000000000000001', realBoxes.jobBody);
+	await realBoxes.waitUntilCompleted(other, '0000000000000001');
 	platform.evacuate('rennes');
 	await owner.logged((line) => line.name === 'zone.evacuated');
 	await owner.logged((line) => line.name === 'zone.emptied');
 	const before = starts.length;
-	await real.call(other.callers, 'POST', '0000000000000002', real.body);
+	await realBoxes.call(other.callers, 'POST', '0000000000000002', realBoxes.jobBody);
 	await other.logged((line) => line.name === 'owner.found');
 	await owner.kill();
 	await other.logged((line) => line.name === 'zone.evacuated');
-	await real.call(other.callers, 'POST', '0000000000000003', real.body);
+	await realBoxes.call(other.callers, 'POST', '0000000000000003', realBoxes.jobBody);
 	await other.logged((line) => line.name === 'owner.load' && line.fields.waiting === 4);
 	t.is(starts.length, before);
 	platform.takeBack('rennes');
-	await real.completed(other, '0000000000000002');
-	await real.completed(other, '0000000000000003');
+	await realBoxes.waitUntilCompleted(other, '0000000000000002');
+	await realBoxes.waitUntilCompleted(other, '0000000000000003');
 	t.is(starts.length, before + 4);
 });
--- a/test/filling.test.ts
+++ b/test/filling.test.ts
@@ -2,13 +2,13 @@
 import test from 'ava';
 import * as events from '../src/core/events/index.js';
 import * as fencing from '../src/core/dispatch/fencing-tokens.js';
-import * as firstQuestions from '../src/core/dispatch/first-report-turns.js';
+import * as firstReportTurns from '../src/core/dispatch/first-report-turns.js';
 import * as exemptions from '../src/core/dispatch/interference-exemptions.js';
 import * as jobs from '../src/core/jobs/index.js';
 import * as sessions from '../src/core/dispatch/worker-session.js';
 import * as settings from '../src/core/dispatch/settings.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import * as workers from '../stand-ins/fleet/workers.js';
 import type * as dispatchTypes from '../src/core/dispatch/types.js';
 
@@ -22,26 +22,26 @@
 }
 
 /** Two workers whose serving tasks any filling one would disturb; under half of the cores are reserved. */
-async function servingWorld(): Promise<world.TestWorld & { owner: world.TestOwner }> {
-	const made = world.createWorld(plan);
-	made.fleet.add('w1');
-	made.fleet.add('w2');
-	const owner = await made.takeOver();
+async function createServingEnvironment(): Promise<fixtures.TestEnvironment & { owner: fixtures.TestOwner }> {
+	const environment = fixtures.createEnvironment(plan);
+	environment.fleet.add('w1');
+	environment.fleet.add('w2');
+	const owner = await environment.takeOver();
 	const serving = { count: 8, milliCores: 3_200, lasting: true, image: 'serving', targetMs, maxPerWorker: 4 };
-	await made.submit(owner, world.job('serving', [world.step(serving)]));
-	await made.clock.pass(5_000);
-	if (made.fleet.starts.length !== 8) throw new Error('the serving tasks do not run');
-	return { ...made, owner };
+	await environment.submit(owner, fixtures.job('serving', [fixtures.step(serving)]));
+	await environment.clock.pass(5_000);
+	if (environment.fleet.starts.length !== 8) throw new Error('the serving tasks do not run');
+	return { ...environment, owner };
 }
 
 /** A session with a worker that does not answer. */
-function session(clock: time.VirtualClock, id: string): sessions.WorkerSession {
-	const fleet = workers.FakeFleet.create({ clock, maxLeaseMs: world.maxLeaseMs, plan });
+function createSession(clock: time.VirtualClock, id: string): sessions.WorkerSession {
+	const fleet = workers.FakeFleet.create({ clock, maxLeaseMs: fixtures.maxLeaseMs, plan });
 	const deps = {
 		clock,
 		events: events.EventLog.create('test', clock),
 		calls: fleet.calls(),
-		maxLeaseMs: world.maxLeaseMs,
+		maxLeaseMs: fixtures.maxLeaseMs,
 		epoch: 1,
 		mayAct: () => true,
 		epochConfirmedAt: () => clock.now(),
@@ -49,7 +49,7 @@
 		onFenced: () => undefined,
 		tokens: fencing.FencingTokens.create(1, () => undefined),
 		isEvacuated: () => false,
-		firstReportTurns: firstQuestions.FirstReportTurns.create(clock),
+		firstReportTurns: firstReportTurns.FirstReportTurns.create(clock),
 	};
 	const handlers: dispatchTypes.SessionHandlers = {
 		onReport: () => ({ type: 'put-off' }),
@@ -62,18 +62,18 @@
 }
 
 test('a filling step that would disturb serving tasks on every worker is done in the end', async (t) => {
-	const { clock, submit, owner } = await servingWorld();
-	const filling = { count: 9, milliCores: 3_400, fills: true, image: 'filling', checkpoints: true };
-	await submit(owner, world.job('filling', [world.step(filling)]));
+	const { clock, submit, owner } = await createServingEnvironment();
+	const preemptible = { count: 9, milliCores: 3_400, fills: true, image: 'filling', checkpoints: true };
+	await submit(owner, fixtures.job('filling', [fixtures.step(preemptible)]));
 	await clock.pass(40_000);
 	t.is(owner.dispatcher.stateOf('filling'), 'completed');
 	owner.dispatcher.close();
 });
 
 test('so is a gang that fills', async (t) => {
-	const { clock, submit, owner } = await servingWorld();
-	const gang = { count: 2, milliCores: 3_400, fills: true, gang: true, image: 'filling' };
-	await submit(owner, world.job('filling', [world.step(gang)]));
+	const { clock, submit, owner } = await createServingEnvironment();
+	const preemptibleGang = { count: 2, milliCores: 3_400, fills: true, gang: true, image: 'filling' };
+	await submit(owner, fixtures.job('filling', [fixtures.step(preemptibleGang)]));
 	await clock.pass(20_000);
 	t.is(owner.dispatcher.stateOf('filling'), 'completed');
 	owner.dispatcher.close();
@@ -81,59 +81,59 @@
 
 test('few tasks are exempt at once: one of a step, one on a worker, a tenth of the workers, more with the wait', (t) => {
 	const clock = time.VirtualClock.create();
-	const owner = exemptions.InterferenceExemptions.create();
+	const exemptionTracker = exemptions.InterferenceExemptions.create();
 	const steps = [1, 2, 3].map((number) => {
-		const record = world.job(`job${number}`, [world.step({ fills: true, count: 2 })]);
+		const record = fixtures.job(`job${number}`, [fixtures.step({ fills: true, count: 2 })]);
 		const start = { cancelled: false, inherited: false, workersStored: true, now: clock.now(), age: 0 };
 		const job = jobs.ActiveJob.create(record, undefined, start);
 		return job.openNextOccurrence(clock.now());
 	});
 	const [one, two, three] = steps.map(([task]) => task);
 	if (one === undefined || two === undefined || three === undefined) throw new Error('no tasks');
-	const workers = 10;
+	const workerCount = 10;
 	const waitedMs = settings.starvedAfterMs;
-	const on = session(clock, 'w1');
-	t.true(owner.mayGrant(one.step, waitedMs, workers));
-	const place = on.place(one, 1, 'running');
-	owner.grant(on, place);
-	t.true(place.exempt);
-	t.true(owner.hasExemption(on));
+	const session = createSession(clock, 'w1');
+	t.true(exemptionTracker.mayGrant(one.step, waitedMs, workerCount));
+	const placement = session.place(one, 1, 'running');
+	exemptionTracker.grant(session, placement);
+	t.true(placement.exempt);
+	t.true(exemptionTracker.hasExemption(session));
 	// A tenth of ten workers is taken; after twice the wait there is one more, but not for the same step.
-	t.false(owner.mayGrant(two.step, waitedMs, workers));
-	t.true(owner.mayGrant(two.step, 2 * waitedMs, workers));
-	t.false(owner.mayGrant(one.step, 2 * waitedMs, workers));
+	t.false(exemptionTracker.mayGrant(two.step, waitedMs, workerCount));
+	t.true(exemptionTracker.mayGrant(two.step, 2 * waitedMs, workerCount));
+	t.false(exemptionTracker.mayGrant(one.step, 2 * waitedMs, workerCount));
 	// One that stands still harms nobody.
-	place.pace = 0;
-	t.true(owner.mayGrant(two.step, waitedMs, workers));
-	on.free(place);
-	t.true(owner.mayGrant(one.step, waitedMs, workers));
-	on.close();
+	placement.pace = 0;
+	t.true(exemptionTracker.mayGrant(two.step, waitedMs, workerCount));
+	session.free(placement);
+	t.true(exemptionTracker.mayGrant(one.step, waitedMs, workerCount));
+	session.close();
 });
 
 /** Workers on which a filling task of a quarter of one keeps a third of a serving task over its target. */
-async function loadedWorld(): Promise<world.TestWorld & { owner: world.TestOwner }> {
+async function createLoadedEnvironment(): Promise<fixtures.TestEnvironment & { owner: fixtures.TestOwner }> {
 	const loadedTailMs = 100;
-	const made = world.createWorld((task) =>
+	const environment = fixtures.createEnvironment((task) =>
 		task.startsWith('serving')
 			? { ms: 'endless', how: 'done', reading: loadedTailMs }
 			: { ms: 1_000, how: 'done', reading: 1_000 },
 	);
-	for (let number = 0; number < 4; number += 1) made.fleet.add(`w${String(number)}`);
-	const owner = await made.takeOver();
+	for (let number = 0; number < 4; number += 1) environment.fleet.add(`w${String(number)}`);
+	const owner = await environment.takeOver();
 	const serving = { count: 4, milliCores: 4_000, lasting: true, image: 'serving', targetMs, maxPerWorker: 1 };
-	await made.submit(owner, world.job('serving', [world.step(serving)]));
-	await made.clock.pass(30_000);
-	return { ...made, owner };
+	await environment.submit(owner, fixtures.job('serving', [fixtures.step(serving)]));
+	await environment.clock.pass(30_000);
+	return { ...environment, owner };
 }
 
 /** By the first guess of its slope it raises what is busy there by a sixth. */
-const harmful = { milliCores: 8_000, fills: true, image: 'filling' };
+const interferingStep = { milliCores: 8_000, fills: true, image: 'filling' };
 
 for (const count of [1, 20])
 	test(`of ${String(count)} filling tasks that wait, the first is placed after a few seconds of harm that is put up with`, async (t) => {
-		const { clock, fleet, owner, submit } = await loadedWorld();
+		const { clock, fleet, owner, submit } = await createLoadedEnvironment();
 		const before = fleet.starts.length;
-		await submit(owner, world.job('filling', [world.step({ ...harmful, count })]));
+		await submit(owner, fixtures.job('filling', [fixtures.step({ ...interferingStep, count })]));
 		await clock.pass(2_000);
 		t.is(fleet.starts.length, before);
 		await clock.pass(4_000);
--- a/test/hanging-runs.test.ts
+++ b/test/hanging-runs.test.ts
@@ -2,56 +2,56 @@
 import test from 'ava';
 import * as results from '../src/core/result.js';
 import * as settings from '../src/core/dispatch/settings.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 
 /** Questions have no answer for so long, in milliseconds. */
-const unheardMs = 2 * settings.hungAfterMs;
+const unansweredMs = 2 * settings.hungAfterMs;
 
 /** Stops of runs that were taken for hanging. */
-function hanging(owner: world.TestOwner): number {
+function countHungStops(owner: fixtures.TestOwner): number {
 	const stops = owner.events.select(({ name }) => name === 'task.stop');
 	return stops.filter(({ fields }) => fields.reason === 'hangs').length;
 }
 
 /** A worker whose runs report that progress, with orders to it that are answered all the while. */
-async function runOne(percent: number) {
-	const made = world.createWorld((task) => ({
+async function startOne(percent: number) {
+	const environment = fixtures.createEnvironment((task) => ({
 		ms: task.startsWith('brief') ? 100 : 60_000,
 		how: 'done',
 		percent,
 	}));
-	const { clock } = made;
-	const w1 = made.fleet.add('w1');
-	const owner = await made.takeOver();
+	const { clock } = environment;
+	const w1 = environment.fleet.add('w1');
+	const owner = await environment.takeOver();
 	await clock.pass(1_200);
-	const orders = async (forMs: number): Promise<void> => {
+	const sendCommands = async (forMs: number): Promise<void> => {
 		const endsAt = clock.now() + forMs;
 		while (clock.now() < endsAt) {
-			await made.submit(owner, world.job(`brief${String(clock.now())}`, [world.step()]));
+			await environment.submit(owner, fixtures.job(`brief${String(clock.now())}`, [fixtures.step()]));
 			await clock.pass(300);
 		}
 	};
-	return { ...made, w1, owner, orders };
+	return { ...environment, w1, owner, sendCommands };
 }
 
 test('a run is not taken for hanging while nothing is heard of it', async (t) => {
-	const made = await runOne(40);
-	const { clock, w1, owner, orders } = made;
+	const environment = await startOne(40);
+	const { clock, w1, owner, sendCommands } = environment;
 	const hold = w1.hold.bind(w1);
 	w1.hold = () => results.fail({ kind: 'no-answer', reason: 'late' });
-	await made.submit(owner, world.job('job1', [world.step()]));
-	await orders(unheardMs);
+	await environment.submit(owner, fixtures.job('job1', [fixtures.step()]));
+	await sendCommands(unansweredMs);
 	w1.hold = hold;
 	await clock.pass(settings.hungAfterMs);
-	t.is(hanging(owner), 0);
+	t.is(countHungStops(owner), 0);
 	t.true(w1.running.has('job1.0.0.0'));
 	owner.dispatcher.close();
 });
 
 test('a run that a worker reports again and again without progress is taken for hanging', async (t) => {
-	const made = await runOne(40);
-	await made.submit(made.owner, world.job('job1', [world.step()]));
-	await made.orders(2 * settings.hungAfterMs);
-	t.is(hanging(made.owner), 1);
-	made.owner.dispatcher.close();
+	const environment = await startOne(40);
+	await environment.submit(environment.owner, fixtures.job('job1', [fixtures.step()]));
+	await environment.sendCommands(2 * settings.hungAfterMs);
+	t.is(countHungStops(environment.owner), 1);
+	environment.owner.dispatcher.close();
 });
--- a/test/harm-under-faults.test.ts
+++ b/test/harm-under-faults.test.ts
@@ -4,40 +4,40 @@
  */
 import test from 'ava';
 import * as random from '../dev/random.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
 /** Users' latency target, and the longest that a task may stay over it by what fills beside it, in milliseconds. */
 const targetMs = 150;
-const harmMs = 4_000;
+const maxSloViolationMs = 4_000;
 
 /** A stretch counts if the worker had no fault for so long, in milliseconds. */
-const contactMs = 4_000;
+const minContactMs = 4_000;
 
 /** Tail of a serving task that nothing disturbs, and how much each loud neighbour adds to it at full pace. */
-const calmTailMs = 60;
-const loudness = 2;
+const undisturbedTailMs = 60;
+const interferencePerNeighbour = 2;
 
 const workerCount = 6;
-const playMs = 60_000;
-const settleMs = 4_000;
-const lookMs = 50;
+const runMs = 60_000;
+const warmUpMs = 4_000;
+const checkIntervalMs = 50;
 
 /** What happens to workers, each for up to so long, in milliseconds. */
 const faults = ['silent', 'lost', 'late', 'delays-paces', 'ignores-stops'] as const;
-const mostFaultMs = 3_000;
+const maxFaultMs = 3_000;
 
 /** Between two faults, two jobs that fill and two changes of the owner, in milliseconds at most. */
-const mostFaultGapMs = 2_500;
-const mostJobGapMs = 500;
-const mostOwnerGapMs = 30_000;
+const maxFaultIntervalMs = 2_500;
+const maxJobIntervalMs = 500;
+const maxOwnerIntervalMs = 30_000;
 
 /** How a worker stands, as the judge sees it. */
-interface Watched {
+interface WatchedWorker {
 	/** Since when its users have been over their target beside work that fills; undefined: they are not. */
 	overSince: number | undefined;
 	/** What disturbed them at the last look. */
-	disturbing: readonly string[];
+	interfering: readonly string[];
 	/** Until when a fault lasts. */
 	faultUntil: number;
 }
@@ -50,7 +50,7 @@
 }
 
 /** Runs that fill and work beside users of a worker that are over their target; none: they are not. */
-function disturbingOn(worker: workers.FakeWorker): string[] {
+function interferingRunsOn(worker: workers.FakeWorker): string[] {
 	const isOver = worker
 		.report()
 		.running.some(({ task, reading }) => task.startsWith('serving') && reading > targetMs);
@@ -60,57 +60,60 @@
 }
 
 /** Plays one seed; returns what the judge saw. */
-async function play(seed: number): Promise<string[]> {
-	const next = random.seeded(seed);
-	const made = world.createWorld((task) => {
-		if (task.startsWith('serving')) return { ms: 'endless', how: 'done', reading: calmTailMs };
+async function runSeed(seed: number): Promise<string[]> {
+	const draw = random.seeded(seed);
+	const environment = fixtures.createEnvironment((task) => {
+		if (task.startsWith('serving')) return { ms: 'endless', how: 'done', reading: undisturbedTailMs };
 		const ms = random.between(random.seeded(random.hash(`${task} ${String(seed)}`)), 500, 8_000);
-		const disturbs = task.startsWith('loud') ? loudness : undefined;
+		const disturbs = task.startsWith('loud') ? interferencePerNeighbour : undefined;
 		return { ms, how: 'done', reading: 1_600, disturbs };
 	});
-	const { clock, fleet, takeOver } = made;
+	const { clock, fleet, takeOver } = environment;
 	for (let number = 0; number < workerCount; number += 1) fleet.add(`w${String(number)}`);
 	let owner = await takeOver();
-	const users = { milliCores: 4_000, image: 'serving', lasting: true, targetMs, maxPerWorker: 1 };
-	await made.submit(owner, world.job('serving', [world.step({ ...users, count: workerCount })]));
-	await clock.pass(settleMs);
-	const watched = new Map([...fleet.workers.values()].map((one) => [one, newlyWatched()]));
-	const due = { fault: 0, job: 0, owner: random.between(next, 5_000, mostOwnerGapMs) };
-	const seen: string[] = [];
+	const servingStep = { milliCores: 4_000, image: 'serving', lasting: true, targetMs, maxPerWorker: 1 };
+	await environment.submit(
+		owner,
+		fixtures.job('serving', [fixtures.step({ ...servingStep, count: workerCount })]),
+	);
+	await clock.pass(warmUpMs);
+	const watched = new Map([...fleet.workers.values()].map((one) => [one, createWatched()]));
+	const dueAt = { fault: 0, job: 0, owner: random.between(draw, 5_000, maxOwnerIntervalMs) };
+	const violations: string[] = [];
 	const startedAt = clock.now();
-	for (let jobs = 0; clock.now() - startedAt < playMs;) {
+	for (let jobs = 0; clock.now() - startedAt < runMs;) {
 		const now = clock.now() - startedAt;
-		if (now >= due.fault) {
-			disturb(clock, watched, next);
-			due.fault = now + random.between(next, 100, mostFaultGapMs);
+		if (now >= dueAt.fault) {
+			injectFault(clock, watched, draw);
+			dueAt.fault = now + random.between(draw, 100, maxFaultIntervalMs);
 		}
-		if (now >= due.job) {
+		if (now >= dueAt.job) {
 			jobs += 1;
-			await made.submit(owner, fillingJob(jobs, next));
-			due.job = now + random.between(next, 50, mostJobGapMs);
+			await environment.submit(owner, preemptibleJob(jobs, draw));
+			dueAt.job = now + random.between(draw, 50, maxJobIntervalMs);
 		}
-		if (now >= due.owner) {
+		if (now >= dueAt.owner) {
 			owner.dispatcher.close();
-			await clock.pass(random.between(next, 0, 1_500));
+			await clock.pass(random.between(draw, 0, 1_500));
 			owner = await takeOver();
-			due.owner = now + random.between(next, 5_000, mostOwnerGapMs);
+			dueAt.owner = now + random.between(draw, 5_000, maxOwnerIntervalMs);
 		}
-		await clock.pass(lookMs);
-		for (const [worker, state] of watched) judge(worker, state, clock.now(), seen);
+		await clock.pass(checkIntervalMs);
+		for (const [worker, state] of watched) checkWorker(worker, state, clock.now(), violations);
 	}
 	owner.dispatcher.close();
-	return seen;
+	return violations;
 }
 
 /** Something happens to a worker for a while. */
-function disturb(
-	clock: world.TestWorld['clock'],
-	watched: ReadonlyMap<workers.FakeWorker, Watched>,
-	next: () => number,
+function injectFault(
+	clock: fixtures.TestEnvironment['clock'],
+	watched: ReadonlyMap<workers.FakeWorker, WatchedWorker>,
+	draw: () => number,
 ): void {
-	const [worker, state] = random.pick(next, [...watched]);
-	const forMs = random.between(next, 100, mostFaultMs);
-	const fault = random.pick(next, faults);
+	const [worker, state] = random.pick(draw, [...watched]);
+	const forMs = random.between(draw, 100, maxFaultMs);
+	const fault = random.pick(draw, faults);
 	setFault(worker, fault, true);
 	clock.after(forMs, () => {
 		setFault(worker, fault, false);
@@ -119,26 +122,32 @@
 }
 
 /** A job whose tasks fill, and disturb users or do not. */
-function fillingJob(number: number, next: () => number): ReturnType<typeof world.job> {
-	const image = next() < 0.5 ? 'loud' : 'quiet';
-	const count = random.between(next, 1, 6);
-	const beside = { milliCores: 1_600, image, fills: true, checkpoints: true, count };
-	return world.job(`${image}${String(number)}`, [world.step(beside)]);
+function preemptibleJob(number: number, draw: () => number): ReturnType<typeof fixtures.job> {
+	const image = draw() < 0.5 ? 'loud' : 'quiet';
+	const count = random.between(draw, 1, 6);
+	const spec = { milliCores: 1_600, image, fills: true, checkpoints: true, count };
+	return fixtures.job(`${image}${String(number)}`, [fixtures.step(spec)]);
 }
 
-function newlyWatched(): Watched {
-	return { overSince: undefined, disturbing: [], faultUntil: -Infinity };
+function createWatched(): WatchedWorker {
+	return { overSince: undefined, interfering: [], faultUntil: -Infinity };
 }
 
-function judge(worker: workers.FakeWorker, state: Watched, now: number, seen: string[]): void {
-	const disturbing = disturbingOn(worker);
+function checkWorker(
+	worker: workers.FakeWorker,
+	state: WatchedWorker,
+	now: number,
+	violations: string[],
+): void {
+	const interfering = interferingRunsOn(worker);
 	// Where all of them have gone, the users were under their target before others came: these tails follow at once.
-	const goesOn = disturbing.some((run) => state.disturbing.includes(run));
-	state.overSince = disturbing.length === 0 ? undefined : goesOn ? state.overSince : now;
-	state.disturbing = disturbing;
+	const isContinuing = interfering.some((run) => state.interfering.includes(run));
+	state.overSince = interfering.length === 0 ? undefined : isContinuing ? state.overSince : now;
+	state.interfering = interfering;
 	const overMs = now - (state.overSince ?? now);
-	const isInTouch = now - state.faultUntil >= contactMs;
-	if (overMs >= harmMs && isInTouch) seen.push(`${worker.name} at ${String(now)}: for ${String(overMs)} ms`);
+	const isInTouch = now - state.faultUntil >= minContactMs;
+	if (overMs >= maxSloViolationMs && isInTouch)
+		violations.push(`${worker.name} at ${String(now)}: for ${String(overMs)} ms`);
 }
 
 /** The first seeds; as many as the variable says, by hand. */
@@ -146,5 +155,5 @@
 
 for (const seed of seeds)
 	test(`users are not harmed beside batch work under faults, seed ${String(seed)}`, async (t) => {
-		t.deepEqual(await play(seed), []);
+		t.deepEqual(await runSeed(seed), []);
 	});
--- a/test/harm.test.ts
+++ b/test/harm.test.ts
@@ -3,85 +3,97 @@
  * users' `harm_ms`; what is judged is whether what fills still works by then.
  */
 import test from 'ava';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 
 /** Users' latency target, and the longest that a task may stay over it by what fills beside it, in milliseconds. */
 const targetMs = 150;
-const harmMs = 4_000;
+const maxSloViolationMs = 4_000;
 
 /** Tails of a task that is idle, at work and over its target. */
 const idleTailMs = 25;
-const calmTailMs = 60;
-const highTailMs = 400;
+const underTargetTailMs = 60;
+const overTargetTailMs = 400;
 
 /** So long a task is to be under its target before what fills beside it goes on, in milliseconds. */
-const calmMs = 700;
+const underTargetMs = 700;
 
 const workerCount = 4;
 
 /** Workers with a serving task each and two that fill beside it and have not disturbed it so far. */
-async function besideServing(restoreMs?: number, fault?: () => memory.StoreFault) {
-	const made = world.createWorld((task) => {
+async function createColocated(restoreMs?: number, fault?: () => memory.StoreFault) {
+	const environment = fixtures.createEnvironment((task) => {
 		if (task.startsWith('serving')) return { ms: 'endless', how: 'done', reading: idleTailMs };
 		return { ms: task.startsWith('short') ? 900 : 120_000, how: 'done', reading: 1_000 };
 	});
-	const { clock, fleet } = made;
+	const { clock, fleet } = environment;
 	for (let number = 0; number < workerCount; number += 1) fleet.add(`w${String(number)}`);
-	made.restoreMs = restoreMs;
-	const owner = await made.takeOver(undefined, fault);
-	const each = { milliCores: 4_000, image: 'serving', lasting: true, targetMs, maxPerWorker: 1 };
-	await made.submit(owner, world.job('serving', [world.step({ ...each, count: workerCount })]));
+	environment.restoreMs = restoreMs;
+	const owner = await environment.takeOver(undefined, fault);
+	const servingStep = { milliCores: 4_000, image: 'serving', lasting: true, targetMs, maxPerWorker: 1 };
+	await environment.submit(
+		owner,
+		fixtures.job('serving', [fixtures.step({ ...servingStep, count: workerCount })]),
+	);
 	await clock.pass(3_000);
 	const runs = [...fleet.workers.values()].flatMap((worker) => [...worker.running]);
-	const served = runs.map(([, run]) => run);
-	for (const one of served) one.reading = calmTailMs;
+	const servingRuns = runs.map(([, run]) => run);
+	for (const one of servingRuns) one.reading = underTargetTailMs;
 	// Their load has to be known before what stands beside them can be told from it.
 	await clock.pass(60_000);
-	const beside = { milliCores: 1_600, image: 'filling', fills: true, checkpoints: true, maxPerWorker: 2 };
-	await made.submit(owner, world.job('filling', [world.step({ ...beside, count: 2 * workerCount })]));
+	const preemptible = {
+		milliCores: 1_600,
+		image: 'filling',
+		fills: true,
+		checkpoints: true,
+		maxPerWorker: 2,
+	};
+	await environment.submit(
+		owner,
+		fixtures.job('filling', [fixtures.step({ ...preemptible, count: 2 * workerCount })]),
+	);
 	await clock.pass(20_000);
-	const [harmed] = fleet.workers.values();
-	const [serving] = served;
-	if (harmed === undefined || serving === undefined) throw new Error('no serving task runs');
+	const [observedWorker] = fleet.workers.values();
+	const [serving] = servingRuns;
+	if (observedWorker === undefined || serving === undefined) throw new Error('no serving task runs');
 	const setTail = (ms: number): void => {
 		serving.reading = ms;
 	};
 	/** Tasks that fill beside the one whose tail is set, and work. */
 	const working = (): string[] =>
-		[...harmed.running]
+		[...observedWorker.running]
 			.filter(([task, one]) => !task.startsWith('serving') && one.pace > 0)
 			.map(([task]) => task);
 	if (working().length !== 2) throw new Error('the filling tasks do not run');
-	return { ...made, owner, harmed, setTail, working };
+	return { ...environment, owner, observedWorker, setTail, working };
 }
 
 test('what fills stands still before a task beside it is harmed', async (t) => {
-	const { clock, owner, setTail, working } = await besideServing();
-	setTail(highTailMs);
-	await clock.pass(harmMs);
+	const { clock, owner, setTail, working } = await createColocated();
+	setTail(overTargetTailMs);
+	await clock.pass(maxSloViolationMs);
 	t.deepEqual(working(), []);
-	setTail(calmTailMs);
+	setTail(underTargetTailMs);
 	await clock.pass(3_000);
 	t.is(working().length, 2);
 	owner.dispatcher.close();
 });
 
 test('what an earlier owner let fill at full pace stands still before a task beside it is harmed', async (t) => {
-	const { clock, owner, takeOver, setTail, working } = await besideServing();
+	const { clock, owner, takeOver, setTail, working } = await createColocated();
 	owner.dispatcher.close();
-	setTail(highTailMs);
+	setTail(overTargetTailMs);
 	const next = await takeOver();
-	await clock.pass(harmMs);
+	await clock.pass(maxSloViolationMs);
 	t.deepEqual(working(), []);
 	next.dispatcher.close();
 });
 
 test('what fills stands still in time beside a task that a new owner finds over its target', async (t) => {
-	const { clock, owner, takeOver, setTail, working } = await besideServing();
+	const { clock, owner, takeOver, setTail, working } = await createColocated();
 	owner.dispatcher.close();
-	setTail(highTailMs);
-	await clock.pass(harmMs - 600);
+	setTail(overTargetTailMs);
+	await clock.pass(maxSloViolationMs - 600);
 	const next = await takeOver();
 	await clock.pass(550);
 	t.deepEqual(working(), []);
@@ -89,21 +101,21 @@
 });
 
 test('what fills stands still beside a task over its target though its worker also runs a job that the store does not tell of', async (t) => {
-	const { clock, owner, harmed, takeOver, setTail, working } = await besideServing();
-	const handedIn = world.job('stranger', [world.step({ count: 2 * workerCount, lasting: true })]);
-	owner.dispatcher.addJob({ ...handedIn, acceptedUnder: owner.ledger.generation });
+	const { clock, owner, observedWorker, takeOver, setTail, working } = await createColocated();
+	const record = fixtures.job('stranger', [fixtures.step({ count: 2 * workerCount, lasting: true })]);
+	owner.dispatcher.addJob({ ...record, acceptedUnder: owner.ledger.generation });
 	await clock.pass(1_000);
-	t.true([...harmed.running.keys()].some((task) => task.startsWith('stranger')));
+	t.true([...observedWorker.running.keys()].some((task) => task.startsWith('stranger')));
 	owner.dispatcher.close();
-	setTail(highTailMs);
+	setTail(overTargetTailMs);
 	let isStoreDown = false;
-	const report = harmed.report.bind(harmed);
-	harmed.report = () => {
+	const report = observedWorker.report.bind(observedWorker);
+	observedWorker.report = () => {
 		isStoreDown = true;
 		return report();
 	};
 	const next = await takeOver(undefined, () => (isStoreDown ? 'down' : 'none'));
-	await clock.pass(harmMs - 100);
+	await clock.pass(maxSloViolationMs - 100);
 	t.deepEqual(
 		working().filter((task) => task.startsWith('filling')),
 		[],
@@ -112,13 +124,13 @@
 });
 
 test('what an earlier owner let stand still goes on only after the new one has seen calm for a while', async (t) => {
-	const { clock, owner, takeOver, setTail, working } = await besideServing();
-	setTail(highTailMs);
-	await clock.pass(harmMs);
+	const { clock, owner, takeOver, setTail, working } = await createColocated();
+	setTail(overTargetTailMs);
+	await clock.pass(maxSloViolationMs);
 	owner.dispatcher.close();
-	setTail(calmTailMs);
+	setTail(underTargetTailMs);
 	const next = await takeOver();
-	await clock.pass(calmMs - 100);
+	await clock.pass(underTargetMs - 100);
 	t.deepEqual(working(), []);
 	await clock.pass(1_000);
 	t.is(working().length, 2);
@@ -126,12 +138,12 @@
 });
 
 test('what fills stands still though one reading of a task over its target lies just under it', async (t) => {
-	const { clock, owner, setTail, working } = await besideServing();
+	const { clock, owner, setTail, working } = await createColocated();
 	const startedAt = clock.now();
-	while (clock.now() - startedAt < harmMs) {
+	while (clock.now() - startedAt < maxSloViolationMs) {
 		const overMs = clock.now() - startedAt;
 		const isDip = overMs >= 1_900 && overMs < 2_300;
-		setTail(isDip ? targetMs - 5 : highTailMs);
+		setTail(isDip ? targetMs - 5 : overTargetTailMs);
 		await clock.pass(100);
 	}
 	t.deepEqual(working(), []);
@@ -139,17 +151,17 @@
 });
 
 test('what fills stands still in time though the owner takes in reports late', async (t) => {
-	const { clock, fleet, owner, setTail, working } = await besideServing();
+	const { clock, fleet, owner, setTail, working } = await createColocated();
 	fleet.reportDelayMs = 1_200;
 	await clock.pass(5_000);
-	setTail(highTailMs);
-	await clock.pass(harmMs);
+	setTail(overTargetTailMs);
+	await clock.pass(maxSloViolationMs);
 	t.deepEqual(working(), []);
 	owner.dispatcher.close();
 });
 
 /** When, after a task went over its target, its worker falls silent, and for how long, in milliseconds. */
-const silences = [
+const outages = [
 	[0, 1_500],
 	[0, 2_000],
 	[0, 2_500],
@@ -157,34 +169,34 @@
 	[1_000, 2_500],
 ] as const;
 
-for (const [fromMs, forMs] of silences)
+for (const [fromMs, forMs] of outages)
 	test(`what fills stands still in time though its worker is silent for ${String(forMs)} ms, ${String(fromMs)} ms after the overload began`, async (t) => {
-		const { clock, owner, harmed, setTail, working } = await besideServing();
-		setTail(highTailMs);
+		const { clock, owner, observedWorker, setTail, working } = await createColocated();
+		setTail(overTargetTailMs);
 		await clock.pass(fromMs);
-		harmed.fault = 'silent';
+		observedWorker.fault = 'silent';
 		await clock.pass(forMs);
-		harmed.fault = 'none';
-		await clock.pass(harmMs - fromMs - forMs);
+		observedWorker.fault = 'none';
+		await clock.pass(maxSloViolationMs - fromMs - forMs);
 		t.deepEqual(working(), []);
 		owner.dispatcher.close();
 	});
 
 test('what stands still goes on only after the task beside it was heard to be under its target for a while', async (t) => {
-	const { clock, owner, harmed, setTail, working } = await besideServing();
-	setTail(highTailMs);
-	await clock.pass(harmMs);
-	harmed.fault = 'silent';
+	const { clock, owner, observedWorker, setTail, working } = await createColocated();
+	setTail(overTargetTailMs);
+	await clock.pass(maxSloViolationMs);
+	observedWorker.fault = 'silent';
 	await clock.pass(1_500);
-	setTail(calmTailMs);
-	harmed.fault = 'none';
-	const report = harmed.report.bind(harmed);
-	let heardAt = Infinity;
-	harmed.report = () => {
-		heardAt = Math.min(heardAt, clock.now());
+	setTail(underTargetTailMs);
+	observedWorker.fault = 'none';
+	const report = observedWorker.report.bind(observedWorker);
+	let reportedAt = Infinity;
+	observedWorker.report = () => {
+		reportedAt = Math.min(reportedAt, clock.now());
 		return report();
 	};
-	while (clock.now() - heardAt < calmMs - 50) await clock.pass(50);
+	while (clock.now() - reportedAt < underTargetMs - 50) await clock.pass(50);
 	t.deepEqual(working(), []);
 	await clock.pass(1_000);
 	t.is(working().length, 2);
@@ -192,17 +204,20 @@
 });
 
 /** Lets time pass; returns the longest stretch of it, in milliseconds, in which anything that fills worked. */
-async function longestWork(made: Awaited<ReturnType<typeof besideServing>>, forMs: number): Promise<number> {
-	const { clock, working } = made;
+async function longestWorkMs(
+	environment: Awaited<ReturnType<typeof createColocated>>,
+	forMs: number,
+): Promise<number> {
+	const { clock, working } = environment;
 	const endsAt = clock.now() + forMs;
-	let longest = 0;
+	let longestMs = 0;
 	let since: number | undefined;
 	while (clock.now() < endsAt) {
 		since = working().length === 0 ? undefined : (since ?? clock.now());
-		longest = Math.max(longest, clock.now() - (since ?? clock.now()));
+		longestMs = Math.max(longestMs, clock.now() - (since ?? clock.now()));
 		await clock.pass(50);
 	}
-	return longest;
+	return longestMs;
 }
 
 /** How long after the work was told to go on, without an answer, the next overload begins, in milliseconds. */
@@ -210,89 +225,92 @@
 
 for (const pauseMs of pauses)
 	test(`what fills stands still though an order to go on of ${String(pauseMs)} ms before is carried out late`, async (t) => {
-		const made = await besideServing();
-		const { clock, owner, harmed, setTail, working } = made;
-		setTail(highTailMs);
-		await clock.pass(harmMs);
-		setTail(calmTailMs);
-		harmed.delaysPaces = true;
-		await clock.pass(calmMs + 400);
-		harmed.delaysPaces = false;
+		const environment = await createColocated();
+		const { clock, owner, observedWorker, setTail, working } = environment;
+		setTail(overTargetTailMs);
+		await clock.pass(maxSloViolationMs);
+		setTail(underTargetTailMs);
+		observedWorker.delaysPaces = true;
+		await clock.pass(underTargetMs + 400);
+		observedWorker.delaysPaces = false;
 		await clock.pass(pauseMs);
-		setTail(highTailMs);
-		t.true((await longestWork(made, 12_000)) < harmMs);
+		setTail(overTargetTailMs);
+		t.true((await longestWorkMs(environment, 12_000)) < maxSloViolationMs);
 		t.deepEqual(working(), []);
 		owner.dispatcher.close();
 	});
 
 test('what fills goes on though an order to stand still of before is carried out late', async (t) => {
-	const { clock, owner, harmed, setTail, working } = await besideServing();
-	harmed.delaysPaces = true;
-	setTail(highTailMs);
-	await clock.pass(harmMs / 2 + 500);
-	harmed.delaysPaces = false;
-	setTail(calmTailMs);
+	const { clock, owner, observedWorker, setTail, working } = await createColocated();
+	observedWorker.delaysPaces = true;
+	setTail(overTargetTailMs);
+	await clock.pass(maxSloViolationMs / 2 + 500);
+	observedWorker.delaysPaces = false;
+	setTail(underTargetTailMs);
 	await clock.pass(10_000);
 	t.is(working().length, 2);
 	owner.dispatcher.close();
 });
 
 test('an order on pace that fails after a newer one was answered changes nothing', async (t) => {
-	const { clock, owner, harmed, setTail, working } = await besideServing();
-	const paced = (): number => owner.events.select(({ name }) => name === 'task.paced').length;
-	harmed.delaysPaces = true;
-	setTail(highTailMs);
-	while (paced() === 0) await clock.pass(10);
-	harmed.delaysPaces = false;
-	await clock.pass(harmMs);
+	const { clock, owner, observedWorker, setTail, working } = await createColocated();
+	const pacedCount = (): number => owner.events.select(({ name }) => name === 'task.paced').length;
+	observedWorker.delaysPaces = true;
+	setTail(overTargetTailMs);
+	while (pacedCount() === 0) await clock.pass(10);
+	observedWorker.delaysPaces = false;
+	await clock.pass(maxSloViolationMs);
 	t.deepEqual(working(), []);
-	t.is(paced(), 2);
+	t.is(pacedCount(), 2);
 	owner.dispatcher.close();
 });
 
 test('what fills stands still beside a task that is about to be harmed while its stop is not answered', async (t) => {
-	const { clock, owner, harmed, setTail, working } = await besideServing();
-	harmed.ignoresStops = true;
+	const { clock, owner, observedWorker, setTail, working } = await createColocated();
+	observedWorker.ignoresStops = true;
 	owner.dispatcher.cancelJob('filling');
-	setTail(highTailMs);
-	await clock.pass(harmMs);
+	setTail(overTargetTailMs);
+	await clock.pass(maxSloViolationMs);
 	t.deepEqual(working(), []);
 	owner.dispatcher.close();
 });
 
 test('what stands still goes on in time though ends wait for the store after each report', async (t) => {
 	let fault: memory.StoreFault = 'none';
-	const { clock, owner, harmed, setTail, working, submit } = await besideServing(undefined, () => fault);
-	setTail(highTailMs);
-	await clock.pass(harmMs / 2);
-	const brief = { milliCores: 500, count: 40, maxPerWorker: 10 };
-	await submit(owner, world.job('short', [world.step(brief)]));
+	const { clock, owner, observedWorker, setTail, working, submit } = await createColocated(
+		undefined,
+		() => fault,
+	);
+	setTail(overTargetTailMs);
+	await clock.pass(maxSloViolationMs / 2);
+	const briefStep = { milliCores: 500, count: 40, maxPerWorker: 10 };
+	await submit(owner, fixtures.job('short', [fixtures.step(briefStep)]));
 	await clock.pass(200);
 	fault = 'down';
 	await clock.pass(1_000);
-	setTail(calmTailMs);
-	const calmAt = clock.now();
-	const isStill = (): boolean => working().every((task) => task.startsWith('short'));
-	while (isStill() && clock.now() - calmAt < 5_000) await clock.pass(50);
+	setTail(underTargetTailMs);
+	const underTargetAt = clock.now();
+	const isPaused = (): boolean => working().every((task) => task.startsWith('short'));
+	while (isPaused() && clock.now() - underTargetAt < 5_000) await clock.pass(50);
 	// A report comes each 0.8 s at the latest: half of it is waited for by the owner, half by the worker.
-	t.true(clock.now() - calmAt <= calmMs + 2 * 800, `${String(clock.now() - calmAt)} ms`);
-	t.true(harmed.ended.length > 0);
+	t.true(clock.now() - underTargetAt <= underTargetMs + 2 * 800, `${String(clock.now() - underTargetAt)} ms`);
+	t.true(observedWorker.ended.length > 0);
 	owner.dispatcher.close();
 });
 
 test('nothing more that fills is started beside a task that is about to be harmed', async (t) => {
-	const { clock, owner, setTail, working } = await besideServing();
-	setTail(highTailMs);
-	const beganAt = clock.now();
-	const found = new Set<string>();
-	for (let number = 0; clock.now() - beganAt < 2 * harmMs; number += 1) {
-		const beside = { milliCores: 1_600, image: 'filling', fills: true, count: 6 };
-		const handedIn = world.job(`short${String(number)}`, [world.step(beside)]);
-		owner.dispatcher.addJob({ ...handedIn, acceptedUnder: owner.ledger.generation });
+	const { clock, owner, setTail, working } = await createColocated();
+	setTail(overTargetTailMs);
+	const overloadedAt = clock.now();
+	const startedTasks = new Set<string>();
+	for (let number = 0; clock.now() - overloadedAt < 2 * maxSloViolationMs; number += 1) {
+		const preemptible = { milliCores: 1_600, image: 'filling', fills: true, count: 6 };
+		const record = fixtures.job(`short${String(number)}`, [fixtures.step(preemptible)]);
+		owner.dispatcher.addJob({ ...record, acceptedUnder: owner.ledger.generation });
 		await clock.pass(100);
-		if (clock.now() - beganAt > harmMs) for (const task of working()) found.add(task);
+		if (clock.now() - overloadedAt > maxSloViolationMs) for (const task of working()) startedTasks.add(task);
 	}
-	t.deepEqual([...found], []);
+	t.deepEqual([...startedTasks], []);
 	owner.dispatcher.close();
 });
 
@@ -300,32 +318,32 @@
 const peakMs = 3_000;
 
 /** Another worker comes, on which nothing serves. */
-async function addFreeWorker(made: Awaited<ReturnType<typeof besideServing>>): Promise<void> {
-	made.fleet.add('free');
-	made.owner.dispatcher.setWorkers(made.fleet.entries(), [], true);
-	await made.clock.pass(2_000);
+async function addFreeWorker(environment: Awaited<ReturnType<typeof createColocated>>): Promise<void> {
+	environment.fleet.add('free');
+	environment.owner.dispatcher.setWorkers(environment.fleet.entries(), [], true);
+	await environment.clock.pass(2_000);
 }
 
 /** Many wait that would take any place that comes free, if it were large enough. */
-async function addBacklog(made: Awaited<ReturnType<typeof besideServing>>): Promise<void> {
-	const crowd = { milliCores: 1_600, image: 'filling', fills: true, count: 40, memoryMb: 200_000 };
-	await made.submit(made.owner, world.job('crowd', [world.step(crowd)]));
-	await made.clock.pass(2_000);
+async function addBacklog(environment: Awaited<ReturnType<typeof createColocated>>): Promise<void> {
+	const backlogStep = { milliCores: 1_600, image: 'filling', fills: true, count: 40, memoryMb: 200_000 };
+	await environment.submit(environment.owner, fixtures.job('crowd', [fixtures.step(backlogStep)]));
+	await environment.clock.pass(2_000);
 }
 
 /** What going on from a checkpoint takes, in milliseconds, of tasks that are estimated at 500. */
-const dearRestoreMs = 150;
+const expensiveRestoreMs = 150;
 const cheapRestoreMs = 30;
 
 test('while many wait and a move is dear, what stands still beside a load that peaks stays where it is', async (t) => {
-	const made = await besideServing(dearRestoreMs);
-	const { clock, fleet, owner, setTail, working } = made;
-	await addFreeWorker(made);
-	await addBacklog(made);
+	const environment = await createColocated(expensiveRestoreMs);
+	const { clock, fleet, owner, setTail, working } = environment;
+	await addFreeWorker(environment);
+	await addBacklog(environment);
 	const before = fleet.starts.length;
-	setTail(highTailMs);
+	setTail(overTargetTailMs);
 	await clock.pass(peakMs);
-	setTail(calmTailMs);
+	setTail(underTargetTailMs);
 	await clock.pass(3_000);
 	t.is(fleet.starts.length, before);
 	t.is(working().length, 2);
@@ -333,55 +351,55 @@
 });
 
 /** What is moved, though others wait or a move is dear, once a task beside it has been over its target for so long. */
-const moves: Record<string, { restoreMs: number; isBacklogged: boolean; afterMs: number }> = {
+const migrations: Record<string, { restoreMs: number; hasBacklog: boolean; afterMs: number }> = {
 	'while many wait and a move is dear, what would stand still for long is moved': {
-		restoreMs: dearRestoreMs,
-		isBacklogged: true,
+		restoreMs: expensiveRestoreMs,
+		hasBacklog: true,
 		afterMs: 4 * peakMs,
 	},
 	'while none waits, what stands still is moved within a load that peaks': {
-		restoreMs: dearRestoreMs,
-		isBacklogged: false,
+		restoreMs: expensiveRestoreMs,
+		hasBacklog: false,
 		afterMs: peakMs + 1_000,
 	},
 	'while many wait and a move is cheap, what stands still is moved within a load that peaks': {
 		restoreMs: cheapRestoreMs,
-		isBacklogged: true,
+		hasBacklog: true,
 		afterMs: peakMs + 1_000,
 	},
 };
 
-for (const [title, { restoreMs, isBacklogged, afterMs }] of Object.entries(moves))
+for (const [title, { restoreMs, hasBacklog, afterMs }] of Object.entries(migrations))
 	test(title, async (t) => {
-		const made = await besideServing(restoreMs);
-		const { clock, fleet, owner, setTail } = made;
-		await addFreeWorker(made);
-		if (isBacklogged) await addBacklog(made);
+		const environment = await createColocated(restoreMs);
+		const { clock, fleet, owner, setTail } = environment;
+		await addFreeWorker(environment);
+		if (hasBacklog) await addBacklog(environment);
 		const before = fleet.starts.length;
-		setTail(highTailMs);
+		setTail(overTargetTailMs);
 		await clock.pass(afterMs);
-		const moved = fleet.starts.slice(before).map((one) => one.worker);
-		t.deepEqual(moved, ['free', 'free']);
+		const migratedTo = fleet.starts.slice(before).map((one) => one.worker);
+		t.deepEqual(migratedTo, ['free', 'free']);
 		owner.dispatcher.close();
 	});
 
 test('a fleet whose work shifts is found out within two seconds, both ways: a dear move waits in a backlog only', async (t) => {
-	const made = await besideServing(dearRestoreMs);
-	const { clock, fleet, owner, setTail } = made;
-	await addFreeWorker(made);
-	await addBacklog(made);
+	const environment = await createColocated(expensiveRestoreMs);
+	const { clock, fleet, owner, setTail } = environment;
+	await addFreeWorker(environment);
+	await addBacklog(environment);
 	const before = fleet.starts.length;
-	const peak = async (): Promise<void> => {
-		setTail(highTailMs);
+	const runPeak = async (): Promise<void> => {
+		setTail(overTargetTailMs);
 		await clock.pass(peakMs);
-		setTail(calmTailMs);
+		setTail(underTargetTailMs);
 		await clock.pass(1_000);
 	};
-	await peak();
+	await runPeak();
 	t.is(fleet.starts.length, before);
 	owner.dispatcher.cancelJob('crowd');
 	await clock.pass(2_000);
-	await peak();
+	await runPeak();
 	t.deepEqual(
 		fleet.starts.slice(before).map((one) => one.worker),
 		['free', 'free'],
--- a/test/inherited-runs.test.ts
+++ b/test/inherited-runs.test.ts
@@ -2,17 +2,21 @@
 import test from 'ava';
 import * as fencing from '../src/core/dispatch/fencing-tokens.js';
 import * as ledger from '../src/core/ledger/index.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as fleet from '../src/core/fleet/types.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
 /** Two tasks of this size don't fit on one worker, in thousandths of a core. */
-const big = 20_000;
+const bigMilliCores = 20_000;
 
-const long = { ms: 60_000, how: 'done' as const };
+const longPlan = { ms: 60_000, how: 'done' as const };
 
 /** Lets time pass; `check` is asked every ten milliseconds. */
-async function watch(clock: world.TestWorld['clock'], ms: number, check: () => void): Promise<void> {
+async function checkWhile(
+	clock: fixtures.TestEnvironment['clock'],
+	ms: number,
+	check: () => void,
+): Promise<void> {
 	for (let passed = 0; passed < ms; passed += 10) {
 		await clock.pass(10);
 		check();
@@ -20,70 +24,73 @@
 }
 
 /** Cancels a job in the store. */
-async function cancel({ clock, store }: world.TestWorld, id: string): Promise<void> {
+async function cancel({ clock, store }: fixtures.TestEnvironment, id: string): Promise<void> {
 	const cancelling = ledger.cancel(store.view(), id);
 	await clock.pass(50);
 	await cancelling;
 }
 
 /** A job with one big task. */
-function bigJob(id: string): ReturnType<typeof world.job> {
-	return world.job(id, [world.step({ milliCores: big })]);
+function bigJob(id: string): ReturnType<typeof fixtures.job> {
+	return fixtures.job(id, [fixtures.step({ milliCores: bigMilliCores })]);
 }
 
 /** An owner's job runs on a worker that does not hear that it was cancelled; its end is stored, and the owner goes. */
-async function leaveEndedJob(made: world.TestWorld, w1: workers.FakeWorker): Promise<void> {
-	const first = await made.takeOver();
-	await made.submit(first, bigJob('job1'));
-	await made.clock.pass(500);
+async function leaveEndedJob(environment: fixtures.TestEnvironment, w1: workers.FakeWorker): Promise<void> {
+	const first = await environment.takeOver();
+	await environment.submit(first, bigJob('job1'));
+	await environment.clock.pass(500);
 	w1.fault = 'silent';
-	await cancel(made, 'job1');
+	await cancel(environment, 'job1');
 	first.dispatcher.cancelJob('job1');
-	await made.clock.pass(500);
+	await environment.clock.pass(500);
 	first.dispatcher.close();
-	await made.clock.pass(1_000);
+	await environment.clock.pass(1_000);
 	w1.fault = 'none';
 }
 
 test('a run of a job whose end is stored keeps its room until it has ended', async (t) => {
-	const made = world.createWorld(() => long);
-	const w1 = made.fleet.add('w1');
-	await leaveEndedJob(made, w1);
-	const stored = await storedState(made, 'job1');
+	const environment = fixtures.createEnvironment(() => longPlan);
+	const w1 = environment.fleet.add('w1');
+	await leaveEndedJob(environment, w1);
+	const stored = await storedState(environment, 'job1');
 	t.is(stored, 'cancelled');
 	t.is(w1.running.size, 1);
-	const second = await made.takeOver();
-	await made.submit(second, bigJob('job2'));
-	await watch(made.clock, 2_000, () => t.true(w1.running.size <= 1));
+	const second = await environment.takeOver();
+	await environment.submit(second, bigJob('job2'));
+	await checkWhile(environment.clock, 2_000, () => t.true(w1.running.size <= 1));
 	t.deepEqual([...w1.running.keys()], ['job2.0.0.0']);
 	second.dispatcher.close();
 });
 
 test('the end of a run of a job whose end is stored is not stored again', async (t) => {
-	const made = world.createWorld(() => long);
-	const w1 = made.fleet.add('w1');
-	await leaveEndedJob(made, w1);
-	const second = await made.takeOver();
-	const version = await progressVersion(made, 'job1');
-	await made.clock.pass(2_000);
+	const environment = fixtures.createEnvironment(() => longPlan);
+	const w1 = environment.fleet.add('w1');
+	await leaveEndedJob(environment, w1);
+	const second = await environment.takeOver();
+	const version = await progressVersion(environment, 'job1');
+	await environment.clock.pass(2_000);
 	t.is(w1.running.size, 0);
 	t.is(w1.ended.length, 0);
-	t.is(await progressVersion(made, 'job1'), version);
+	t.is(await progressVersion(environment, 'job1'), version);
 	second.dispatcher.close();
 });
 
 /** How far the clock of an owner is ahead of its successor's, at least, in milliseconds. */
-const aheadMs = 60;
+const clockAheadMs = 60;
 
 /** A job that runs twice, and the order that an owner whose clock is ahead gives for its second time. */
-function twice(firstAt: number): { record: ReturnType<typeof world.job>; order: fleet.StartCommand } {
+function repeatedJob(firstAt: number): {
+	record: ReturnType<typeof fixtures.job>;
+	command: fleet.StartCommand;
+} {
 	const schedule = { times: 2, firstAt, intervalMs: 3_000 };
-	const record = world.job('job1', [world.step({ milliCores: big })], { schedule });
-	return { record, order: orderFor('job1.1.0.0', 1) };
+	const record = fixtures.job('job1', [fixtures.step({ milliCores: bigMilliCores })], { schedule });
+	return { record, command: startCommandFor('job1.1.0.0', 1) };
 }
 
 /** A start as an earlier owner gave it. */
-function orderFor(task: string, epoch: number): fleet.StartCommand {
+function startCommandFor(task: string, epoch: number): fleet.StartCommand {
 	return {
 		task,
 		run: 1,
@@ -96,63 +103,66 @@
 }
 
 /** Plays a job's first time, and its second by an owner whose clock is ahead; the next owner takes over. */
-async function takeOverEarly(made: world.TestWorld): Promise<world.TestOwner> {
-	const { clock, fleet: all } = made;
-	const [, , w3] = ['w1', 'w2', 'w3'].map((id) => all.add(id));
-	const first = await made.takeOver();
+async function takeOverEarly(environment: fixtures.TestEnvironment): Promise<fixtures.TestOwner> {
+	const { clock, fleet } = environment;
+	const [, , w3] = ['w1', 'w2', 'w3'].map((id) => fleet.add(id));
+	const first = await environment.takeOver();
 	await clock.pass(1_200);
 	const startedAt = clock.wall();
-	const { record, order } = twice(startedAt);
-	await made.submit(first, record);
-	await clock.pass(3_000 - aheadMs - 50 - (clock.wall() - startedAt));
+	const { record, command } = repeatedJob(startedAt);
+	await environment.submit(first, record);
+	await clock.pass(3_000 - clockAheadMs - 50 - (clock.wall() - startedAt));
 	first.dispatcher.close();
-	w3?.start(order);
-	return made.takeOver();
+	w3?.start(command);
+	return environment.takeOver();
 }
 
 test("a run of a time that has not come by the successor's clock goes on, and is the only one", async (t) => {
-	const made = world.createWorld((task) => ({ ms: task === 'job1.0.0.0' ? 100 : 60_000, how: 'done' }));
-	const second = await takeOverEarly(made);
-	await watch(made.clock, 5_000, () => t.deepEqual(made.fleet.doubled(), []));
-	t.is(made.fleet.starts.filter((one) => one.task === 'job1.1.0.0').length, 1);
+	const environment = fixtures.createEnvironment((task) => ({
+		ms: task === 'job1.0.0.0' ? 100 : 60_000,
+		how: 'done',
+	}));
+	const second = await takeOverEarly(environment);
+	await checkWhile(environment.clock, 5_000, () => t.deepEqual(environment.fleet.doubled(), []));
+	t.is(environment.fleet.starts.filter((one) => one.task === 'job1.1.0.0').length, 1);
 	second.dispatcher.close();
 });
 
 test("a task that is done before its time has come by the successor's clock is not run again", async (t) => {
-	const made = world.createWorld(() => ({ ms: 10, how: 'done' }));
-	const second = await takeOverEarly(made);
-	await made.clock.pass(5_000);
-	t.is(made.fleet.starts.filter((one) => one.task === 'job1.1.0.0').length, 1);
+	const environment = fixtures.createEnvironment(() => ({ ms: 10, how: 'done' }));
+	const second = await takeOverEarly(environment);
+	await environment.clock.pass(5_000);
+	t.is(environment.fleet.starts.filter((one) => one.task === 'job1.1.0.0').length, 1);
 	t.is(second.dispatcher.stateOf('job1'), 'completed');
 	second.dispatcher.close();
 });
 
 test("what is stored of a time that has not come by an owner's clock is not lost when that owner stores the job", async (t) => {
-	const made = world.createWorld(() => ({ ms: 1_000, how: 'done' }));
-	made.fleet.add('w1');
-	const first = await made.takeOver();
-	await made.clock.pass(1_200);
-	const schedule = { times: 3, firstAt: made.clock.wall(), intervalMs: 3_000 };
-	await made.submit(first, world.job('job1', [world.step()], { schedule }));
-	await made.clock.pass(100);
+	const environment = fixtures.createEnvironment(() => ({ ms: 1_000, how: 'done' }));
+	environment.fleet.add('w1');
+	const first = await environment.takeOver();
+	await environment.clock.pass(1_200);
+	const schedule = { times: 3, firstAt: environment.clock.wall(), intervalMs: 3_000 };
+	await environment.submit(first, fixtures.job('job1', [fixtures.step()], { schedule }));
+	await environment.clock.pass(100);
 	first.dispatcher.close();
-	const done = {
+	const savedProgress = {
 		state: 'running' as const,
 		finished: { '1.0': 'all' as const },
 		failures: {},
 		checkpoints: {},
 	};
-	const saving = first.ledger.saveProgress(new Map([['job1', { ...done, endedAt: 0 }]]));
-	await made.clock.pass(50);
+	const saving = first.ledger.saveProgress(new Map([['job1', { ...savedProgress, endedAt: 0 }]]));
+	await environment.clock.pass(50);
 	t.is(await saving, 'committed');
-	const second = await made.takeOver();
-	await made.clock.pass(1_500);
-	t.deepEqual((await read(made, 'job1'))?.progress?.finished['0.0'], 'all');
+	const second = await environment.takeOver();
+	await environment.clock.pass(1_500);
+	t.deepEqual((await readStored(environment, 'job1'))?.progress?.finished['0.0'], 'all');
 	second.dispatcher.close();
-	const third = await made.takeOver();
-	await made.clock.pass(8_000);
+	const third = await environment.takeOver();
+	await environment.clock.pass(8_000);
 	t.deepEqual(
-		made.fleet.starts.map((one) => one.task),
+		environment.fleet.starts.map((one) => one.task),
 		['job1.0.0.0', 'job1.2.0.0'],
 	);
 	t.is(third.dispatcher.stateOf('job1'), 'completed');
@@ -160,69 +170,78 @@
 });
 
 test('a worker with a run of a job that is not kept any more gets no new work until that run has ended', async (t) => {
-	const made = world.createWorld(() => long);
-	const w1 = made.fleet.add('w1');
-	const first = await made.takeOver();
-	await made.clock.pass(500);
+	const environment = fixtures.createEnvironment(() => longPlan);
+	const w1 = environment.fleet.add('w1');
+	const first = await environment.takeOver();
+	await environment.clock.pass(500);
 	first.dispatcher.close();
-	w1.start(orderFor('gone.0.0.0', 1));
-	const second = await made.takeOver();
-	await made.submit(second, bigJob('job2'));
-	await watch(made.clock, 2_000, () => t.true(w1.running.size <= 1));
+	w1.start(startCommandFor('gone.0.0.0', 1));
+	const second = await environment.takeOver();
+	await environment.submit(second, bigJob('job2'));
+	await checkWhile(environment.clock, 2_000, () => t.true(w1.running.size <= 1));
 	t.deepEqual([...w1.running.keys()], ['job2.0.0.0']);
 	second.dispatcher.close();
 });
 
 test('a worker with an old run of a task that is placed elsewhere gets no new work until that run has ended', async (t) => {
-	const made = world.createWorld(() => long);
-	const w1 = made.fleet.add('w1');
-	const owner = await made.takeOver();
-	await made.clock.pass(500);
-	await made.submit(owner, world.job('job1', [world.step({ milliCores: big, requiredLabel: 'other' })]));
-	made.fleet.add('w2', { labels: ['other'] });
-	owner.dispatcher.setWorkers(made.fleet.entries(), [], true);
-	await made.clock.pass(500);
+	const environment = fixtures.createEnvironment(() => longPlan);
+	const w1 = environment.fleet.add('w1');
+	const owner = await environment.takeOver();
+	await environment.clock.pass(500);
+	await environment.submit(
+		owner,
+		fixtures.job('job1', [fixtures.step({ milliCores: bigMilliCores, requiredLabel: 'other' })]),
+	);
+	environment.fleet.add('w2', { labels: ['other'] });
+	owner.dispatcher.setWorkers(environment.fleet.entries(), [], true);
+	await environment.clock.pass(500);
 	// A worker that stood still past its leases shows what ran there for a moment when it goes on.
-	w1.start({ ...orderFor('job1.0.0.0', 1), token: world.firstToken(1) });
-	await made.clock.pass(1_100);
-	await made.submit(owner, bigJob('job2'));
-	await watch(made.clock, 2_000, () => t.true(w1.running.size <= 1));
+	w1.start({ ...startCommandFor('job1.0.0.0', 1), token: fixtures.firstToken(1) });
+	await environment.clock.pass(1_100);
+	await environment.submit(owner, bigJob('job2'));
+	await checkWhile(environment.clock, 2_000, () => t.true(w1.running.size <= 1));
 	t.deepEqual([...w1.running.keys()], ['job2.0.0.0']);
 	owner.dispatcher.close();
 });
 
 test('a task with an old run somewhere is started only once that run has ended', async (t) => {
 	const plan = (_task: string, run: number): workers.RunPlan =>
-		run === 2 ? { ms: 10, how: 'failed' } : long;
-	const made = world.createWorld(plan);
-	const [w1, , w3] = ['w1', 'w2', 'w3'].map((id) => made.fleet.add(id));
-	const first = await made.takeOver();
-	await made.clock.pass(500);
+		run === 2 ? { ms: 10, how: 'failed' } : longPlan;
+	const environment = fixtures.createEnvironment(plan);
+	const [w1, , w3] = ['w1', 'w2', 'w3'].map((id) => environment.fleet.add(id));
+	const first = await environment.takeOver();
+	await environment.clock.pass(500);
 	first.dispatcher.close();
-	await made.submit(first, bigJob('job1'));
-	w3?.start(orderFor('job1.0.0.0', 1));
-	w1?.start({ ...orderFor('job1.0.0.0', 1), run: 2 });
-	await made.clock.pass(50);
-	const second = await made.takeOver();
-	await watch(made.clock, 2_000, () => t.deepEqual(made.fleet.doubled(), []));
-	t.is(made.fleet.starts.length, 3);
+	await environment.submit(first, bigJob('job1'));
+	w3?.start(startCommandFor('job1.0.0.0', 1));
+	w1?.start({ ...startCommandFor('job1.0.0.0', 1), run: 2 });
+	await environment.clock.pass(50);
+	const second = await environment.takeOver();
+	await checkWhile(environment.clock, 2_000, () => t.deepEqual(environment.fleet.doubled(), []));
+	t.is(environment.fleet.starts.length, 3);
 	second.dispatcher.close();
 });
 
 /** A job's stored state. */
-async function storedState(made: world.TestWorld, id: string): Promise<string | undefined> {
-	const stored = await read(made, id);
+async function storedState(environment: fixtures.TestEnvironment, id: string): Promise<string | undefined> {
+	const stored = await readStored(environment, id);
 	return stored?.progress?.state;
 }
 
 /** Version of a job's stored progress. */
-async function progressVersion(made: world.TestWorld, id: string): Promise<number | undefined> {
-	const stored = await read(made, id);
+async function progressVersion(
+	environment: fixtures.TestEnvironment,
+	id: string,
+): Promise<number | undefined> {
+	const stored = await readStored(environment, id);
 	return stored?.progressVersion;
 }
 
 /** All that is kept of a job. */
-async function read({ clock, store }: world.TestWorld, id: string): Promise<ledger.StoredJob | undefined> {
+async function readStored(
+	{ clock, store }: fixtures.TestEnvironment,
+	id: string,
+): Promise<ledger.StoredJob | undefined> {
 	const reading = ledger.readJob(store.view(), id);
 	await clock.pass(50);
 	const res = await reading;
--- a/test/job-service.test.ts
+++ b/test/job-service.test.ts
@@ -6,7 +6,7 @@
 import * as results from '../src/core/result.js';
 import * as service from '../src/core/box/job-service.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 
 const id = '00000000000000a1';
 
@@ -21,13 +21,13 @@
 	const log = events.EventLog.create('entry-1', clock);
 	const store = memory.MemoryStore.create(clock);
 	let fault: memory.StoreFault = 'none';
-	const watched = contacts.monitorContact(
+	const monitored = contacts.monitorContact(
 		store.view(() => fault),
 		log,
 		() => clock.now(),
 	);
 	const jobs = service.JobService.create({
-		...watched,
+		...monitored,
 		clock,
 		events: log,
 		dispatcher: () => undefined,
@@ -44,7 +44,7 @@
 }
 
 /** What a call comes to once enough time has passed for every answer. */
-async function settled<T>(clock: time.VirtualClock, call: Promise<T>): Promise<T> {
+async function awaitAfterDelay<T>(clock: time.VirtualClock, call: Promise<T>): Promise<T> {
 	await clock.pass(5_000);
 	return call;
 }
@@ -52,9 +52,9 @@
 for (const fault of ['down', 'lost', 'late'] as const)
 	test(`a cancellation while the store is ${fault} is not called undone unless it is`, async (t) => {
 		const { clock, jobs, store, set } = setUp();
-		await settled(clock, jobs.submit(world.queue, id, { text: '', steps: [] }));
+		await awaitAfterDelay(clock, jobs.submit(fixtures.queue, id, { text: '', steps: [] }));
 		set(fault);
-		const answer = await settled(clock, jobs.cancel(id));
+		const answer = await awaitAfterDelay(clock, jobs.cancel(id));
 		const isStored = store.keys().some((key) => key.includes('cancel'));
 		t.snapshot({ answer: answer.type, isStored });
 	});
--- a/test/kept-connections.test.ts
+++ b/test/kept-connections.test.ts
@@ -10,7 +10,7 @@
 const timeoutMs = 300;
 
 /** As many as are kept to one address. */
-const callsAtOnce = 6;
+const concurrentCalls = 6;
 
 interface Teardown {
 	teardown: (fn: () => void) => void;
@@ -39,7 +39,7 @@
 			return;
 		}
 		held.push(res);
-		if (held.length < callsAtOnce) return;
+		if (held.length < concurrentCalls) return;
 		for (const one of held) one.end('{}');
 		held = undefined;
 	});
@@ -55,12 +55,15 @@
 	const calls = client.JsonClient.create();
 	const send = async (): Promise<boolean> =>
 		(await calls.send(proxy.address, { method: 'GET', path: '/', timeoutMs })).ok;
-	t.deepEqual(await Promise.all(Array.from({ length: callsAtOnce }, send)), Array(callsAtOnce).fill(true));
+	t.deepEqual(
+		await Promise.all(Array.from({ length: concurrentCalls }, send)),
+		Array(concurrentCalls).fill(true),
+	);
 	proxy.silence();
 	t.false(await send());
 	const after = [];
-	for (let call = 1; call < callsAtOnce; call += 1) after.push(await send());
-	t.deepEqual(after, Array(callsAtOnce - 1).fill(true));
+	for (let call = 1; call < concurrentCalls; call += 1) after.push(await send());
+	t.deepEqual(after, Array(concurrentCalls - 1).fill(true));
 });
 
 test('once connections are renewed, a call is answered while one over a dead connection still waits', async (t) => {
@@ -68,17 +71,17 @@
 	const calls = client.JsonClient.create();
 	const send = async (ms = timeoutMs): Promise<boolean> =>
 		(await calls.send(proxy.address, { method: 'GET', path: '/', timeoutMs: ms })).ok;
-	await Promise.all(Array.from({ length: callsAtOnce }, () => send()));
+	await Promise.all(Array.from({ length: concurrentCalls }, () => send()));
 	proxy.silence();
 	let isWaiting = true;
-	const dead = send(20 * timeoutMs).finally(() => {
+	const deadCall = send(20 * timeoutMs).finally(() => {
 		isWaiting = false;
 	});
 	calls.renew(proxy.address);
 	t.true(await send());
 	t.true(isWaiting);
 	proxy.close();
-	t.false(await dead);
+	t.false(await deadCall);
 });
 
 test('calls that are under way when another runs out of time are answered', async (t) => {
@@ -87,10 +90,10 @@
 		if (req.url === '/slow') held.push(res);
 	});
 	const calls = client.JsonClient.create();
-	const slow = calls.send(address, { method: 'GET', path: '/slow', timeoutMs: 20 * timeoutMs });
+	const slowCall = calls.send(address, { method: 'GET', path: '/slow', timeoutMs: 20 * timeoutMs });
 	t.false((await calls.send(address, { method: 'GET', path: '/never', timeoutMs })).ok);
 	held[0]?.end('{}');
-	t.true((await slow).ok);
+	t.true((await slowCall).ok);
 });
 
 test('a long answer has its whole time limit, silence only that of a short call', async (t) => {
--- a/test/lease-ends.test.ts
+++ b/test/lease-ends.test.ts
@@ -1,6 +1,6 @@
 /** What a box takes from the owner's answers about silent workers, and when it is void. */
 import test from 'ava';
-import * as leaseEnds from '../src/core/box/lease-expiries.js';
+import * as leaseExpiries from '../src/core/box/lease-expiries.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
 import type * as protocol from '../src/core/box/peer-protocol.js';
 
@@ -13,22 +13,22 @@
 
 test('an end counts from the arrival of the answer, for the next owner and the same roster only', async (t) => {
 	const clock = time.VirtualClock.create();
-	const ends = leaseEnds.LeaseExpiries.create(() => clock.now());
-	ends.update(reply({ rosterVersion, leftMs: { w1: 4_000 } }));
+	const expiries = leaseExpiries.LeaseExpiries.create(() => clock.now());
+	expiries.update(reply({ rosterVersion, leftMs: { w1: 4_000 } }));
 	const arrivedAt = clock.now();
 	await clock.pass(1_000);
-	const end = ends.validFor(generation + 1, rosterVersion).get('w1') ?? 0;
-	t.true(end >= arrivedAt + 4_000 && end < arrivedAt + 5_000);
-	t.is(ends.validFor(generation + 2, rosterVersion).size, 0);
-	t.is(ends.validFor(generation, rosterVersion).size, 0);
-	t.is(ends.validFor(generation + 1, rosterVersion + 1).size, 0);
+	const expiry = expiries.validFor(generation + 1, rosterVersion).get('w1') ?? 0;
+	t.true(expiry >= arrivedAt + 4_000 && expiry < arrivedAt + 5_000);
+	t.is(expiries.validFor(generation + 2, rosterVersion).size, 0);
+	t.is(expiries.validFor(generation, rosterVersion).size, 0);
+	t.is(expiries.validFor(generation + 1, rosterVersion + 1).size, 0);
 });
 
 test('each answer replaces the one before, also one without silent workers', (t) => {
-	const ends = leaseEnds.LeaseExpiries.create(() => 0);
-	ends.update(reply({ rosterVersion, leftMs: { w1: 4_000 } }));
-	ends.update(reply({ rosterVersion, leftMs: { w2: 1_000 } }));
-	t.deepEqual([...ends.validFor(generation + 1, rosterVersion).keys()], ['w2']);
-	ends.update(reply());
-	t.is(ends.validFor(generation + 1, rosterVersion).size, 0);
+	const expiries = leaseExpiries.LeaseExpiries.create(() => 0);
+	expiries.update(reply({ rosterVersion, leftMs: { w1: 4_000 } }));
+	expiries.update(reply({ rosterVersion, leftMs: { w2: 1_000 } }));
+	t.deepEqual([...expiries.validFor(generation + 1, rosterVersion).keys()], ['w2']);
+	expiries.update(reply());
+	t.is(expiries.validFor(generation + 1, rosterVersion).size, 0);
 });
--- a/test/listed-ends.test.ts
+++ b/test/listed-ends.test.ts
@@ -1,10 +1,10 @@
 /** What is recorded of ends that workers list: when they are stored, when they are forgotten, and which still wait. */
 import test from 'ava';
-import * as listedEnds from '../src/core/dispatch/unacknowledged-exits.js';
-import * as world from './fixtures/dispatching.js';
+import * as unacknowledgedExits from '../src/core/dispatch/unacknowledged-exits.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as fleet from '../src/core/fleet/types.js';
 
-function endsUpTo(count: number): fleet.RunExit[] {
+function exitsUpTo(count: number): fleet.RunExit[] {
 	return Array.from({ length: count }, (_, i) => ({
 		seq: i + 1,
 		task: `job1.0.0.${String(i)}`,
@@ -16,39 +16,44 @@
 
 test('each end is timed once, from the first report that lists it', (t) => {
 	const times: string[] = [];
-	const ends = listedEnds.UnacknowledgedExits.create((name, ms) => times.push(`${name} ${String(ms)}`));
-	ends.noteReported(endsUpTo(1), 100);
-	ends.noteReported(endsUpTo(2), 150);
-	ends.noteStored(2, 170);
-	ends.noteStored(2, 180);
-	ends.noteAcknowledging(0);
-	ends.noteAcknowledged(0, 190);
-	t.is(ends.count, 2);
-	t.is(ends.oldestAt, 100);
-	ends.noteAcknowledging(1);
-	t.is(ends.oldestAt, 150);
+	const exits = unacknowledgedExits.UnacknowledgedExits.create((name, ms) =>
+		times.push(`${name} ${String(ms)}`),
+	);
+	exits.noteReported(exitsUpTo(1), 100);
+	exits.noteReported(exitsUpTo(2), 150);
+	exits.noteStored(2, 170);
+	exits.noteStored(2, 180);
+	exits.noteAcknowledging(0);
+	exits.noteAcknowledged(0, 190);
+	t.is(exits.count, 2);
+	t.is(exits.oldestAt, 100);
+	exits.noteAcknowledging(1);
+	t.is(exits.oldestAt, 150);
 	// Without an answer it is not known to have been carried out.
-	ends.noteAcknowledging(0);
-	t.is(ends.oldestAt, 100);
-	ends.noteAcknowledging(2);
-	t.is(ends.count, 0);
-	ends.noteAcknowledged(2, 200);
+	exits.noteAcknowledging(0);
+	t.is(exits.oldestAt, 100);
+	exits.noteAcknowledging(2);
+	t.is(exits.count, 0);
+	exits.noteAcknowledged(2, 200);
 	t.deepEqual(times, ['end_stored 70', 'end_stored 20', 'end_forgotten 100', 'end_forgotten 50']);
 });
 
 test('a lease that ran out is told of, with whose delay it was', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 'endless', how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({
+		ms: 'endless',
+		how: 'done',
+	}));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await submit(owner, world.job('job1', [world.step({ count: 2 })]));
+	await submit(owner, fixtures.job('job1', [fixtures.step({ count: 2 })]));
 	await clock.pass(500);
 	t.is(w1.running.size, 2);
 	w1.fault = 'silent';
-	await clock.pass(world.maxLeaseMs + 500);
+	await clock.pass(fixtures.maxLeaseMs + 500);
 	w1.fault = 'none';
 	await clock.pass(1_500);
 	const [lapsed] = owner.events.select(({ name }) => name === 'lease.lapsed');
 	t.is(lapsed?.fields.runs, 2);
-	t.true(Number(lapsed?.fields.silentMs) >= world.maxLeaseMs);
+	t.true(Number(lapsed?.fields.silentMs) >= fixtures.maxLeaseMs);
 	owner.dispatcher.close();
 });
