--- a/test/listening.test.ts
+++ b/test/listening.test.ts
@@ -5,11 +5,11 @@
 import * as acceptQueues from '../src/core/accept-queue.js';
 import * as ingress from '../platform/ingress.js';
 import * as listening from '../src/cli/box/listening.js';
-import * as reading from '../src/core/after-pending-reads.js';
+import * as pendingReads from '../src/core/after-pending-reads.js';
 import type * as service from '../src/core/box/job-service.js';
 
 /** A whole request. */
-const question = 'GET / HTTP/1.1\r\nhost: a\r\n\r\n';
+const request = 'GET / HTTP/1.1\r\nhost: a\r\n\r\n';
 
 /** Nothing reaches it where no configuration is known. */
 const unusedService = undefined as unknown as service.JobService;
@@ -25,12 +25,12 @@
 	});
 	const address = await listening.listen(server, '127.0.0.1:0');
 	const caller = net.connect(listening.toListenOptions(address));
-	const answered = received(caller);
+	const answered = readAll(caller);
 	const seen = new Promise((resolve) => server.once('request', resolve));
 	caller.write('POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nha');
 	await seen;
 	const finished = listening.finish(server, 0, longMs);
-	t.false(await accepts(address));
+	t.false(await acceptsConnection(address));
 	caller.write('lf');
 	t.regex(await answered, /^HTTP\/1.1 200 [^]*done/);
 	await finished;
@@ -45,8 +45,8 @@
 		const address = await listening.listen(server, '127.0.0.1:0');
 		const answers = Array.from({ length: count }, () => {
 			const caller = net.connect(listening.toListenOptions(address));
-			caller.write(question);
-			return received(caller);
+			caller.write(request);
+			return readAll(caller);
 		});
 		const { emptied } = await acceptQueues.acceptQueued(server, longMs);
 		const finished = listening.finish(server, 0, longMs);
@@ -76,7 +76,7 @@
 	});
 	const address = await listening.listen(server, '127.0.0.1:0');
 	const caller = net.connect(listening.toListenOptions(address));
-	const closed = received(caller);
+	const closed = readAll(caller);
 	caller.write('GET / HTTP/1.1\r\nhost: a\r\n\r\n');
 	await new Promise((resolve) => caller.once('data', resolve));
 	await listening.finish(server, 0, longMs);
@@ -88,7 +88,7 @@
 	const server = http.createServer();
 	const address = await listening.listen(server, '127.0.0.1:0');
 	const caller = net.connect(listening.toListenOptions(address));
-	const closed = received(caller);
+	const closed = readAll(caller);
 	await new Promise((resolve) => server.once('connection', resolve));
 	await listening.finish(server, 0, longMs);
 	t.is(await closed, '');
@@ -108,17 +108,17 @@
 		// The end reaches a far caller after it has sent the request.
 		const caller = net.connect({ ...listening.toListenOptions(address), allowHalfOpen: true });
 		const ended = new Promise((resolve) => caller.once('end', resolve));
-		const all = received(caller);
+		const all = readAll(caller);
 		await new Promise((resolve) => server.once('connection', resolve));
 		if (when === 'after a pause') {
 			target.leaving = false;
-			caller.write(question);
+			caller.write(request);
 			await new Promise((resolve) => caller.once('data', resolve));
 			target.leaving = true;
 		}
 		const finished = listening.finish(server, 0, longMs, ingress.finalResponse());
 		await ended;
-		caller.end(question);
+		caller.end(request);
 		t.regex(
 			await all,
 			/HTTP\/1.1 503 [^]*retry-after: 0[^]*connection: close[^]*about to stop[^]*"notRun":true}$/,
@@ -133,11 +133,11 @@
 	});
 	const address = await listening.listen(server, '127.0.0.1:0');
 	const caller = net.connect(listening.toListenOptions(address));
-	const all = received(caller);
-	caller.write(question);
+	const all = readAll(caller);
+	caller.write(request);
 	await new Promise((resolve) => caller.once('data', resolve));
 	// Written and closed in one turn of the event loop: the request is at the server's socket by then.
-	caller.write(question);
+	caller.write(request);
 	await listening.finish(server, 0, longMs);
 	t.is((await all).match(/done/g)?.length, 2);
 });
@@ -147,16 +147,16 @@
 	const server = ingress.serveCallers(target);
 	const address = await listening.listen(server, '127.0.0.1:0');
 	const caller = net.connect(listening.toListenOptions(address));
-	const all = received(caller);
-	caller.write(question);
+	const all = readAll(caller);
+	caller.write(request);
 	await new Promise((resolve) => caller.once('data', resolve));
 	target.leaving = true;
 	const finished = listening.finish(server, longMs, longMs);
 	// Whatever a close ends at once is ended by then.
 	await new Promise<void>((resolve) => {
-		reading.afterPendingReads(resolve);
+		pendingReads.afterPendingReads(resolve);
 	});
-	caller.write(question);
+	caller.write(request);
 	t.regex(
 		await all,
 		/^HTTP\/1.1 503 [^]*HTTP\/1.1 503 [^]*retry-after: 0[^]*connection: close[^]*about to stop/i,
@@ -176,15 +176,15 @@
 		const server = ingress.serveCallers(target);
 		const address = await listening.listen(server, '127.0.0.1:0');
 		const caller = net.connect(listening.toListenOptions(address));
-		const answered = received(caller);
+		const answered = readAll(caller);
 		const seen = new Promise((resolve) => server.once('request', resolve));
 		caller.write('POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nha');
 		await seen;
 		target.leaving = true;
-		const begun = new Promise((resolve) => caller.once('data', resolve));
+		const responseBegun = new Promise((resolve) => caller.once('data', resolve));
 		if (closes) void listening.finish(server, 0, longMs);
 		caller.write('lf');
-		await begun;
+		await responseBegun;
 		caller.destroy();
 		server.close();
 		t.regex(await answered, /^HTTP\/1.1 503 [^]*connection: close/i);
@@ -192,7 +192,7 @@
 }
 
 /** All that comes over a connection until its end; empty if it breaks. */
-function received(socket: net.Socket): Promise<string> {
+function readAll(socket: net.Socket): Promise<string> {
 	return new Promise((resolve) => {
 		const chunks: Buffer[] = [];
 		socket.on('data', (chunk: Buffer) => chunks.push(chunk));
@@ -206,7 +206,7 @@
 }
 
 /** Whether an address takes a connection. */
-function accepts(address: string): Promise<boolean> {
+function acceptsConnection(address: string): Promise<boolean> {
 	return new Promise((resolve) => {
 		const socket = net.connect(listening.toListenOptions(address));
 		socket.on('connect', () => {
--- a/test/loads.test.ts
+++ b/test/loads.test.ts
@@ -7,44 +7,44 @@
 import * as random from '../dev/random.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
 import * as wire from '../src/core/wire/frame.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 
 const periodMs = 14_000;
-const tasks = 6;
-const reportGapMs = 400;
+const taskCount = 6;
+const reportIntervalMs = 400;
 
 /** The load that all tasks of the step have at a time. */
-function loadAt(at: number): number {
+function actualLoadAt(at: number): number {
 	return 0.5 + 0.2 * Math.sin((2 * Math.PI * at) / periodMs);
 }
 
 /** Reports of all tasks for so long; each in turn is disturbed for two seconds. */
-function report(wave: loadWave.LoadWave, from: number, to: number, seed: number): void {
+function addReports(wave: loadWave.LoadWave, from: number, to: number, seed: number): void {
 	const next = random.seeded(seed);
-	for (let now = from; now < to; now += reportGapMs) {
-		for (let task = 0; task < tasks; task += 1) {
-			const isDisturbed = Math.floor(now / 2_000) % tasks === task;
+	for (let now = from; now < to; now += reportIntervalMs) {
+		for (let task = 0; task < taskCount; task += 1) {
+			const isDisturbed = Math.floor(now / 2_000) % taskCount === task;
 			const noise = (next() - 0.5) * 0.06;
-			const load = loadAt(now - loadWave.readingAgeMs) + noise;
+			const load = actualLoadAt(now - loadWave.readingAgeMs) + noise;
 			wave.addReading(task, Math.min(1, isDisturbed ? load * 1.5 : load), now);
 		}
 	}
 }
 
 /** Largest error of predictions 900 ms ahead over one period. */
-function worstError(wave: loadWave.LoadWave, now: number): number {
-	let worst = 0;
+function maxPredictionError(wave: loadWave.LoadWave, now: number): number {
+	let maxError = 0;
 	for (let ahead = 900; ahead < 900 + periodMs; ahead += 500)
-		worst = Math.max(worst, Math.abs(wave.loadAt(now + ahead, now) - loadAt(now + ahead)));
-	return worst;
+		maxError = Math.max(maxError, Math.abs(wave.loadAt(now + ahead, now) - actualLoadAt(now + ahead)));
+	return maxError;
 }
 
 test('a load that swings is predicted a period ahead, though some of its tasks are always disturbed', (t) => {
 	const period = loadWave.LoadPeriod.create(0);
 	const wave = period.createWave();
-	report(wave, 0, 30_000, 1);
+	addReports(wave, 0, 30_000, 1);
 	t.true(wave.isComparable(30_000));
-	t.true(worstError(wave, 30_000) < 0.1, `off by ${worstError(wave, 30_000).toFixed(3)}`);
+	t.true(maxPredictionError(wave, 30_000) < 0.1, `off by ${maxPredictionError(wave, 30_000).toFixed(3)}`);
 });
 
 test('two tasks are too few to tell a load from a disturbance', (t) => {
@@ -60,34 +60,34 @@
 test('the next owner predicts a load from its first second on', (t) => {
 	const period = loadWave.LoadPeriod.create(0);
 	const wave = period.createWave();
-	report(wave, 0, 30_000, 2);
-	const sums = wave.learned(30_000);
-	const next = loadWave.LoadPeriod.restore(period.chosenIndex(30_000), 31_000).createWave(sums);
-	t.true(worstError(next, 31_000) < 0.1, `off by ${worstError(next, 31_000).toFixed(3)}`);
+	addReports(wave, 0, 30_000, 2);
+	const learned = wave.learned(30_000);
+	const next = loadWave.LoadPeriod.restore(period.chosenIndex(30_000), 31_000).createWave(learned);
+	t.true(maxPredictionError(next, 31_000) < 0.1, `off by ${maxPredictionError(next, 31_000).toFixed(3)}`);
 	// A guess from nothing is off by the whole swing.
-	t.true(worstError(loadWave.LoadPeriod.create(31_000).createWave(), 31_000) > 0.19);
+	t.true(maxPredictionError(loadWave.LoadPeriod.create(31_000).createWave(), 31_000) > 0.19);
 });
 
 test('what an owner learnt outlasts all boxes', async (t) => {
 	const clock = time.VirtualClock.create();
 	const store = memory.MemoryStore.create(clock);
-	const take = async (box: string): Promise<ledger.OwnerLedger> => {
+	const takeOwnership = async (box: string): Promise<ledger.OwnerLedger> => {
 		store.drop(ledger.keys.ownerKey);
 		const lease = store.view().grantLease(60_000);
 		await clock.pass(20);
 		const granted = await lease;
-		const named = { box, peer: `${box}:1`, lease: granted.ok ? granted.value : '', strongest: 1 };
-		const taking = ledger.OwnerLedger.acquire(store.view(), () => clock.now(), named, undefined);
+		const identity = { box, peer: `${box}:1`, lease: granted.ok ? granted.value : '', strongest: 1 };
+		const takingOver = ledger.OwnerLedger.acquire(store.view(), () => clock.now(), identity, undefined);
 		await clock.pass(50);
-		const taken = await taking;
+		const taken = await takingOver;
 		if (!taken.ok) throw new Error(taken.err);
 		return taken.value;
 	};
-	const first = await take('entry-1');
+	const first = await takeOwnership('entry-1');
 	const storing = first.publish(ledger.keys.learnedModelsKey, wire.encodeValue({ periods: { web: 3 } }));
 	await clock.pass(20);
 	t.is(await storing, 'committed');
-	const second = await take('entry-2');
+	const second = await takeOwnership('entry-2');
 	const loading = second.load();
 	await clock.pass(50);
 	const contents = await loading;
@@ -96,27 +96,27 @@
 
 test('an owner goes on from knowledge of its own form only', (t) => {
 	const clock = time.VirtualClock.create();
-	const empty = interference.InterferenceModel.create(clock).exportLearned();
-	const learner = interference.InterferenceModel.create(clock);
-	t.true(learner.restore({ ...empty, periods: { web: 7 } }));
-	t.deepEqual(learner.exportLearned().periods, { web: 7 });
-	const other = interference.InterferenceModel.create(clock);
-	t.false(other.restore({ ...empty, format: empty.format + 1, periods: { web: 7 } }));
-	t.deepEqual(other.exportLearned().periods, {});
+	const emptyModel = interference.InterferenceModel.create(clock).exportLearned();
+	const model = interference.InterferenceModel.create(clock);
+	t.true(model.restore({ ...emptyModel, periods: { web: 7 } }));
+	t.deepEqual(model.exportLearned().periods, { web: 7 });
+	const otherModel = interference.InterferenceModel.create(clock);
+	t.false(otherModel.restore({ ...emptyModel, format: emptyModel.format + 1, periods: { web: 7 } }));
+	t.deepEqual(otherModel.exportLearned().periods, {});
 });
 
 test('what was learnt of a load is forgotten with its step, also when its tasks report once more', async (t) => {
 	const reading = 40;
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({
 		ms: 'endless',
 		how: 'done',
 		reading,
 	}));
 	fleet.add('w1');
 	const owner = await takeOver();
-	const serving = world.step({ count: 3, lasting: true, image: 'web', targetMs: 100 });
-	await submit(owner, world.job('job1', [serving]));
-	await submit(owner, world.job('job2', [serving]));
+	const serving = fixtures.step({ count: 3, lasting: true, image: 'web', targetMs: 100 });
+	await submit(owner, fixtures.job('job1', [serving]));
+	await submit(owner, fixtures.job('job2', [serving]));
 	await clock.pass(5_000);
 	t.deepEqual(Object.keys(owner.dispatcher.exportLearnedModels().loads), ['job1.0.0', 'job2.0.0']);
 	owner.dispatcher.cancelJob('job1');
@@ -128,7 +128,7 @@
 });
 
 test('nothing is kept of a load whose step ends before its tasks have reported', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({
 		ms: 'endless',
 		how: 'done',
 		reading: 40,
@@ -137,7 +137,7 @@
 	const owner = await takeOver();
 	await submit(
 		owner,
-		world.job('job1', [world.step({ count: 3, lasting: true, image: 'web', targetMs: 100 })]),
+		fixtures.job('job1', [fixtures.step({ count: 3, lasting: true, image: 'web', targetMs: 100 })]),
 	);
 	await clock.pass(300);
 	t.is(w1.running.size, 3);
--- a/test/narrow-links.test.ts
+++ b/test/narrow-links.test.ts
@@ -2,7 +2,7 @@
 import events from 'node:events';
 import * as net from 'node:net';
 import test from 'ava';
-import * as narrow from '../stand-ins/proxy/narrow-link.js';
+import * as narrowLinks from '../stand-ins/proxy/narrow-link.js';
 import * as proxies from '../stand-ins/proxy/index.js';
 
 const connections = 8;
@@ -16,13 +16,13 @@
 	await events.once(server, 'listening');
 	const { port } = server.address() as net.AddressInfo;
 	const proxy = await proxies.FaultProxy.create(`127.0.0.1:${String(port)}`);
-	const create = (): narrow.NarrowLink => narrow.NarrowLink.create(20_000_000, 65_536);
-	proxy.set({ kind: 'narrow', links: { request: create(), answer: create() } });
+	const createLink = (): narrowLinks.NarrowLink => narrowLinks.NarrowLink.create(20_000_000, 65_536);
+	proxy.set({ kind: 'narrow', links: { request: createLink(), answer: createLink() } });
 	t.teardown(() => {
 		proxy.close();
 		server.close();
 	});
-	const read = (): Promise<void> =>
+	const readAnswer = (): Promise<void> =>
 		new Promise((resolve) => {
 			const socket = net.connect(Number(proxy.address.split(':')[1]), '127.0.0.1');
 			let bytes = 0;
@@ -31,6 +31,6 @@
 				if (bytes === answerBytes) resolve();
 			});
 		});
-	await Promise.all(Array.from({ length: connections }, read));
+	await Promise.all(Array.from({ length: connections }, readAnswer));
 	t.pass();
 });
--- a/test/operators.test.ts
+++ b/test/operators.test.ts
@@ -10,7 +10,7 @@
 import * as processes from '../dev/processes.js';
 import * as wire from '../src/core/wire/index.js';
 
-const shape: clusters.ClusterOptions = {
+const options: clusters.ClusterOptions = {
 	zones: ['rennes'],
 	entriesPerZone: 1,
 	schedulersPerZone: 1,
@@ -24,7 +24,7 @@
 test.serial(
 	'ten operators race with answers lost: accepted changes never revert, each submit makes one job',
 	async (t) => {
-		const { cluster, client } = await fixtures.startSettled(t, { ...shape, schedulersPerZone: 2 });
+		const { cluster, client } = await fixtures.startReady(t, { ...options, schedulersPerZone: 2 });
 		await cluster.platformFault({ dropAnswerEvery: 3 });
 		const raced = Array.from({ length: operators }, async (_, index) => {
 			const set = await client.call(
@@ -66,7 +66,7 @@
 );
 
 test.serial('1,000 tasks are cancelled at once: all stop, other work goes on', async (t) => {
-	const { cluster, client } = await fixtures.startSettled(t, shape);
+	const { cluster, client } = await fixtures.startReady(t, options);
 	const small = { needs: { cores: 0.1, memoryMb: 64 } };
 	await operate.submit(client, operate.batch('wave', 1000, 600_000, small));
 	const started = (): number =>
@@ -85,10 +85,10 @@
 test.serial(
 	'a worker that fails everything is quarantined with evidence; jobs finish elsewhere',
 	async (t) => {
-		const { cluster, client } = await fixtures.startSettled(t, shape);
-		const bad = cluster.workers[0];
-		if (bad === undefined) return;
-		await clusters.post(bad.address, '/fault', { failAll: true });
+		const { cluster, client } = await fixtures.startReady(t, options);
+		const failingWorker = cluster.workers[0];
+		if (failingWorker === undefined) return;
+		await clusters.post(failingWorker.address, '/fault', { failAll: true });
 		const names = ['a', 'b', 'c', 'd', 'e', 'f'];
 		for (const name of names) await operate.submit(client, operate.batch(name, 4, 200));
 		const states = async (): Promise<string[]> =>
@@ -99,14 +99,14 @@
 		const status = await client.call('status', { team: '' });
 		client.close();
 		const found = status.ok
-			? status.value.shards.flatMap((shard) => shard.workers).find((one) => one.id === bad.id)
+			? status.value.shards.flatMap((shard) => shard.workers).find((one) => one.id === failingWorker.id)
 			: undefined;
 		t.is(found?.state, 'in quarantine');
 	},
 );
 
 test.serial('jobs that can never run: refused at once, or failed for good with the evidence', async (t) => {
-	const { client } = await fixtures.startSettled(t, shape);
+	const { client } = await fixtures.startReady(t, options);
 	const huge = await client.call('submit', {
 		specJson: JSON.stringify(operate.batch('huge', 1, 10, { needs: { cores: 64, memoryMb: 1 } })),
 	});
@@ -127,7 +127,7 @@
 test.serial(
 	'a peer that sends nonsense is cut off and told of in the log; the process goes on',
 	async (t) => {
-		const { cluster, client } = await fixtures.startSettled(t, shape);
+		const { cluster, client } = await fixtures.startReady(t, options);
 		const program = cluster.of('scheduler')[0];
 		if (program === undefined) return;
 		const tooLong = Buffer.from([0xff, 0xff, 0xff, 0xff, 1]);
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -2,11 +2,11 @@
 import test from 'ava';
 import * as ownership from '../src/core/owner/index.js';
 import * as patterns from '../stand-ins/fleet/load-patterns.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as dispatch from '../src/core/dispatch/index.js';
 
-const workers = 60;
-const lengthMs = 22_000;
+const workerCount = 60;
+const patternMs = 22_000;
 const seed = 7;
 
 /** The burst of the pattern ends then, in seconds of its traffic. */
@@ -19,25 +19,25 @@
 const costs = { send: 1.4, answer: 1.4 };
 
 /** Lasting jobs find their places before the traffic begins, in milliseconds. */
-const settleMs = 3_000;
+const warmUpMs = 3_000;
 
-function jobOf({ record }: patterns.Arrival): ReturnType<typeof world.job> {
-	return world.job(record.id, record.steps, { queue: record.queue });
+function jobOf({ record }: patterns.Arrival): ReturnType<typeof fixtures.job> {
+	return fixtures.job(record.id, record.steps, { queue: record.queue });
 }
 
 /** Plays the pattern, with a takeover at the beginning of that second if one is given; the load of each second. */
-async function play(takeOverAtS?: number): Promise<dispatch.DispatchLoad[]> {
-	const pattern = patterns.createPattern('large-workers-burst', workers, lengthMs, seed);
-	const { clock, fleet, takeOverBusy, submit } = world.createWorld((task) => ({
+async function runPattern(takeOverAtS?: number): Promise<dispatch.DispatchLoad[]> {
+	const pattern = patterns.createPattern('large-workers-burst', workerCount, patternMs, seed);
+	const { clock, fleet, takeOverBusy, submit } = fixtures.createEnvironment((task) => ({
 		...pattern.plan(task),
 		...(task.startsWith('wide') && { disturbs: 0.1 }),
 	}));
 	const capacity = { milliCores: pattern.workerMilliCores, memoryMb: 256_000, accelerators: 0 };
-	for (let number = 1; number <= workers; number += 1) fleet.add(`w${String(number)}`, { capacity });
+	for (let number = 1; number <= workerCount; number += 1) fleet.add(`w${String(number)}`, { capacity });
 	let { owner } = await takeOverBusy(costs);
 	await clock.pass(500);
 	for (const one of pattern.arrivals) if (one.atMs === 0) void submit(owner, jobOf(one));
-	await clock.pass(settleMs);
+	await clock.pass(warmUpMs);
 	const from = clock.now();
 	const loads: dispatch.DispatchLoad[] = [];
 	const endS = burstEndS + recoveryS;
@@ -63,7 +63,7 @@
 
 for (const takeOverAtS of [undefined, 7])
 	test(`an owner keeps up again within ten seconds of a burst${takeOverAtS === undefined ? '' : ' in which it took over'}`, async (t) => {
-		const loads = await play(takeOverAtS);
+		const loads = await runPattern(takeOverAtS);
 		const last = loads.at(-1);
 		// What waits is less than what a second finishes, and ends are taken note of within a second.
 		t.true((last?.waitingShort ?? Infinity) <= (last?.finished ?? 0), JSON.stringify(last));
@@ -77,15 +77,15 @@
 	});
 
 test('a new owner that hundreds of workers answer does not hold up its renewals', async (t) => {
-	const { clock, fleet, takeOver, takeOverBusy, submit } = world.createWorld(() => ({
+	const { clock, fleet, takeOver, takeOverBusy, submit } = fixtures.createEnvironment(() => ({
 		ms: 300,
 		how: 'done',
 	}));
 	for (let number = 1; number <= 340; number += 1) fleet.add(`w${String(number)}`);
 	const first = await takeOver();
 	await clock.pass(500);
-	const steps = [world.step({ count: 1_000, milliCores: 8_000 })];
-	await submit(first, world.job('job1', steps));
+	const steps = [fixtures.step({ count: 1_000, milliCores: 8_000 })];
+	await submit(first, fixtures.job('job1', steps));
 	await clock.pass(100);
 	first.dispatcher.close();
 	await clock.pass(500);
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -11,19 +11,19 @@
 
 /** A box without callers or workers: its part in the race only. */
 interface TestBox {
-	race: ownership.Ownership;
-	owns: boolean;
+	election: ownership.Ownership;
+	isOwner: boolean;
 	isDown: boolean;
 	/** It answers nothing, and nothing answers it. */
 	isCut: boolean;
 	/** The store does not answer it. */
-	lacksStore: boolean;
+	cannotReachStore: boolean;
 	/** Boxes that it does not answer. */
-	readonly silentTo: Set<string>;
+	readonly unansweredBoxes: Set<string>;
 }
 
 /** Boxes that ask each other as real ones do. */
-class Boxes {
+class TestBoxes {
 	readonly clock = time.VirtualClock.create();
 	readonly store = memory.MemoryStore.create(this.clock);
 	private readonly boxes = new Map<string, TestBox>();
@@ -36,13 +36,13 @@
 		// Built by `create`, like every class here.
 	}
 
-	static create(): Boxes {
-		return new Boxes();
+	static create(): TestBoxes {
+		return new TestBoxes();
 	}
 
 	/** Boxes of which the first has had time to become owner. */
-	static async ownedBy(name: string, processor: number): Promise<{ boxes: Boxes; owner: TestBox }> {
-		const boxes = Boxes.create();
+	static async withOwner(name: string, processor: number): Promise<{ boxes: TestBoxes; owner: TestBox }> {
+		const boxes = TestBoxes.create();
 		const owner = boxes.start(name, processor);
 		await boxes.clock.pass(300);
 		return { boxes, owner };
@@ -54,17 +54,17 @@
 		const candidates = ownership.Candidates.create(() => clock.now());
 		let strongest: number | undefined;
 		const box: TestBox = {
-			owns: false,
+			isOwner: false,
 			isDown: false,
 			isCut: false,
-			lacksStore: false,
-			silentTo: new Set(),
-			race: undefined as never,
+			cannotReachStore: false,
+			unansweredBoxes: new Set(),
+			election: undefined as never,
 		};
 		this.boxes.set(name, box);
 		this.candidates.set(name, candidates);
-		const store = this.store.view(() => (box.isDown || box.isCut || box.lacksStore ? 'down' : 'none'));
-		box.race = ownership.Ownership.create({
+		const store = this.store.view(() => (box.isDown || box.isCut || box.cannotReachStore ? 'down' : 'none'));
+		box.election = ownership.Ownership.create({
 			store: this.delayed(store, storeDelayMs),
 			clock,
 			events: events.EventLog.create(name, clock),
@@ -75,17 +75,17 @@
 			highestKnownProcessor: () => strongest,
 			strongerBox: () => candidates.stronger(processor)?.box,
 			ping: async (peer) => {
-				const reply = await this.ask(peer, { box: name, processor, storeReachable: true });
+				const reply = await this.pingOwner(peer, { box: name, processor, storeReachable: true });
 				if (typeof reply === 'number') strongest = reply;
 				return typeof reply === 'number' ? 'alive' : reply;
 			},
 			ownerLacksStore: () => false,
 			onAcquired: () => {
-				box.owns = true;
+				box.isOwner = true;
 				this.owners.push(name);
 			},
 			onLost: () => {
-				box.owns = false;
+				box.isOwner = false;
 				strongest = candidates.strongest(processor);
 			},
 			// Without a head start the weak are first.
@@ -110,23 +110,26 @@
 		};
 	}
 
-	private async ask(peer: string, by: ownership.Candidate): Promise<number | ownership.PingOutcome> {
+	private async pingOwner(
+		peer: string,
+		candidate: ownership.Candidate,
+	): Promise<number | ownership.PingOutcome> {
 		const owner = this.boxes.get(peer);
-		const heard = this.candidates.get(peer);
-		if (owner === undefined || heard === undefined) return 'refused';
-		const giveUpAt = this.clock.now() + ownership.settings.pingTimeoutMs;
-		const isSilent = (): boolean => owner.isCut || owner.silentTo.has(by.box);
-		if (!isSilent()) heard.notePing(by);
+		const candidates = this.candidates.get(peer);
+		if (owner === undefined || candidates === undefined) return 'refused';
+		const timeoutAt = this.clock.now() + ownership.settings.pingTimeoutMs;
+		const isUnresponsive = (): boolean => owner.isCut || owner.unansweredBoxes.has(candidate.box);
+		if (!isUnresponsive()) candidates.notePing(candidate);
 		for (let waited = 0; waited < ownership.settings.pingHoldMs; waited += 20) {
 			await this.sleep(20);
-			if (isSilent()) {
-				await this.sleep(giveUpAt - this.clock.now());
+			if (isUnresponsive()) {
+				await this.sleep(timeoutAt - this.clock.now());
 				return 'silent';
 			}
-			const end = endOf(owner);
-			if (end !== undefined) return end;
+			const refusal = refusalOf(owner);
+			if (refusal !== undefined) return refusal;
 		}
-		return heard.strongest(by.processor);
+		return candidates.strongest(candidate.processor);
 	}
 
 	private sleep(ms: number): Promise<void> {
@@ -137,13 +140,13 @@
 }
 
 /** Why a box does not answer as owner; undefined: it does. */
-function endOf(box: TestBox): ownership.PingOutcome | undefined {
+function refusalOf(box: TestBox): ownership.PingOutcome | undefined {
 	if (box.isDown) return 'refused';
-	return box.owns ? undefined : 'not-owner';
+	return box.isOwner ? undefined : 'not-owner';
 }
 
 test('a weak owner hands over to a strong box that stays up, once', async (t) => {
-	const { boxes } = await Boxes.ownedBy('weak-1', weak);
+	const { boxes } = await TestBoxes.withOwner('weak-1', weak);
 	boxes.start('weak-2', weak);
 	boxes.start('strong-1', strong);
 	await boxes.clock.pass(20_000);
@@ -151,7 +154,7 @@
 });
 
 test('boxes of like strength do not hand over', async (t) => {
-	const { boxes } = await Boxes.ownedBy('box-1', weak);
+	const { boxes } = await TestBoxes.withOwner('box-1', weak);
 	boxes.start('box-2', weak);
 	boxes.start('box-3', weak);
 	await boxes.clock.pass(20_000);
@@ -159,7 +162,7 @@
 });
 
 test('after a strong owner died, another strong box comes first, however many weak ones race', async (t) => {
-	const { boxes, owner: first } = await Boxes.ownedBy('strong-1', strong);
+	const { boxes, owner: first } = await TestBoxes.withOwner('strong-1', strong);
 	for (const name of ['weak-1', 'weak-2', 'weak-3']) boxes.start(name, weak);
 	boxes.start('strong-2', strong);
 	await boxes.clock.pass(3_000);
@@ -169,7 +172,7 @@
 });
 
 test('weak boxes take over where no strong one is left', async (t) => {
-	const { boxes, owner: only } = await Boxes.ownedBy('strong-1', strong);
+	const { boxes, owner: only } = await TestBoxes.withOwner('strong-1', strong);
 	boxes.start('weak-1', weak);
 	await boxes.clock.pass(3_000);
 	only.isDown = true;
@@ -178,7 +181,7 @@
 });
 
 test('after all went down, a strong box that is up a little later than weak ones comes first', async (t) => {
-	const { boxes, owner: before } = await Boxes.ownedBy('strong-1', strong);
+	const { boxes, owner: before } = await TestBoxes.withOwner('strong-1', strong);
 	const weakBefore = boxes.start('weak-1', weak);
 	await boxes.clock.pass(3_000);
 	before.isDown = true;
@@ -192,7 +195,7 @@
 });
 
 test('a strong box takes over within a tenth of a second once the lease of an owner that was cut off is over', async (t) => {
-	const { boxes, owner: first } = await Boxes.ownedBy('strong-1', strong);
+	const { boxes, owner: first } = await TestBoxes.withOwner('strong-1', strong);
 	boxes.start('strong-2', strong);
 	boxes.start('weak-1', weak);
 	await boxes.clock.pass(3_000);
@@ -203,13 +206,13 @@
 });
 
 test('a weak box that finds a silent owner gone leaves strong ones the time to find it out', async (t) => {
-	const { boxes, owner: first } = await Boxes.ownedBy('strong-1', strong);
+	const { boxes, owner: first } = await TestBoxes.withOwner('strong-1', strong);
 	boxes.start('strong-2', strong);
 	boxes.start('weak-1', weak);
 	await boxes.clock.pass(3_000);
 	// Busy with other things, it renews its lease no more, and answers one box for longer than the other.
-	first.lacksStore = true;
-	first.silentTo.add('weak-1');
+	first.cannotReachStore = true;
+	first.unansweredBoxes.add('weak-1');
 	await boxes.clock.pass(ownership.settings.leaseMs - ownership.settings.renewalIntervalMs);
 	first.isCut = true;
 	await boxes.clock.pass(4_000);
@@ -217,7 +220,7 @@
 });
 
 test('that lease is noticed as soon where the store has forgotten the time before', async (t) => {
-	const { boxes, owner: first } = await Boxes.ownedBy('strong-1', strong);
+	const { boxes, owner: first } = await TestBoxes.withOwner('strong-1', strong);
 	boxes.start('strong-2', strong);
 	await boxes.clock.pass(3_000);
 	boxes.store.put('another/key', new Uint8Array(0));
@@ -228,10 +231,10 @@
 });
 
 test('a box that is told to stop while it takes over does not own', async (t) => {
-	const boxes = Boxes.create();
+	const boxes = TestBoxes.create();
 	const leaving = boxes.start('weak-1', weak);
 	await boxes.clock.pass(14);
-	const released = leaving.race.release();
+	const released = leaving.election.release();
 	await boxes.clock.pass(100);
 	await released;
 	boxes.start('weak-2', weak);
@@ -240,7 +243,7 @@
 });
 
 test('an owner whose calls to the store take most of a second stays the owner', async (t) => {
-	const boxes = Boxes.create();
+	const boxes = TestBoxes.create();
 	boxes.start('slow-1', strong, 900);
 	await boxes.clock.pass(8_000);
 	t.deepEqual(boxes.owners, ['slow-1']);
--- a/test/platform-failures.test.ts
+++ b/test/platform-failures.test.ts
@@ -24,9 +24,9 @@
 	t: { deepEqual: (a: unknown, b: unknown) => boolean; is: (a: unknown, b: unknown) => boolean },
 	cluster: clusters.Cluster,
 ): void {
-	const all = journal.ranFrom(journal.witnessesOf(cluster));
-	t.deepEqual(journal.faults(all, clusters.workerCapacity.cores), []);
-	const counts = journal.finishedCounts(all.filter((one) => one.task.startsWith('press/night/')));
+	const all = journal.attemptsFrom(journal.processJournalsOf(cluster));
+	t.deepEqual(journal.findViolations(all, clusters.workerCapacity.cores), []);
+	const counts = journal.successCounts(all.filter((one) => one.task.startsWith('press/night/')));
 	t.is(Object.keys(counts).length, tasks);
 	t.deepEqual(
 		Object.entries(counts).filter(([, count]) => count !== 1),
@@ -40,7 +40,7 @@
 async function statusesUntil(entry: clusters.Program, endAt: number): Promise<number[]> {
 	const statuses: number[] = [];
 	while (Date.now() < endAt) {
-		statuses.push((await callers.ask(entry, { body: Buffer.from('proof') })).status);
+		statuses.push((await callers.sendRequest(entry, { body: Buffer.from('proof') })).status);
 		await pause(50);
 	}
 	return statuses;
@@ -49,11 +49,11 @@
 test.serial(
 	'the platform is down: callers are served, operators told the truth, tasks resume once',
 	async (t) => {
-		const { cluster, client } = await fixtures.startSettled(t, shape);
+		const { cluster, client } = await fixtures.startReady(t, shape);
 		await operate.submit(client, operate.batch('night', tasks, 4000));
 		const [entry] = cluster.of('entry');
 		if (entry === undefined) return;
-		await callers.ready(entry);
+		await callers.waitUntilReady(entry);
 		await cluster.platformFault({ down: true });
 		const downAt = Date.now();
 		const submitted = client.call(
@@ -89,7 +89,7 @@
 );
 
 test.serial('every second answer of the platform is lost after the write took effect', async (t) => {
-	const { cluster, client } = await fixtures.startSettled(t, shape);
+	const { cluster, client } = await fixtures.startReady(t, shape);
 	const epoch = async (): Promise<number> => {
 		const status = await client.call('status', { team: '' });
 		return status.ok ? (status.value.shards[0]?.epoch ?? 0) : 0;
@@ -110,7 +110,7 @@
 });
 
 test.serial('the platform answers after 2 s: the job still finishes, nothing runs twice', async (t) => {
-	const { cluster, client } = await fixtures.startSettled(t, shape);
+	const { cluster, client } = await fixtures.startReady(t, shape);
 	await cluster.platformFault({ writeMs: 2000, readMs: 500 });
 	await client.call('submit', { specJson: JSON.stringify(operate.batch('night', tasks, 500)) }, 20_000);
 	await operate.reached(client, 'press/night', 'finished', 60_000);
@@ -121,7 +121,7 @@
 test.serial(
 	'watches stall without a word: a change is in force everywhere within 4 s all the same',
 	async (t) => {
-		const { cluster, client } = await fixtures.startSettled(t, { ...shape, schedulersPerZone: 1 });
+		const { cluster, client } = await fixtures.startReady(t, { ...shape, schedulersPerZone: 1 });
 		await cluster.platformFault({ stallWatches: true });
 		const from = Date.now();
 		const set = await client.call('setConfig', {
@@ -144,7 +144,7 @@
 	'a zone is cut off from the platform and from the other zone: both go on, nothing runs twice',
 	async (t) => {
 		const zones = ['rennes', 'brest'];
-		const { cluster, client, cuts } = await fixtures.startCuttable(
+		const { cluster, client, linkProxies } = await fixtures.startPartitionable(
 			t,
 			{ ...shape, zones, schedulersPerZone: 1, workersPerZone: 2 },
 			(from, to) => (to === 'platform' ? from : undefined),
@@ -154,27 +154,27 @@
 		const brest = cluster.of('entry', 'brest')[0];
 		const rennes = cluster.of('entry', 'rennes')[0];
 		if (brest === undefined || rennes === undefined) return;
-		await Promise.all([brest, rennes].map(callers.ready));
+		await Promise.all([brest, rennes].map(callers.waitUntilReady));
 		// Brest loses the platform; rennes is frozen whole, which to brest is a cut as well.
 		const ofRennes = [...cluster.programs, ...cluster.backends, ...cluster.workers].filter(
 			(one) => one.zone === 'rennes',
 		);
 		for (const program of cluster.of('entry', 'brest').concat(cluster.of('scheduler', 'brest')))
-			cuts.get(program.box)?.set({ kind: 'cut' });
+			linkProxies.get(program.box)?.set({ kind: 'cut' });
 		for (const one of ofRennes) one.process.child.kill('SIGSTOP');
 		const cutAt = Date.now();
 		const statuses = await statusesUntil(brest, cutAt + outageMs);
 		t.true(statuses.every((status) => status === 200));
 		for (const one of ofRennes) one.process.child.kill('SIGCONT');
-		for (const proxy of cuts.values()) proxy.set({ kind: 'pass' });
-		t.is((await callers.ask(rennes, { body: Buffer.from('proof') })).status, 200);
+		for (const proxy of linkProxies.values()) proxy.set({ kind: 'pass' });
+		t.is((await callers.sendRequest(rennes, { body: Buffer.from('proof') })).status, 200);
 		await operate.reached(client, 'press/night', 'finished', 60_000);
 		await operate.settled(client);
 		t.is(await operate.jobState(client, 'press/web'), 'active');
 		client.close();
-		const ran = journal.ranFrom(journal.witnessesOf(cluster));
+		const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
 		const batch = ran.filter((one) => one.task.startsWith('press/night'));
-		t.deepEqual(journal.faults(batch, clusters.workerCapacity.cores), []);
-		t.is(Object.keys(journal.finishedCounts(batch)).length, tasks);
+		t.deepEqual(journal.findViolations(batch, clusters.workerCapacity.cores), []);
+		t.is(Object.keys(journal.successCounts(batch)).length, tasks);
 	},
 );
--- a/test/renewed-by-successor.test.ts
+++ b/test/renewed-by-successor.test.ts
@@ -7,7 +7,7 @@
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 
 test('an owner that the store turns away starts nothing whose lease the third one renews', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 30_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
 	for (const id of ['job1', 'job2']) await submit(first, world.job(id, [world.step({ milliCores: 10_000 })]));
--- a/test/requests.test.ts
+++ b/test/requests.test.ts
@@ -29,7 +29,7 @@
 ): Promise<clusters.Cluster> {
 	const cluster = await clusters.Cluster.create({ ...shape, ...extra });
 	t.teardown(() => cluster.close());
-	await Promise.all(cluster.of('entry').map(callers.ready));
+	await Promise.all(cluster.of('entry').map(callers.waitUntilReady));
 	return cluster;
 }
 
@@ -40,16 +40,16 @@
 		const [first, second] = only(cluster.of('entry'));
 		const asked = Array.from({ length: callerCount }, async (_, index) => {
 			const size = Math.round((largestBody * (index + 1)) / callerCount);
-			const body = callers.bytesOf(`caller ${index}`, size);
+			const body = callers.seededBytes(`caller ${index}`, size);
 			const id = `caller-${index}`;
 			const headers = { 'x-request-id': id, 'x-woodcross-deadline-ms': '60000' };
 			const entry = index % 2 === 0 ? first : second;
-			let got = await callers.ask(entry, { body, headers });
+			let got = await callers.sendRequest(entry, { body, headers });
 			// More callers than slots and queue hold are told that they were not run, and come back when told to.
 			while (got.problem?.notRun === true && got.problem.type === 'urn:woodcross:error:Overloaded') {
 				const wait = got.problem.retryAfterMs;
 				await new Promise((resolve) => setTimeout(resolve, wait));
-				got = await callers.ask(entry, { body, headers });
+				got = await callers.sendRequest(entry, { body, headers });
 			}
 			if (got.status !== 200)
 				t.log(`${id}: ${got.status} ${got.problem?.type ?? ''} ${got.problem?.detail ?? ''}`);
@@ -77,12 +77,12 @@
 			const breakAll = { breakNext: point, breakCount: 1 };
 			await Promise.all(cluster.backends.map((box) => clusters.post(box.address, '/fault', breakAll)));
 			const headers = { 'x-request-id': 'one-booking' };
-			const unsafe = await callers.ask(entry, { body: Buffer.from('one booking'), headers });
+			const unsafe = await callers.sendRequest(entry, { body: Buffer.from('one booking'), headers });
 			t.is(unsafe.status, 502);
 			t.is(unsafe.problem?.mayHaveRun === true ? 'may-have-run' : 'not-run', expected);
 			const ran = (await callers.allBackendRuns(cluster)).filter((run) => run.id === 'one-booking');
 			t.is(ran.length, runs, 'an unsafe request is sent once');
-			const safe = await callers.ask(entry, {
+			const safe = await callers.sendRequest(entry, {
 				body: Buffer.from('proof'),
 				headers: { 'x-woodcross-repeat': 'safe' },
 			});
@@ -91,7 +91,7 @@
 			await Promise.all(cluster.backends.map((box) => clusters.post(box.address, '/fault', {})));
 			await operate.until(
 				'whole answers again',
-				async () => (await callers.ask(entry, { body: Buffer.from('x') })).body.toString() === 'x',
+				async () => (await callers.sendRequest(entry, { body: Buffer.from('x') })).body.toString() === 'x',
 			);
 			t.pass();
 		},
@@ -103,14 +103,14 @@
 	async (t) => {
 		const cluster = await start(t);
 		const [entry] = only(cluster.of('entry'));
-		const whole = await callers.ask(entry, { path: '/proof?size=3000000', body: Buffer.from('a') });
+		const whole = await callers.sendRequest(entry, { path: '/proof?size=3000000', body: Buffer.from('a') });
 		t.is(whole.body.length, 3_000_000);
 		await Promise.all(
 			cluster.backends.map((box) =>
 				clusters.post(box.address, '/fault', { breakNext: 'halfway', breakCount: 1 }),
 			),
 		);
-		const broken = await callers.ask(entry, { path: '/proof?size=3000000', body: Buffer.from('a') });
+		const broken = await callers.sendRequest(entry, { path: '/proof?size=3000000', body: Buffer.from('a') });
 		t.true(broken.status === 0 || broken.status === 502);
 	},
 );
@@ -132,7 +132,7 @@
 		// The same key at the same time through both boxes, many times.
 		const together = await Promise.all(
 			Array.from({ length: 10 }, (_, index) =>
-				callers.ask(index % 2 === 0 ? first : second, { body, headers: headersOf('k1') }),
+				callers.sendRequest(index % 2 === 0 ? first : second, { body, headers: headersOf('k1') }),
 			),
 		);
 		t.true(together.every((got) => got.status === 200 && got.body.equals(body)));
@@ -143,14 +143,14 @@
 				clusters.post(box.address, '/fault', { breakNext: 'after', breakCount: 1 }),
 			),
 		);
-		const lost = await callers.ask(first, { body, headers: headersOf('k2') });
+		const lost = await callers.sendRequest(first, { body, headers: headersOf('k2') });
 		t.true(lost.problem?.mayHaveRun);
-		const again = await callers.ask(second, { body, headers: headersOf('k2') });
+		const again = await callers.sendRequest(second, { body, headers: headersOf('k2') });
 		t.true(again.problem?.mayHaveRun);
 		t.is(again.problem?.type, 'urn:woodcross:error:MayHaveRun');
 
 		// Another request under a used key.
-		const other = await callers.ask(second, {
+		const other = await callers.sendRequest(second, {
 			body: Buffer.from('confirm slot 15'),
 			headers: headersOf('k1'),
 		});
@@ -161,13 +161,13 @@
 		await Promise.all(
 			cluster.backends.map((box) => clusters.post(box.address, '/fault', { serviceMs: 300 })),
 		);
-		const dying = callers.ask(first, { body, headers: headersOf('k3') });
+		const dying = callers.sendRequest(first, { body, headers: headersOf('k3') });
 		await operate.until('the request running', () =>
 			callers.backendRuns(cluster).some((run) => run.key === 'k3'),
 		);
 		await clusters.kill(first.process);
 		t.is((await dying).status, 0);
-		const repeated = await callers.ask(second, { body, headers: headersOf('k3') });
+		const repeated = await callers.sendRequest(second, { body, headers: headersOf('k3') });
 		t.true(repeated.problem?.mayHaveRun);
 
 		const runs = await callers.allBackendRuns(cluster);
@@ -186,8 +186,8 @@
 		await cluster.platformFault({ down: true });
 		const headers = { 'idempotency-key': 'k9', 'x-woodcross-deadline-ms': '8000' };
 		const [keyed, plain] = await Promise.all([
-			callers.ask(entry, { body: Buffer.from('book'), headers }),
-			callers.ask(entry, { body: Buffer.from('proof') }),
+			callers.sendRequest(entry, { body: Buffer.from('book'), headers }),
+			callers.sendRequest(entry, { body: Buffer.from('proof') }),
 		]);
 		t.is(plain.status, 200);
 		t.is(keyed.status, 503);
@@ -196,7 +196,7 @@
 		await cluster.platformFault({});
 		await operate.until(
 			'keyed requests run again',
-			async () => (await callers.ask(entry, { body: Buffer.from('book'), headers })).status === 200,
+			async () => (await callers.sendRequest(entry, { body: Buffer.from('book'), headers })).status === 200,
 		);
 		client.close();
 		const runs = await callers.allBackendRuns(cluster);
@@ -216,7 +216,7 @@
 		const failures: string[] = [];
 		const load = Array.from({ length: 8 }, async () => {
 			while (!stop) {
-				const got = await callers.ask(entry, { body: Buffer.from('proof') });
+				const got = await callers.sendRequest(entry, { body: Buffer.from('proof') });
 				if (got.status !== 200) failures.push(`${got.status} ${got.problem?.detail ?? ''}`);
 			}
 		});
@@ -242,11 +242,13 @@
 async function askSlowly(
 	cluster: clusters.Cluster,
 	entries: clusters.Program[],
-): Promise<Promise<callers.Got>[]> {
+): Promise<Promise<callers.CallReply>[]> {
 	const setAll = (serviceMs: number): Promise<unknown> =>
 		Promise.all(cluster.backends.map((box) => clusters.post(box.address, '/fault', { serviceMs })));
 	await setAll(slowMs);
-	const slow = entries.map((entry) => callers.ask(entry, { path: '/slow', body: Buffer.from('proof') }));
+	const slow = entries.map((entry) =>
+		callers.sendRequest(entry, { path: '/slow', body: Buffer.from('proof') }),
+	);
 	const running = (): number => callers.backendRuns(cluster).filter((run) => run.path === '/slow').length;
 	await operate.until('the slow requests running', () => running() === entries.length);
 	await setAll(20);
@@ -273,7 +275,7 @@
 				const healthy = entries.filter((one) => one !== stopping || !drained);
 				const entry = healthy[index % healthy.length];
 				if (entry === undefined) return;
-				const got = await callers.ask(entry, { body: Buffer.from('proof') });
+				const got = await callers.sendRequest(entry, { body: Buffer.from('proof') });
 				if (got.status === 200) answered += 1;
 				else failures.push(`${got.status} ${got.problem?.detail ?? 'broken connection'}`);
 			}
--- a/test/restarted-workers.test.ts
+++ b/test/restarted-workers.test.ts
@@ -52,7 +52,7 @@
 
 /** Owners of a world that follow one another; the newest hears of the workers that come and go. */
 interface Trial {
-	made: world.TestWorld;
+	made: world.TestEnvironment;
 	witness: Witness;
 	owner: () => world.TestOwner;
 	/** The owner dies, and another takes over. */
@@ -62,7 +62,7 @@
 
 async function begin(plan: (task: string, run: number) => workers.RunPlan): Promise<Trial> {
 	const witness = Witness.create();
-	const made = world.createWorld(plan, witness.journal);
+	const made = world.createEnvironment(plan, witness.journal);
 	for (let index = 0; index < workerCount; index += 1) made.fleet.add(`w${String(index)}`, {}, index + 1);
 	let owner = await made.takeOver();
 	made.fleet.onListed = (added, removed) => {
@@ -131,11 +131,11 @@
 	const state = owner().dispatcher.stateOf(id);
 	if (state !== 'failed') return state === 'completed';
 	const tasks = made.fleet.crashes.flatMap((one) => one.tasks.filter((task) => task.startsWith(`${id}.`)));
-	return tasks.some((task) => crashes.historyOf(made, task).crashes >= crashing.crashesBeforeGivingUp);
+	return tasks.some((task) => crashes.crashCountsOf(made, task).crashes >= crashing.crashesBeforeGivingUp);
 }
 
 /** Resolves as the test's clock passes. */
-function passes(clock: world.TestWorld['clock'], ms: number): Promise<void> {
+function passes(clock: world.TestEnvironment['clock'], ms: number): Promise<void> {
 	return new Promise((resolve) => {
 		clock.after(ms, resolve);
 	});
@@ -175,7 +175,7 @@
 			await made.clock.pass(240);
 		}
 		await made.clock.pass(60_000);
-		const history = crashes.historyOf(made, 'bad.0.0.0');
+		const history = crashes.crashCountsOf(made, 'bad.0.0.0');
 		t.true(history.late <= crashing.startsAfterBound, `${String(history.crashes)} crashes`);
 		t.is(trial.owner().dispatcher.stateOf('bad'), 'failed');
 		const undone = sound.filter((id) => trial.owner().dispatcher.stateOf(id) !== 'completed');
@@ -184,7 +184,7 @@
 	});
 
 test('a worker that had drained takes work again once it has restarted', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 500, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 500, how: 'done' }));
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
 	fleet.onListed = (added, removed) => {
@@ -205,7 +205,7 @@
 });
 
 test('a worker that upkeep had closed takes work again once it has restarted', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 500, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 500, how: 'done' }));
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
 	fleet.onListed = (added, removed) => {
@@ -223,7 +223,7 @@
 
 test('an end is not forgotten by a question that was put to the life before', async (t) => {
 	const witness = Witness.create();
-	const made = world.createWorld(() => ({ ms: 100, how: 'done' }), witness.journal);
+	const made = world.createEnvironment(() => ({ ms: 100, how: 'done' }), witness.journal);
 	const { clock, fleet, takeOver, submit } = made;
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
@@ -244,7 +244,7 @@
 
 test('a run that a restarted worker has by an order to the life before is not lost before its lease is', async (t) => {
 	const witness = Witness.create();
-	const made = world.createWorld(() => ({ ms: 5_500, how: 'done' }), witness.journal);
+	const made = world.createEnvironment(() => ({ ms: 5_500, how: 'done' }), witness.journal);
 	const { clock, fleet, takeOver, submit } = made;
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
@@ -273,11 +273,11 @@
 	const address = platform.fleet.workers.get('i-1')?.entry.address ?? '';
 	await box.logged((line) => line.name === 'worker.reached');
 	const [before, after] = ['00000000000000b1', '00000000000000b2'];
-	t.is((await real.call(box.callers, 'POST', before, real.body)).status, 200);
-	await real.completed(box, before);
+	t.is((await real.call(box.callers, 'POST', before, real.jobBody)).status, 200);
+	await real.waitUntilCompleted(box, before);
 	platform.restartWorker('i-1', address, 1);
-	t.is((await real.call(box.callers, 'POST', after, real.body)).status, 200);
-	await real.completed(box, after);
+	t.is((await real.call(box.callers, 'POST', after, real.jobBody)).status, 200);
+	await real.waitUntilCompleted(box, after);
 	const tasks = starts.map((one) => one.task).filter((task) => task.startsWith(after));
 	t.deepEqual(tasks.sort(), [`${after}.0.0.0`, `${after}.0.0.1`]);
 });
--- a/test/roster.test.ts
+++ b/test/roster.test.ts
@@ -126,7 +126,7 @@
 });
 
 test('an owner of the version before makes what is stored of lasting tasks unsure for all jobs until then', async (t) => {
-	const { clock, store, takeOver } = fixtures.createWorld(() => ({ ms: 500, how: 'done' }));
+	const { clock, store, takeOver } = fixtures.createEnvironment(() => ({ ms: 500, how: 'done' }));
 	const first = await takeOver();
 	first.dispatcher.close();
 	const before = (generation: number): Uint8Array => wire.encodeValue({ generation, box: 'entry-1' });
--- a/test/run-log.test.ts
+++ b/test/run-log.test.ts
@@ -15,7 +15,7 @@
 }
 
 test('a successor tells what a worker ran when it first answered, and by which proof a run is over', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 30_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
 	await submit(first, world.job('job1', [world.step({ count: 2, milliCores: 10_000 })]));
@@ -31,7 +31,7 @@
 });
 
 test('a worker that never answered a successor is told of without the time of an answer', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 30_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
 	await submit(first, world.job('job1', [world.step()]));
--- a/test/scheduler-failures.test.ts
+++ b/test/scheduler-failures.test.ts
@@ -26,8 +26,8 @@
 	return Promise.any(waiting);
 }
 
-const noFinishTwice = (ran: journal.Ran[]): string[] =>
-	Object.entries(journal.finishedCounts(ran))
+const noFinishTwice = (ran: journal.ObservedAttempt[]): string[] =>
+	Object.entries(journal.successCounts(ran))
 		.filter(([, count]) => count !== 1)
 		.map(([task, count]) => `${task} finished ${count} times`);
 
@@ -35,23 +35,23 @@
 	test.serial(
 		`the owner is killed when it logs ${step}: every task still finishes, none in two places`,
 		async (t) => {
-			const { cluster, client } = await fixtures.startSettled(t, shape);
+			const { cluster, client } = await fixtures.startReady(t, shape);
 			const killed = firstToLog(cluster, step).then((owner) => clusters.kill(owner.process));
 			await client.call('submit', { specJson: JSON.stringify(operate.batch('night', taskCount, 800)) });
 			await killed;
 			await operate.submit(client, operate.batch('night', taskCount, 800));
 			await operate.reached(client, 'press/night', 'finished');
 			client.close();
-			const ran = journal.ranFrom(journal.witnessesOf(cluster));
-			t.deepEqual(journal.faults(ran, clusters.workerCapacity.cores), []);
-			t.snapshot({ finished: Object.keys(journal.finishedCounts(ran)).sort() });
+			const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
+			t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
+			t.snapshot({ finished: Object.keys(journal.successCounts(ran)).sort() });
 		},
 	);
 }
 
 for (const step of ['task.placed', 'task.running', 'task.finished']) {
 	test.serial(`the owner freezes when it logs ${step}, past lease and horizon, and comes back`, async (t) => {
-		const { cluster, client } = await fixtures.startSettled(t, shape);
+		const { cluster, client } = await fixtures.startReady(t, shape);
 		const frozen = firstToLog(cluster, step).then((owner) => {
 			owner.process.child.kill('SIGSTOP');
 			return owner;
@@ -74,15 +74,15 @@
 		);
 		await operate.reached(client, 'press/night', 'finished');
 		client.close();
-		const ran = journal.ranFrom(journal.witnessesOf(cluster));
-		t.deepEqual(journal.faults(ran, clusters.workerCapacity.cores), []);
+		const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
+		t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
 		t.deepEqual(noFinishTwice(ran), []);
-		t.is(Object.keys(journal.finishedCounts(ran)).length, taskCount);
+		t.is(Object.keys(journal.successCounts(ran)).length, taskCount);
 	});
 }
 
 test.serial('a worker is killed and comes back: its tasks resume, each once', async (t) => {
-	const { cluster, client } = await fixtures.startSettled(t, shape);
+	const { cluster, client } = await fixtures.startReady(t, shape);
 	await operate.submit(client, operate.batch('night', taskCount, 3000));
 	const victim = cluster.workers[0];
 	t.truthy(victim);
@@ -96,32 +96,32 @@
 	await cluster.publish(victim.zone);
 	await operate.reached(client, 'press/night', 'finished');
 	client.close();
-	const ran = journal.ranFrom(journal.witnessesOf(cluster, [gone]));
-	t.deepEqual(journal.faults(ran, clusters.workerCapacity.cores), []);
-	t.is(Object.keys(journal.finishedCounts(ran)).length, taskCount);
+	const ran = journal.attemptsFrom(journal.processJournalsOf(cluster, [gone]));
+	t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
+	t.is(Object.keys(journal.successCounts(ran)).length, taskCount);
 	t.true(ran.some((one) => one.how === 'killed'));
 });
 
 test.serial(
 	'a worker is cut off while its tasks run: they stop by their lease before they run elsewhere',
 	async (t) => {
-		const { cluster, client, cuts } = await fixtures.startCuttable(t, shape, (from, to) =>
+		const { cluster, client, linkProxies } = await fixtures.startPartitionable(t, shape, (from, to) =>
 			from === 'scheduler' ? to : undefined,
 		);
 		await operate.submit(client, operate.batch('night', taskCount, 4000));
 		const victim = cluster.workers[0];
 		if (victim === undefined) return;
 		await processes.waitLine(victim.process, (line) => line.journal !== undefined);
-		cuts.get(victim.id)?.set({ kind: 'drop-answers' });
+		linkProxies.get(victim.id)?.set({ kind: 'drop-answers' });
 		await operate.reached(client, 'press/night', 'finished');
-		cuts.get(victim.id)?.set({ kind: 'cut' });
-		cuts.get(victim.id)?.set({ kind: 'pass' });
+		linkProxies.get(victim.id)?.set({ kind: 'cut' });
+		linkProxies.get(victim.id)?.set({ kind: 'pass' });
 		await operate.settled(client);
 		client.close();
-		const ran = journal.ranFrom(journal.witnessesOf(cluster));
-		t.deepEqual(journal.faults(ran, clusters.workerCapacity.cores), []);
+		const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
+		t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
 		t.deepEqual(noFinishTwice(ran), []);
-		t.is(Object.keys(journal.finishedCounts(ran)).length, taskCount);
+		t.is(Object.keys(journal.successCounts(ran)).length, taskCount);
 		t.true(ran.some((one) => one.worker === victim.id && one.how === 'lease lapsed'));
 		const logged = cluster.of('scheduler').flatMap((one) => one.process.lines.map((line) => line.name));
 		t.true(logged.includes('worker.unreachable'));
@@ -129,7 +129,7 @@
 );
 
 test.serial('urgent work evicts batch work, which resumes from its checkpoint exactly once', async (t) => {
-	const { cluster, client } = await fixtures.startSettled(t, shape);
+	const { cluster, client } = await fixtures.startReady(t, shape);
 	const whole = { needs: { cores: 32, memoryMb: 1024 } };
 	await operate.submit(client, operate.batch('long', 3, 3000, whole));
 	await operate.until('the workers full', () =>
@@ -143,9 +143,9 @@
 		(await operate.jobState(client, 'press/long')) === 'finished';
 	await operate.until('both jobs finished', finished);
 	client.close();
-	const ran = journal.ranFrom(journal.witnessesOf(cluster));
-	t.deepEqual(journal.faults(ran, clusters.workerCapacity.cores), []);
-	t.snapshot(journal.finishedCounts(ran));
+	const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
+	t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
+	t.snapshot(journal.successCounts(ran));
 	const evicted = ran.filter((one) => one.how === 'stopped by command');
 	t.is(evicted.length, 1);
 	const resumed = ran.find((one) => one.task === evicted[0]?.task && one.attempt === 2);
--- a/test/shrinking-rooms.test.ts
+++ b/test/shrinking-rooms.test.ts
@@ -20,9 +20,9 @@
 }
 
 test('a start that waited for the store is not sent to a worker whose room has shrunk meanwhile', async (t) => {
-	const made = world.createWorld(() => long);
-	const { clock, fleet: all } = made;
-	const w1 = all.add('w1');
+	const made = world.createEnvironment(() => long);
+	const { clock, fleet } = made;
+	const w1 = fleet.add('w1');
 	let fault: memory.StoreFault = 'none';
 	const owner = await made.takeOver(undefined, () => fault);
 	await clock.pass(1_200);
@@ -30,53 +30,53 @@
 	const record = world.job('job1', [world.step({ milliCores, lasting: true })]);
 	owner.dispatcher.addJob({ ...record, acceptedUnder: 1 });
 	await clock.pass(500);
-	t.is(all.starts.length, 0);
+	t.is(fleet.starts.length, 0);
 	shrink(owner, w1.entry);
-	const w2 = all.add('w2');
+	const w2 = fleet.add('w2');
 	owner.dispatcher.setWorkers([w2.entry], [], false);
 	fault = 'none';
 	await clock.pass(4_000);
 	t.deepEqual(
-		all.starts.map((one) => one.worker),
+		fleet.starts.map((one) => one.worker),
 		['w2'],
 	);
 	owner.dispatcher.close();
 });
 
 test('a start without an answer is not repeated at a worker whose room has shrunk meanwhile', async (t) => {
-	const { made, owner, w1 } = await world.leaveUnanswered(world.step({ milliCores }));
-	const { clock, fleet: all } = made;
+	const { environment, owner, w1 } = await world.leaveStartUnanswered(world.step({ milliCores }));
+	const { clock, fleet } = environment;
 	shrink(owner, w1.entry);
 	w1.fault = 'none';
 	await clock.pass(5_000);
 	t.is(w1.running.size, 0);
-	t.is(all.starts.length, 0);
+	t.is(fleet.starts.length, 0);
 	owner.dispatcher.close();
 });
 
 test('no start is sent by a list of workers that has not been read for long', async (t) => {
-	const made = world.createWorld(() => long);
-	const { clock, fleet: all } = made;
-	all.add('w1');
+	const made = world.createEnvironment(() => long);
+	const { clock, fleet } = made;
+	fleet.add('w1');
 	const owner = await made.takeOver();
 	owner.dispatcher.noteListRead(clock.now());
 	await clock.pass(1_200);
 	await made.submit(owner, world.job('job1', [world.step({ milliCores: 1_000 })]));
 	await clock.pass(3_500);
-	t.is(all.starts.length, 1);
+	t.is(fleet.starts.length, 1);
 	await made.submit(owner, world.job('job2', [world.step({ milliCores: 1_000 })]));
 	await clock.pass(3_000);
-	t.is(all.starts.length, 1);
+	t.is(fleet.starts.length, 1);
 	owner.dispatcher.noteListRead(clock.now());
 	await clock.pass(500);
-	t.is(all.starts.length, 2);
+	t.is(fleet.starts.length, 2);
 	owner.dispatcher.close();
 });
 
 test('a room that is over-full takes nothing more, and what runs there goes on', async (t) => {
-	const made = world.createWorld(() => long);
-	const { clock, fleet: all } = made;
-	const w1 = all.add('w1');
+	const made = world.createEnvironment(() => long);
+	const { clock, fleet } = made;
+	const w1 = fleet.add('w1');
 	const owner = await made.takeOver();
 	await clock.pass(1_200);
 	await made.submit(owner, world.job('job1', [world.step({ milliCores })]));
--- a/test/silent-connections.test.ts
+++ b/test/silent-connections.test.ts
@@ -83,7 +83,7 @@
 	const ids = Array.from({ length: requestsAtOnce }, (_, number) =>
 		(from + number).toString(16).padStart(16, '0'),
 	);
-	await Promise.all(ids.map((id) => real.call(box.callers, 'POST', id, real.body)));
+	await Promise.all(ids.map((id) => real.call(box.callers, 'POST', id, real.jobBody)));
 }
 
 /** Status of a question for a queue's count. */
--- a/test/slow-links.test.ts
+++ b/test/slow-links.test.ts
@@ -59,8 +59,8 @@
 	const [owner, other] = await setUp(t);
 	if (owner === undefined || other === undefined) return;
 	for (const id of ids) t.is((await real.call(other.callers, 'POST', id, burst)).status, 200);
-	await Promise.all(ids.map((id) => real.ended(owner, id)));
-	await Promise.all(ids.map((id) => real.completed(other, id)));
+	await Promise.all(ids.map((id) => real.waitUntilEnded(owner, id)));
+	await Promise.all(ids.map((id) => real.waitUntilCompleted(other, id)));
 	const taken = [owner, other].flatMap((box) => box.lines.filter((line) => line.name === 'owner.taken'));
 	t.deepEqual(
 		taken.map((line) => line.fields.generation),
--- a/test/start-window.test.ts
+++ b/test/start-window.test.ts
@@ -13,7 +13,7 @@
 }
 
 test('a burst of starts over a slow link does not hold up calls to the store', async (t) => {
-	const { clock, fleet, takeOverLinked, submit } = world.createWorld(brief);
+	const { clock, fleet, takeOverLinked, submit } = world.createEnvironment(brief);
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner, link } = await takeOverLinked(bytesPerS);
 	await clock.pass(1_000);
@@ -30,7 +30,7 @@
 });
 
 test('an urgent task that comes while a burst is sent is started before the rest of it', async (t) => {
-	const { clock, fleet, takeOverLinked, submit } = world.createWorld(brief);
+	const { clock, fleet, takeOverLinked, submit } = world.createEnvironment(brief);
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner } = await takeOverLinked(bytesPerS);
 	await clock.pass(1_000);
@@ -47,7 +47,7 @@
 });
 
 test('workers that fall silent in a burst do not hold up starts at the others', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(brief);
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(brief);
 	const added = Array.from({ length: 30 }, (_, number) => fleet.add(`w${String(number)}`));
 	const owner = await takeOver();
 	await clock.pass(1_000);
@@ -61,7 +61,7 @@
 });
 
 test('short tasks are started in an outage of the store beside lasting ones that have to wait for it', async (t) => {
-	const { clock, fleet, takeOver, submit, store } = world.createWorld((task) =>
+	const { clock, fleet, takeOver, submit, store } = world.createEnvironment((task) =>
 		task.startsWith('lasting') ? { ms: 'endless', how: 'done' } : brief(),
 	);
 	for (let number = 1; number <= 40; number += 1) fleet.add(`w${String(number)}`);
@@ -92,7 +92,7 @@
 });
 
 test('starts are not held back for answers that come late however few of them are on their way', async (t) => {
-	const { clock, fleet, takeOverBusy, submit } = world.createWorld(brief);
+	const { clock, fleet, takeOverBusy, submit } = world.createEnvironment(brief);
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner, processor } = await takeOverBusy({ send: 0.1, answer: 0.1 });
 	await clock.pass(1_000);
--- a/test/suspended.test.ts
+++ b/test/suspended.test.ts
@@ -45,7 +45,7 @@
 });
 
 test('an owner that was suspended starts nothing before the store has shown its epoch in force', async (t) => {
-	const made = world.createWorld(() => ({ ms: 1_000, how: 'done' }));
+	const made = world.createEnvironment(() => ({ ms: 1_000, how: 'done' }));
 	const { clock, fleet } = made;
 	fleet.add('w1');
 	let fault: memory.StoreFault = 'none';
@@ -63,7 +63,7 @@
 });
 
 test('an owner that was suspended starts nothing by a list of workers that it read before', async (t) => {
-	const made = world.createWorld(() => ({ ms: 1_000, how: 'done' }));
+	const made = world.createEnvironment(() => ({ ms: 1_000, how: 'done' }));
 	const { clock, fleet } = made;
 	fleet.add('w1');
 	const owner = await made.takeOver();
--- a/test/takeover.test.ts
+++ b/test/takeover.test.ts
@@ -18,7 +18,7 @@
 }
 
 test('inherited work does not wait for a worker that was emptied before it left', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(endless);
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(endless);
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const first = await takeOver();
@@ -42,7 +42,7 @@
 });
 
 test('a lasting task waits only for the worker where it was last started', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(endless);
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(endless);
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const w3 = fleet.add('w3');
@@ -79,7 +79,7 @@
 });
 
 test('an owner takes nothing for lost whose lease its successor may have renewed', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 30_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
 	fleet.add('w1');
 	let isCut = false;
 	const first = await takeOver((worker) => isCut && worker === 'w1');
@@ -104,8 +104,8 @@
 /** A world whose only worker runs a lasting task and has just become silent. */
 async function silentWorld(
 	fault?: () => memory.StoreFault,
-): Promise<world.TestWorld & { owner: world.TestOwner; w1: workers.FakeWorker }> {
-	const made = world.createWorld(endless);
+): Promise<world.TestEnvironment & { owner: world.TestOwner; w1: workers.FakeWorker }> {
+	const made = world.createEnvironment(endless);
 	const w1 = made.fleet.add('w1');
 	const owner = await made.takeOver(undefined, fault);
 	await made.submit(owner, world.job('job1', lasting(1)));
@@ -159,9 +159,9 @@
 
 /** A worker whose last start is on its way for longer than the lease that it brings; it is silent, and another one is there. */
 async function startUnderWay(): Promise<
-	world.TestWorld & { owner: world.TestOwner; w1: workers.FakeWorker }
+	world.TestEnvironment & { owner: world.TestOwner; w1: workers.FakeWorker }
 > {
-	const made = world.createWorld(() => ({ ms: 30_000, how: 'done' }));
+	const made = world.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
 	const { clock, fleet, takeOver, submit } = made;
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
@@ -235,7 +235,7 @@
 });
 
 test('a gang waits as long as any member may run somewhere', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 60_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 60_000, how: 'done' }));
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const first = await takeOver();
@@ -260,7 +260,7 @@
 });
 
 test('a lasting task that was stopped does not wait for the worker where it ran', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(endless);
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(endless);
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
 	await submit(first, world.job('job1', [world.step({ count: 4, milliCores: 8_000, lasting: true })]));
@@ -282,7 +282,7 @@
 
 test('a lasting task is not started on a worker that began to drain while it was being stored', async (t) => {
 	let fault: 'none' | 'down' = 'none';
-	const { clock, fleet, takeOver, submit } = world.createWorld(endless);
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(endless);
 	const w1 = fleet.add('w1');
 	const owner = await takeOver(undefined, () => fault);
 	await clock.pass(1_200);
--- a/test/two-beliefs.test.ts
+++ b/test/two-beliefs.test.ts
@@ -27,11 +27,11 @@
 
 /** A world with an owner and a worker that holds both tasks; `fault`: what the store does to the owner. */
 async function heldWorld(fault?: () => memory.StoreFault): Promise<{
-	made: world.TestWorld;
+	made: world.TestEnvironment;
 	first: world.TestOwner;
 	worker: workers.FakeWorker;
 }> {
-	const made = world.createWorld(long);
+	const made = world.createEnvironment(long);
 	const capacity = { milliCores: 64_000, memoryMb: 128_000, accelerators: 0 };
 	const worker = made.fleet.add(held, { capacity });
 	const first = await made.takeOver(undefined, fault);
@@ -39,17 +39,17 @@
 	return { made, first, worker };
 }
 
-async function submitBoth(made: world.TestWorld, owner: world.TestOwner): Promise<void> {
+async function submitBoth(made: world.TestEnvironment, owner: world.TestOwner): Promise<void> {
 	for (const id of ids) await made.submit(owner, world.job(id, steps));
 }
 
-function addOthers(made: world.TestWorld): void {
+function addOthers(made: world.TestEnvironment): void {
 	made.fleet.add('w1');
 	made.fleet.add('w2');
 }
 
 /** Lets time pass, and looks for tasks with two runs at once all the while. */
-async function watchRuns(t: Check, made: world.TestWorld, ms: number): Promise<void> {
+async function watchRuns(t: Check, made: world.TestEnvironment, ms: number): Promise<void> {
 	for (let passed = 0; passed < ms; passed += 10) {
 		await made.clock.pass(10);
 		t.deepEqual(made.fleet.doubled(), []);
@@ -193,7 +193,7 @@
 	await other.logged((line) => line.name === 'takeover.settled');
 	// Its tasks are placed in the same round as what is free at that time, or in a later one.
 	t.is((await real.call(other.callers, 'POST', shortJob, body)).status, 200);
-	await real.completed(other, shortJob);
+	await real.waitUntilCompleted(other, shortJob);
 	t.deepEqual(
 		starts.map((one) => [one.task, one.epoch]),
 		[
--- a/test/unnoted-ends.test.ts
+++ b/test/unnoted-ends.test.ts
@@ -50,7 +50,7 @@
 	test(`ends are taken note of while each report brings new ones and a write takes ${String(writeMs)} ms`, async (t) => {
 		let now = (): number => 0;
 		const ends = EndTimes.create(() => now());
-		const made = world.createWorld(() => ({ ms: 200, how: 'done' }), ends.journal);
+		const made = world.createEnvironment(() => ({ ms: 200, how: 'done' }), ends.journal);
 		now = () => made.clock.now();
 		made.fleet.add('w1', {}, 1);
 		const owner = await made.takeOver();
@@ -70,7 +70,7 @@
 test('ends are taken note of while reports wait for the processor of a full owner', async (t) => {
 	let now = (): number => 0;
 	const ends = EndTimes.create(() => now());
-	const made = world.createWorld(() => ({ ms: 200, how: 'done' }), ends.journal);
+	const made = world.createEnvironment(() => ({ ms: 200, how: 'done' }), ends.journal);
 	now = () => made.clock.now();
 	const { fleet, store, clock } = made;
 	fleet.add('w1', {}, 1);
@@ -92,7 +92,7 @@
 test('ends are taken note of on a worker that answers no stops while the start of a lost run is in doubt there', async (t) => {
 	let now = (): number => 0;
 	const ends = EndTimes.create(() => now());
-	const made = world.createWorld(() => ({ ms: 'endless', how: 'done' }), ends.journal);
+	const made = world.createEnvironment(() => ({ ms: 'endless', how: 'done' }), ends.journal);
 	now = () => made.clock.now();
 	const { clock, fleet, submit } = made;
 	const w1 = fleet.add('w1', {}, 1);
@@ -120,14 +120,14 @@
 	});
 	const box = await start('entry-1');
 	await box.logged((line) => line.name === 'owner.taken');
-	await real.call(box.callers, 'POST', '00000000000000ff', real.body);
-	await real.completed(box, '00000000000000ff');
+	await real.call(box.callers, 'POST', '00000000000000ff', real.jobBody);
+	await real.waitUntilCompleted(box, '00000000000000ff');
 	platform.store.writeMs = 300;
 	const until = performance.now() + 5_000;
 	const replies: Promise<real.Reply>[] = [];
 	while (performance.now() < until) {
 		const id = replies.length.toString(16).padStart(16, '0');
-		replies.push(real.call(box.callers, 'POST', id, real.body));
+		replies.push(real.call(box.callers, 'POST', id, real.jobBody));
 		await new Promise((resolve) => setTimeout(resolve, jobGapMs));
 	}
 	const overdue = ends.overdue(2 * platform.store.writeMs + reportMs);
--- a/test/unstored-progress.test.ts
+++ b/test/unstored-progress.test.ts
@@ -121,7 +121,7 @@
 });
 
 test('an end that reports list again and again while it is being stored is stored once', async (t) => {
-	const { clock, store, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 300, how: 'done' }));
+	const { clock, store, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 300, how: 'done' }));
 	fleet.add('w1', {}, 1);
 	const owner = await takeOver();
 	await submit(owner, world.job('job1', [world.step()]));
--- a/test/unworkable-jobs.test.ts
+++ b/test/unworkable-jobs.test.ts
@@ -23,7 +23,7 @@
 
 for (const [title, value] of unworkable)
 	test(`owners go on beside a stored job of ${title}`, async (t) => {
-		const made = world.createWorld(() => brief);
+		const made = world.createEnvironment(() => brief);
 		made.fleet.add('w1');
 		const first = await made.takeOver();
 		await made.clock.pass(1_000);
@@ -41,7 +41,7 @@
 	});
 
 test('owners go on beside a job of which the progress is unreadable, and do not run it anew', async (t) => {
-	const made = world.createWorld(() => brief);
+	const made = world.createEnvironment(() => brief);
 	made.fleet.add('w1');
 	const first = await made.takeOver();
 	await made.submit(first, world.job('bad', [world.step()]));
--- a/test/upkeep.test.ts
+++ b/test/upkeep.test.ts
@@ -104,7 +104,7 @@
 		fleet: workers,
 		takeOver,
 		submit,
-	} = world.createWorld(() => ({ ms: 'endless', how: 'done' }));
+	} = world.createEnvironment(() => ({ ms: 'endless', how: 'done' }));
 	const w1 = workers.add('w1');
 	const owner = await takeOver();
 	await submit(owner, world.job('free', [world.step({ lasting: true })]));
@@ -120,7 +120,12 @@
 });
 
 test('a gang starts whole, under one run number, or not at all', async (t) => {
-	const { clock, fleet: workers, takeOver, submit } = world.createWorld(() => ({ ms: 400, how: 'done' }));
+	const {
+		clock,
+		fleet: workers,
+		takeOver,
+		submit,
+	} = world.createEnvironment(() => ({ ms: 400, how: 'done' }));
 	workers.add('w1');
 	const owner = await takeOver();
 	await submit(owner, world.job('gang', [world.step({ count: 4, milliCores: 10_000, gang: true })]));
--- a/test/waiting-log.test.ts
+++ b/test/waiting-log.test.ts
@@ -3,7 +3,7 @@
 import * as world from './fixtures/dispatching.js';
 
 test('a step that waits is logged once for each reason, with what stands in its way', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 6_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 6_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await submit(owner, world.job('first', [world.step({ milliCores: 32_000 })]));
@@ -17,7 +17,7 @@
 });
 
 test('a takeover names the workers that it waits for, once a second', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 6_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 6_000, how: 'done' }));
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const first = await takeOver();
@@ -35,7 +35,7 @@
 });
 
 test('a step that goes on waiting is told of every few seconds, with why its workers are closed', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 'endless', how: 'done' }));
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 'endless', how: 'done' }));
 	fleet.add('w1');
 	const w2 = fleet.add('w2', { draining: true, remainingMs: 60_000 });
 	const owner = await takeOver();
@@ -49,7 +49,7 @@
 });
 
 test('ends that a worker has forgotten unread are told of', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 100, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 100, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await submit(owner, world.job('first', [world.step()]));
--- a/test/worker-entries.test.ts
+++ b/test/worker-entries.test.ts
@@ -90,20 +90,20 @@
 	const box = await start('entry-1');
 	const first = '00000000000000a1';
 	const second = '00000000000000a2';
-	await real.call(box.callers, 'POST', first, real.body);
+	await real.call(box.callers, 'POST', first, real.jobBody);
 	await box.logged((line) => line.name === 'task.placed');
 	const entry = platform.store.keys().find((key) => key.startsWith('servers/')) ?? '';
 	const before = await platform.store.view().get(entry);
 	platform.store.put(entry, Buffer.from([0xff]));
 	await box.logged((line) => line.name === 'wire.rejected');
-	await real.call(box.callers, 'POST', second, real.body);
-	void real.ended(box, first).then(endFirst);
+	await real.call(box.callers, 'POST', second, real.jobBody);
+	void real.waitUntilEnded(box, first).then(endFirst);
 	await firstEnds;
 	const placed = box.lines.filter((line) => line.name === 'task.placed');
 	t.true(placed.every((line) => String(line.fields.task).startsWith(first)));
 	t.is(box.lines.filter((line) => line.name === 'worker.lost').length, 0);
 	platform.store.put(entry, before.ok && before.value !== undefined ? before.value.value : new Uint8Array(0));
-	await real.ended(box, second);
+	await real.waitUntilEnded(box, second);
 	t.is(box.lines.filter((line) => line.name === 'wire.rejected').length, 1);
 });
 
--- a/test/worker-silence.test.ts
+++ b/test/worker-silence.test.ts
@@ -42,7 +42,7 @@
 });
 
 test('a worker that refuses questions is not asked again and again without a pause', async (t) => {
-	const { clock, fleet, takeOver } = world.createWorld(() => ({ ms: 100, how: 'done' }));
+	const { clock, fleet, takeOver } = world.createEnvironment(() => ({ ms: 100, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	let asked = 0;
