--- a/test/peer-links.test.ts
+++ b/test/peer-links.test.ts
@@ -6,8 +6,8 @@
 import * as wire from '../src/core/wire/frames-only.js';
 
 /** A peer that answers `quick` at once, and all else when it is told to. */
-async function slowPeer(): Promise<{ server: wire.PeerServer<string>; answerAll: () => void }> {
-	const waiting: (() => void)[] = [];
+async function startSlowPeer(): Promise<{ server: wire.PeerServer<string>; answerAll: () => void }> {
+	const pendingAnswers: (() => void)[] = [];
 	const log = events.EventLog.create('peer', time.VirtualClock.create());
 	const server = await wire.PeerServer.create(
 		'127.0.0.1',
@@ -15,20 +15,20 @@
 		log,
 		(body) => results.ok(String(body)),
 		async (req) => {
-			if (req !== 'quick') await new Promise<void>((resolve) => waiting.push(resolve));
+			if (req !== 'quick') await new Promise<void>((resolve) => pendingAnswers.push(resolve));
 			return results.ok(req);
 		},
 	);
 	return {
 		server,
 		answerAll: () => {
-			for (const answer of waiting) answer();
+			for (const answer of pendingAnswers) answer();
 		},
 	};
 }
 
 test('a call that gets no reply in time leaves the others on its connection alone', async (t) => {
-	const { server, answerAll } = await slowPeer();
+	const { server, answerAll } = await startSlowPeer();
 	const clock = time.VirtualClock.create();
 	const client = wire.PeerClient.create<string>(clock, events.EventLog.create('client', clock));
 	t.deepEqual(await client.call(server.address, 'quick', 500), results.ok(results.ok('quick')));
@@ -46,7 +46,7 @@
 });
 
 test('a connection on which nothing comes any more is opened anew', async (t) => {
-	const { server } = await slowPeer();
+	const { server } = await startSlowPeer();
 	const clock = time.VirtualClock.create();
 	const client = wire.PeerClient.create<string>(clock, events.EventLog.create('client', clock));
 	await client.call(server.address, 'quick', 500);
--- a/test/placer.test.ts
+++ b/test/placer.test.ts
@@ -13,9 +13,9 @@
 const epoch = 1;
 
 /** A placer without workers, on which each look at the workers takes so long. */
-function slowPlacer(
+function createSlowPlacer(
 	clock: time.VirtualClock,
-	lookMs: number,
+	scanMs: number,
 ): { placer: placer.Placer; spentMs: () => number } {
 	let spentMs = 0;
 	const created = placer.Placer.create({
@@ -33,8 +33,8 @@
 		confirmEpoch: () => Promise.resolve(),
 		onFenced: () => undefined,
 		workers: () => {
-			clock.spend(lookMs);
-			spentMs += lookMs;
+			clock.spend(scanMs);
+			spentMs += scanMs;
 			return [];
 		},
 		mayHaveUnreportedRun: () => false,
@@ -59,19 +59,19 @@
 
 test('rounds of short tasks that find no room leave most of the processor to all else', async (t) => {
 	const clock = time.VirtualClock.create();
-	const slow = slowPlacer(clock, 20);
+	const slowPlacer = createSlowPlacer(clock, 20);
 	const record = fixtures.job('short', [fixtures.step({ count: 5 })]);
-	const start = { cancelled: false, inherited: false, workersStored: true, now: clock.now(), age: 0 };
-	const job = jobs.ActiveJob.create(record, undefined, start);
-	for (const task of job.openNextOccurrence(clock.now())) slow.placer.add(task);
+	const options = { cancelled: false, inherited: false, workersStored: true, now: clock.now(), age: 0 };
+	const job = jobs.ActiveJob.create(record, undefined, options);
+	for (const task of job.openNextOccurrence(clock.now())) slowPlacer.placer.add(task);
 	const from = clock.now();
 	// Reports come all the time, and each wakes the placer.
 	while (clock.now() - from < 5_000) {
-		slow.placer.requestRound();
+		slowPlacer.placer.requestRound();
 		await clock.pass(5);
 	}
-	const part = slow.spentMs() / (clock.now() - from);
-	t.true(part > 0.1, 'rounds were played');
-	t.true(part < 0.7, `rounds took ${part.toFixed(2)} of the time`);
-	slow.placer.close();
+	const fraction = slowPlacer.spentMs() / (clock.now() - from);
+	t.true(fraction > 0.1, 'rounds were played');
+	t.true(fraction < 0.7, `rounds took ${fraction.toFixed(2)} of the time`);
+	slowPlacer.placer.close();
 });
--- a/test/platform-failures.test.ts
+++ b/test/platform-failures.test.ts
@@ -6,7 +6,7 @@
 import * as journal from './fixtures/journal.js';
 import * as operate from '../dev/operate.js';
 
-const shape: clusters.ClusterOptions = {
+const clusterOptions: clusters.ClusterOptions = {
 	zones: ['rennes'],
 	entriesPerZone: 1,
 	schedulersPerZone: 2,
@@ -18,30 +18,30 @@
 /** Milliseconds of the outages: ten times the schedulers' lease of members, past the renewal horizon of the tests. */
 const outageMs = 8_000;
 
-const tasks = 12;
+const taskCount = 12;
 
-function judge(
+function checkRuns(
 	t: { deepEqual: (a: unknown, b: unknown) => boolean; is: (a: unknown, b: unknown) => boolean },
 	cluster: clusters.Cluster,
 ): void {
-	const all = journal.attemptsFrom(journal.processJournalsOf(cluster));
-	t.deepEqual(journal.findViolations(all, clusters.workerCapacity.cores), []);
-	const counts = journal.successCounts(all.filter((one) => one.task.startsWith('press/night/')));
-	t.is(Object.keys(counts).length, tasks);
+	const allRuns = journal.attemptsFrom(journal.processJournalsOf(cluster));
+	t.deepEqual(journal.findViolations(allRuns, clusters.workerCapacity.cores), []);
+	const counts = journal.successCounts(allRuns.filter((one) => one.task.startsWith('press/night/')));
+	t.is(Object.keys(counts).length, taskCount);
 	t.deepEqual(
 		Object.entries(counts).filter(([, count]) => count !== 1),
 		[],
 	);
 }
 
-const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
 /** What callers of an entry box get who ask one after another until then, in wall milliseconds. */
 async function statusesUntil(entry: clusters.Program, endAt: number): Promise<number[]> {
 	const statuses: number[] = [];
 	while (Date.now() < endAt) {
 		statuses.push((await callers.sendRequest(entry, { body: Buffer.from('proof') })).status);
-		await pause(50);
+		await sleep(50);
 	}
 	return statuses;
 }
@@ -49,8 +49,8 @@
 test.serial(
 	'the platform is down: callers are served, operators told the truth, tasks resume once',
 	async (t) => {
-		const { cluster, client } = await fixtures.startReady(t, shape);
-		await operate.submit(client, operate.batch('night', tasks, 4000));
+		const { cluster, client } = await fixtures.startReady(t, clusterOptions);
+		await operate.submit(client, operate.batch('night', taskCount, 4000));
 		const [entry] = cluster.of('entry');
 		if (entry === undefined) return;
 		await callers.waitUntilReady(entry);
@@ -84,44 +84,44 @@
 			t.true(config.ok && config.value.history.every((change) => change.by !== 'test'));
 		}
 		client.close();
-		judge(t, cluster);
+		checkRuns(t, cluster);
 	},
 );
 
 test.serial('every second answer of the platform is lost after the write took effect', async (t) => {
-	const { cluster, client } = await fixtures.startReady(t, shape);
+	const { cluster, client } = await fixtures.startReady(t, clusterOptions);
 	const epoch = async (): Promise<number> => {
 		const status = await client.call('status', { team: '' });
 		return status.ok ? (status.value.shards[0]?.epoch ?? 0) : 0;
 	};
 	const before = await epoch();
 	await cluster.platformFault({ dropAnswerEvery: 2 });
-	await operate.submit(client, operate.batch('night', tasks, 500));
+	await operate.submit(client, operate.batch('night', taskCount, 500));
 	await operate.reached(client, 'press/night', 'finished');
 	// Reading back settles each append: no owner gives up the shard for a lost answer.
 	t.is(await epoch(), before);
-	const again = await operate.submit(client, operate.batch('night', tasks, 500));
+	const again = await operate.submit(client, operate.batch('night', taskCount, 500));
 	t.deepEqual(
 		again.parts.map((part) => part.created),
 		[false],
 	);
 	client.close();
-	judge(t, cluster);
+	checkRuns(t, cluster);
 });
 
 test.serial('the platform answers after 2 s: the job still finishes, nothing runs twice', async (t) => {
-	const { cluster, client } = await fixtures.startReady(t, shape);
+	const { cluster, client } = await fixtures.startReady(t, clusterOptions);
 	await cluster.platformFault({ writeMs: 2000, readMs: 500 });
-	await client.call('submit', { specJson: JSON.stringify(operate.batch('night', tasks, 500)) }, 20_000);
+	await client.call('submit', { specJson: JSON.stringify(operate.batch('night', taskCount, 500)) }, 20_000);
 	await operate.reached(client, 'press/night', 'finished', 60_000);
 	client.close();
-	judge(t, cluster);
+	checkRuns(t, cluster);
 });
 
 test.serial(
 	'watches stall without a word: a change is in force everywhere within 4 s all the same',
 	async (t) => {
-		const { cluster, client } = await fixtures.startReady(t, { ...shape, schedulersPerZone: 1 });
+		const { cluster, client } = await fixtures.startReady(t, { ...clusterOptions, schedulersPerZone: 1 });
 		await cluster.platformFault({ stallWatches: true });
 		const from = Date.now();
 		const set = await client.call('setConfig', {
@@ -146,26 +146,26 @@
 		const zones = ['rennes', 'brest'];
 		const { cluster, client, linkProxies } = await fixtures.startPartitionable(
 			t,
-			{ ...shape, zones, schedulersPerZone: 1, workersPerZone: 2 },
+			{ ...clusterOptions, zones, schedulersPerZone: 1, workersPerZone: 2 },
 			(from, to) => (to === 'platform' ? from : undefined),
 		);
-		await operate.submit(client, operate.batch('night', tasks, 4000, { zones: ['brest'] }));
+		await operate.submit(client, operate.batch('night', taskCount, 4000, { zones: ['brest'] }));
 		await operate.submit(client, { ...operate.batch('web', 2, 0), kind: 'service', run: {} });
 		const brest = cluster.of('entry', 'brest')[0];
 		const rennes = cluster.of('entry', 'rennes')[0];
 		if (brest === undefined || rennes === undefined) return;
 		await Promise.all([brest, rennes].map(callers.waitUntilReady));
 		// Brest loses the platform; rennes is frozen whole, which to brest is a cut as well.
-		const ofRennes = [...cluster.programs, ...cluster.backends, ...cluster.workers].filter(
+		const rennesProcesses = [...cluster.programs, ...cluster.backends, ...cluster.workers].filter(
 			(one) => one.zone === 'rennes',
 		);
 		for (const program of cluster.of('entry', 'brest').concat(cluster.of('scheduler', 'brest')))
 			linkProxies.get(program.box)?.set({ kind: 'cut' });
-		for (const one of ofRennes) one.process.child.kill('SIGSTOP');
+		for (const one of rennesProcesses) one.process.child.kill('SIGSTOP');
 		const cutAt = Date.now();
 		const statuses = await statusesUntil(brest, cutAt + outageMs);
 		t.true(statuses.every((status) => status === 200));
-		for (const one of ofRennes) one.process.child.kill('SIGCONT');
+		for (const one of rennesProcesses) one.process.child.kill('SIGCONT');
 		for (const proxy of linkProxies.values()) proxy.set({ kind: 'pass' });
 		t.is((await callers.sendRequest(rennes, { body: Buffer.from('proof') })).status, 200);
 		await operate.reached(client, 'press/night', 'finished', 60_000);
@@ -175,6 +175,6 @@
 		const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
 		const batch = ran.filter((one) => one.task.startsWith('press/night'));
 		t.deepEqual(journal.findViolations(batch, clusters.workerCapacity.cores), []);
-		t.is(Object.keys(journal.successCounts(batch)).length, tasks);
+		t.is(Object.keys(journal.successCounts(batch)).length, taskCount);
 	},
 );
--- a/test/progress-saver.test.ts
+++ b/test/progress-saver.test.ts
@@ -11,23 +11,23 @@
 test('the end of a job is stored with the next write, however many others have changed before', async (t) => {
 	const clock = time.VirtualClock.create();
 	const storedAt = new Map<string, number>();
-	const progress = fixtures.createSaver(clock, async (batch) => {
+	const progressSaver = fixtures.createSaver(clock, async (batch) => {
 		await new Promise<void>((resolve) => clock.after(writeMs, resolve));
 		for (const id of batch.keys()) storedAt.set(id, clock.now());
 		return 'committed';
 	});
 	const running = fixtures.createJobs(120, clock.now());
-	for (const job of running) progress.mark(job);
+	for (const job of running) progressSaver.mark(job);
 	await clock.pass(100);
 	const ending = fixtures.createJob('ending', clock.now());
 	ending.state = 'completed';
 	const endedAt = clock.now();
-	progress.mark(ending);
+	progressSaver.mark(ending);
 	await clock.pass(10_000);
 	const waitedMs = (storedAt.get('ending') ?? Infinity) - endedAt;
 	t.true(waitedMs <= 2 * (writeMs + 25), `it was stored after ${String(waitedMs)} ms`);
 	t.is(storedAt.size, 121);
-	progress.close();
+	progressSaver.close();
 });
 
 test('a batch holds what is waited for first, then what has been changed for longest', (t) => {
@@ -50,7 +50,7 @@
 	const clock = time.VirtualClock.create();
 	const stored = new Set<string>();
 	const refused: string[] = [];
-	const progress = fixtures.createSaver(
+	const progressSaver = fixtures.createSaver(
 		clock,
 		async (batch) => {
 			await new Promise<void>((resolve) => clock.after(4, resolve));
@@ -61,62 +61,62 @@
 		(job) => refused.push(job.id),
 	);
 	for (let number = 0; number < 40; number += 1)
-		progress.mark(fixtures.createJob(`job${String(number)}`, clock.now()), number % 3 === 1);
+		progressSaver.mark(fixtures.createJob(`job${String(number)}`, clock.now()), number % 3 === 1);
 	await clock.pass(1_000);
 	t.is(stored.size, 39);
 	t.deepEqual(refused, ['job7']);
 	await clock.pass(5_000);
 	t.deepEqual(refused, ['job7', 'job7']);
-	progress.close();
+	progressSaver.close();
 });
 
 test('a hundred changed jobs are stored while the report that told of them is recent', async (t) => {
 	const clock = time.VirtualClock.create();
-	let writing = 0;
-	const underWay = new Set<string>();
-	const progress = fixtures.createSaver(clock, async (batch) => {
-		writing += 1;
-		t.true(writing <= 3);
+	let writesInFlight = 0;
+	const jobsBeingWritten = new Set<string>();
+	const progressSaver = fixtures.createSaver(clock, async (batch) => {
+		writesInFlight += 1;
+		t.true(writesInFlight <= 3);
 		for (const id of batch.keys()) {
-			t.false(underWay.has(id));
-			underWay.add(id);
+			t.false(jobsBeingWritten.has(id));
+			jobsBeingWritten.add(id);
 		}
 		await new Promise<void>((resolve) => clock.after(40, resolve));
-		for (const id of batch.keys()) underWay.delete(id);
-		writing -= 1;
+		for (const id of batch.keys()) jobsBeingWritten.delete(id);
+		writesInFlight -= 1;
 		return 'committed';
 	});
 	const changed = fixtures.createJobs(100, clock.now());
-	for (const job of changed) progress.mark(job);
+	for (const job of changed) progressSaver.mark(job);
 	const beganAt = clock.now();
 	let storedAt = Infinity;
-	void progress.whenStored(changed).then(() => (storedAt = clock.now()));
+	void progressSaver.whenStored(changed).then(() => (storedAt = clock.now()));
 	for (let round = 0; round < 100; round += 1) {
-		progress.mark(changed[round] ?? fixtures.createJob('none', 0));
+		progressSaver.mark(changed[round] ?? fixtures.createJob('none', 0));
 		await clock.pass(10);
 	}
 	t.true(storedAt - beganAt <= settings.acknowledgeWithinMs, `${String(storedAt - beganAt)} ms`);
-	progress.close();
+	progressSaver.close();
 });
 
 test('a change made while its job is written is stored by a later write', async (t) => {
 	const clock = time.VirtualClock.create();
 	const saved: string[] = [];
-	const progress = fixtures.createSaver(clock, async (batch) => {
+	const progressSaver = fixtures.createSaver(clock, async (batch) => {
 		await new Promise<void>((resolve) => clock.after(100, resolve));
 		saved.push(...[...batch].map(([id, { state }]) => `${id} ${state}`));
 		return 'committed';
 	});
 	const job = fixtures.createJob('job1', clock.now());
-	progress.mark(job);
+	progressSaver.mark(job);
 	await clock.pass(60);
 	job.state = 'completed';
-	progress.mark(job);
+	progressSaver.mark(job);
 	let isStored = false;
-	void progress.whenStored([job]).then(() => (isStored = true));
+	void progressSaver.whenStored([job]).then(() => (isStored = true));
 	await clock.pass(100);
 	t.deepEqual([saved, isStored], [['job1 pending'], false]);
 	await clock.pass(150);
 	t.deepEqual([saved, isStored], [['job1 pending', 'job1 completed'], true]);
-	progress.close();
+	progressSaver.close();
 });
--- a/test/record-follower.test.ts
+++ b/test/record-follower.test.ts
@@ -27,7 +27,7 @@
 	const view = store.view();
 	const calls: string[] = [];
 	const seen: string[] = [];
-	const watched: platform.RecordStore = {
+	const observedStore: platform.RecordStore = {
 		...view,
 		list: (prefix) => {
 			calls.push('list');
@@ -40,7 +40,7 @@
 	};
 	store.put('op/config', Buffer.from('1'));
 	followers.RecordFollower.create({
-		store: watched,
+		store: observedStore,
 		clock,
 		prefix: 'op/',
 		waitMs: 500,
@@ -54,12 +54,12 @@
 }
 
 test('a wait without an answer is followed by a list, which holds only the newest', async (t) => {
-	let isLost = true;
-	const { clock, store, calls, seen } = setUp(true, () => (isLost ? unanswered : undefined));
+	let isAnswerLost = true;
+	const { clock, store, calls, seen } = setUp(true, () => (isAnswerLost ? unanswered : undefined));
 	await clock.pass(5);
 	for (const version of ['2', '3', '4']) store.put('op/config', Buffer.from(version));
 	await clock.pass(300);
-	isLost = false;
+	isAnswerLost = false;
 	await clock.pass(600);
 	t.deepEqual(calls.slice(0, 3), ['list', 'follow', 'list']);
 	t.deepEqual(seen.slice(0, 2), ['1', '4']);
--- a/test/renewed-by-successor.test.ts
+++ b/test/renewed-by-successor.test.ts
@@ -3,14 +3,15 @@
  * both of the second on two others, at one instant, just when the store turns the second away and a third is in office.
  */
 import test from 'ava';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 
 test('an owner that the store turns away starts nothing whose lease the third one renews', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
-	for (const id of ['job1', 'job2']) await submit(first, world.job(id, [world.step({ milliCores: 10_000 })]));
+	for (const id of ['job1', 'job2'])
+		await submit(first, fixtures.job(id, [fixtures.step({ milliCores: 10_000 })]));
 	await clock.pass(1_000);
 	t.is(w1.running.size, 2);
 	first.dispatcher.close();
--- a/test/requests.test.ts
+++ b/test/requests.test.ts
@@ -5,7 +5,7 @@
 import * as operate from '../dev/operate.js';
 import * as processes from '../dev/processes.js';
 
-const shape: clusters.ClusterOptions = {
+const clusterOptions: clusters.ClusterOptions = {
 	zones: ['rennes'],
 	entriesPerZone: 2,
 	schedulersPerZone: 1,
@@ -15,9 +15,9 @@
 };
 
 const callerCount = 200;
-const largestBody = 1024 * 1024;
+const maxBodyBytes = 1024 * 1024;
 
-function only<T>(items: T[]): [T, T] {
+function firstTwo<T>(items: T[]): [T, T] {
 	const [first, second] = items;
 	if (first === undefined || second === undefined) throw new Error('two expected');
 	return [first, second];
@@ -27,7 +27,7 @@
 	t: { teardown: (fn: () => Promise<void>) => void },
 	extra: Partial<clusters.ClusterOptions> = {},
 ): Promise<clusters.Cluster> {
-	const cluster = await clusters.Cluster.create({ ...shape, ...extra });
+	const cluster = await clusters.Cluster.create({ ...clusterOptions, ...extra });
 	t.teardown(() => cluster.close());
 	await Promise.all(cluster.of('entry').map(callers.waitUntilReady));
 	return cluster;
@@ -37,26 +37,29 @@
 	'200 callers at once with distinct bodies of up to 1 MB each get their own answer whole',
 	async (t) => {
 		const cluster = await start(t);
-		const [first, second] = only(cluster.of('entry'));
-		const asked = Array.from({ length: callerCount }, async (_, index) => {
-			const size = Math.round((largestBody * (index + 1)) / callerCount);
+		const [first, second] = firstTwo(cluster.of('entry'));
+		const wholeAnswers = Array.from({ length: callerCount }, async (_, index) => {
+			const size = Math.round((maxBodyBytes * (index + 1)) / callerCount);
 			const body = callers.seededBytes(`caller ${index}`, size);
 			const id = `caller-${index}`;
 			const headers = { 'x-request-id': id, 'x-woodcross-deadline-ms': '60000' };
 			const entry = index % 2 === 0 ? first : second;
-			let got = await callers.sendRequest(entry, { body, headers });
+			let response = await callers.sendRequest(entry, { body, headers });
 			// More callers than slots and queue hold are told that they were not run, and come back when told to.
-			while (got.problem?.notRun === true && got.problem.type === 'urn:woodcross:error:Overloaded') {
-				const wait = got.problem.retryAfterMs;
+			while (
+				response.problem?.notRun === true &&
+				response.problem.type === 'urn:woodcross:error:Overloaded'
+			) {
+				const wait = response.problem.retryAfterMs;
 				await new Promise((resolve) => setTimeout(resolve, wait));
-				got = await callers.sendRequest(entry, { body, headers });
+				response = await callers.sendRequest(entry, { body, headers });
 			}
-			if (got.status !== 200)
-				t.log(`${id}: ${got.status} ${got.problem?.type ?? ''} ${got.problem?.detail ?? ''}`);
-			return got.status === 200 && got.body.equals(body) && got.headers['x-request-id'] === id;
+			if (response.status !== 200)
+				t.log(`${id}: ${response.status} ${response.problem?.type ?? ''} ${response.problem?.detail ?? ''}`);
+			return response.status === 200 && response.body.equals(body) && response.headers['x-request-id'] === id;
 		});
-		const whole = (await Promise.all(asked)).filter(Boolean).length;
-		t.is(whole, callerCount);
+		const wholeCount = (await Promise.all(wholeAnswers)).filter(Boolean).length;
+		t.is(wholeCount, callerCount);
 		// "Not run" was true: whatever was refused and repeated, each caller's request ran once.
 		const runs = await callers.allBackendRuns(cluster);
 		t.is(runs.filter((run) => run.id.startsWith('caller-')).length, callerCount);
@@ -73,7 +76,7 @@
 		`a backend server breaks off ${point} its answer: never a short answer, never a false "not run"`,
 		async (t) => {
 			const cluster = await start(t);
-			const [entry] = only(cluster.of('entry'));
+			const [entry] = firstTwo(cluster.of('entry'));
 			const breakAll = { breakNext: point, breakCount: 1 };
 			await Promise.all(cluster.backends.map((box) => clusters.post(box.address, '/fault', breakAll)));
 			const headers = { 'x-request-id': 'one-booking' };
@@ -102,7 +105,7 @@
 	'a large answer that breaks off ends the connection: the caller never takes it for whole',
 	async (t) => {
 		const cluster = await start(t);
-		const [entry] = only(cluster.of('entry'));
+		const [entry] = firstTwo(cluster.of('entry'));
 		const whole = await callers.sendRequest(entry, { path: '/proof?size=3000000', body: Buffer.from('a') });
 		t.is(whole.body.length, 3_000_000);
 		await Promise.all(
@@ -119,7 +122,7 @@
 	'a keyed request runs at most once, whatever the caller repeats through other boxes',
 	async (t) => {
 		const cluster = await start(t);
-		const [first, second] = only(cluster.of('entry'));
+		const [first, second] = firstTwo(cluster.of('entry'));
 		const client = operate.operatorOf(cluster);
 		await operate.settled(client);
 		client.close();
@@ -130,12 +133,12 @@
 		});
 
 		// The same key at the same time through both boxes, many times.
-		const together = await Promise.all(
+		const concurrent = await Promise.all(
 			Array.from({ length: 10 }, (_, index) =>
 				callers.sendRequest(index % 2 === 0 ? first : second, { body, headers: headersOf('k1') }),
 			),
 		);
-		t.true(together.every((got) => got.status === 200 && got.body.equals(body)));
+		t.true(concurrent.every((response) => response.status === 200 && response.body.equals(body)));
 
 		// The backend server runs it and the answer is lost; the caller repeats it elsewhere.
 		await Promise.all(
@@ -145,9 +148,9 @@
 		);
 		const lost = await callers.sendRequest(first, { body, headers: headersOf('k2') });
 		t.true(lost.problem?.mayHaveRun);
-		const again = await callers.sendRequest(second, { body, headers: headersOf('k2') });
-		t.true(again.problem?.mayHaveRun);
-		t.is(again.problem?.type, 'urn:woodcross:error:MayHaveRun');
+		const repeatedElsewhere = await callers.sendRequest(second, { body, headers: headersOf('k2') });
+		t.true(repeatedElsewhere.problem?.mayHaveRun);
+		t.is(repeatedElsewhere.problem?.type, 'urn:woodcross:error:MayHaveRun');
 
 		// Another request under a used key.
 		const other = await callers.sendRequest(second, {
@@ -161,12 +164,12 @@
 		await Promise.all(
 			cluster.backends.map((box) => clusters.post(box.address, '/fault', { serviceMs: 300 })),
 		);
-		const dying = callers.sendRequest(first, { body, headers: headersOf('k3') });
+		const interrupted = callers.sendRequest(first, { body, headers: headersOf('k3') });
 		await operate.until('the request running', () =>
 			callers.backendRuns(cluster).some((run) => run.key === 'k3'),
 		);
 		await clusters.kill(first.process);
-		t.is((await dying).status, 0);
+		t.is((await interrupted).status, 0);
 		const repeated = await callers.sendRequest(second, { body, headers: headersOf('k3') });
 		t.true(repeated.problem?.mayHaveRun);
 
@@ -180,16 +183,16 @@
 	'the platform is out: keyed requests are told "not run" and are not, others are served',
 	async (t) => {
 		const cluster = await start(t);
-		const [entry] = only(cluster.of('entry'));
+		const [entry] = firstTwo(cluster.of('entry'));
 		const client = operate.operatorOf(cluster);
 		await operate.settled(client);
 		await cluster.platformFault({ down: true });
 		const headers = { 'idempotency-key': 'k9', 'x-woodcross-deadline-ms': '8000' };
-		const [keyed, plain] = await Promise.all([
+		const [keyed, unkeyed] = await Promise.all([
 			callers.sendRequest(entry, { body: Buffer.from('book'), headers }),
 			callers.sendRequest(entry, { body: Buffer.from('proof') }),
 		]);
-		t.is(plain.status, 200);
+		t.is(unkeyed.status, 200);
 		t.is(keyed.status, 503);
 		t.true(keyed.problem?.notRun);
 		t.truthy(keyed.headers['retry-after']);
@@ -208,7 +211,7 @@
 	'a leaving backend server gets no new request 3 s after the mark, and none is cut off',
 	async (t) => {
 		const cluster = await start(t, { backendEnv: { SERVICE_MS: '20' } });
-		const [entry] = only(cluster.of('entry'));
+		const [entry] = firstTwo(cluster.of('entry'));
 		const leaving = cluster.backends[0];
 		t.truthy(leaving);
 		if (leaving === undefined) return;
@@ -216,8 +219,8 @@
 		const failures: string[] = [];
 		const load = Array.from({ length: 8 }, async () => {
 			while (!stop) {
-				const got = await callers.sendRequest(entry, { body: Buffer.from('proof') });
-				if (got.status !== 200) failures.push(`${got.status} ${got.problem?.detail ?? ''}`);
+				const response = await callers.sendRequest(entry, { body: Buffer.from('proof') });
+				if (response.status !== 200) failures.push(`${response.status} ${response.problem?.detail ?? ''}`);
 			}
 		});
 		await operate.until('load on it', () =>
@@ -230,28 +233,28 @@
 		stop = true;
 		await Promise.all(load);
 		const runs = await callers.allBackendRuns(cluster);
-		const late = runs.filter((run) => run.backend === leaving.id && run.at > markedAt + 3000);
-		t.deepEqual({ late: late.length, failures }, { late: 0, failures: [] });
+		const lateRuns = runs.filter((run) => run.backend === leaving.id && run.at > markedAt + 3000);
+		t.deepEqual({ late: lateRuns.length, failures }, { late: 0, failures: [] });
 	},
 );
 
 /** Milliseconds of a request that outlasts the time in which the balancer learns of a planned stop. */
-const slowMs = 4000;
+const slowServiceMs = 4000;
 
 /** Has a slow request running through each entry box, and the backend servers quick again for the others. */
-async function askSlowly(
+async function sendSlowRequests(
 	cluster: clusters.Cluster,
 	entries: clusters.Program[],
 ): Promise<Promise<callers.CallReply>[]> {
-	const setAll = (serviceMs: number): Promise<unknown> =>
+	const setServiceMs = (serviceMs: number): Promise<unknown> =>
 		Promise.all(cluster.backends.map((box) => clusters.post(box.address, '/fault', { serviceMs })));
-	await setAll(slowMs);
+	await setServiceMs(slowServiceMs);
 	const slow = entries.map((entry) =>
 		callers.sendRequest(entry, { path: '/slow', body: Buffer.from('proof') }),
 	);
 	const running = (): number => callers.backendRuns(cluster).filter((run) => run.path === '/slow').length;
 	await operate.until('the slow requests running', () => running() === entries.length);
-	await setAll(20);
+	await setServiceMs(20);
 	return slow;
 }
 
@@ -264,7 +267,7 @@
 		const entries = cluster.of('entry');
 		const stopping = cluster.of(role)[0];
 		if (stopping === undefined) return;
-		const slow = await askSlowly(cluster, entries);
+		const slow = await sendSlowRequests(cluster, entries);
 		let stop = false;
 		let drained = false;
 		let answered = 0;
--- a/test/roster.test.ts
+++ b/test/roster.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import * as events from '../src/core/events/index.js';
 import * as fencing from '../src/core/dispatch/fencing-tokens.js';
-import * as firstQuestions from '../src/core/dispatch/first-report-turns.js';
+import * as reportTurns from '../src/core/dispatch/first-report-turns.js';
 import * as fixtures from './fixtures/dispatching.js';
 import * as jobs from '../src/core/jobs/index.js';
 import * as ledgers from '../src/core/ledger/index.js';
@@ -18,8 +18,8 @@
 	clock: time.VirtualClock,
 	fleet: workers.FakeFleet,
 	handlers: Partial<types.ReportHandlers>,
-): { pool: workerPool.WorkerPool; written: ledger.RosterEntry[][] } {
-	const written: ledger.RosterEntry[][] = [];
+): { pool: workerPool.WorkerPool; writtenRosters: ledger.RosterEntry[][] } {
+	const writtenRosters: ledger.RosterEntry[][] = [];
 	const pool = workerPool.WorkerPool.create(
 		{
 			clock,
@@ -33,11 +33,11 @@
 			onFenced: () => undefined,
 			tokens: fencing.FencingTokens.create(1, () => undefined),
 			isEvacuated: () => false,
-			firstReportTurns: firstQuestions.FirstReportTurns.create(clock),
+			firstReportTurns: reportTurns.FirstReportTurns.create(clock),
 			onWorkersAvailable: () => undefined,
 			leaseEnds: new Map(),
 			saveRoster: (roster) => {
-				written.push(roster);
+				writtenRosters.push(roster);
 				return Promise.resolve('committed');
 			},
 			handlers: {
@@ -49,7 +49,7 @@
 		},
 		[],
 	);
-	return { pool, written };
+	return { pool, writtenRosters };
 }
 
 test('a closed entry names tasks whose ends are not stored, until they are', async (t) => {
@@ -60,11 +60,11 @@
 		plan: () => ({ ms: 500, how: 'done' }),
 	});
 	const worker = fleet.add('w1');
-	let storeEnds = (): void => undefined;
-	const { pool, written } = createPool(clock, fleet, {
+	let storeExits = (): void => undefined;
+	const { pool, writtenRosters } = createPool(clock, fleet, {
 		onReport: (session) => {
 			const stored = new Promise<void>((resolve) => {
-				storeEnds = () => {
+				storeExits = () => {
 					session.noteStored(1);
 					resolve();
 				};
@@ -75,17 +75,17 @@
 	pool.setWorkers(fleet.entries(), [], true);
 	await clock.pass(50);
 	const token = fixtures.firstToken(1);
-	const order = { task: 'job1.0.0.0', run: 1, text: '', token, checkpoint: '', ticket: '' };
-	worker.start({ ...order, leaseUntil: worker.clockMs() + 5_000 });
+	const command = { task: 'job1.0.0.0', run: 1, text: '', token, checkpoint: '', ticket: '' };
+	worker.start({ ...command, leaseUntil: worker.clockMs() + 5_000 });
 	await clock.pass(1_000);
 	pool.setWorkers([{ ...worker.entry, draining: true }], [], false);
 	pool.tick();
 	await clock.pass(10);
-	storeEnds();
+	storeExits();
 	pool.tick();
 	await clock.pass(10);
 	t.deepEqual(
-		written.map(([entry]) => entry?.tasks),
+		writtenRosters.map(([entry]) => entry?.tasks),
 		[undefined, ['job1.0.0.0'], []],
 	);
 	pool.close();
@@ -99,11 +99,11 @@
 		plan: () => ({ ms: 'endless', how: 'done' }),
 	});
 	const worker = fleet.add('w1');
-	const { pool, written } = createPool(clock, fleet, {});
+	const { pool, writtenRosters } = createPool(clock, fleet, {});
 	pool.setWorkers(fleet.entries(), [], true);
 	await clock.pass(50);
-	const start = { cancelled: false, inherited: false, workersStored: true, now: 0, age: 0 };
-	const job = jobs.ActiveJob.create(fixtures.job('job1', [fixtures.step()]), undefined, start);
+	const options = { cancelled: false, inherited: false, workersStored: true, now: 0, age: 0 };
+	const job = jobs.ActiveJob.create(fixtures.job('job1', [fixtures.step()]), undefined, options);
 	const [task] = job.openNextOccurrence(clock.now());
 	const session = pool.get('w1');
 	if (task === undefined || session === undefined) throw new Error('nothing to lose');
@@ -114,14 +114,14 @@
 	// Another worker comes, so the roster is written.
 	pool.setWorkers([fleet.add('w2').entry], [], false);
 	await clock.pass(10);
-	t.deepEqual(written.at(-1), [
+	t.deepEqual(writtenRosters.at(-1), [
 		{ id: 'w1', address: 'w1:1', tasks: ['job1.0.0.0'] },
 		{ id: 'w2', address: 'w2:1' },
 	]);
 	pool.forget(session);
 	pool.tick();
 	await clock.pass(10);
-	t.deepEqual(written.at(-1), [{ id: 'w2', address: 'w2:1' }]);
+	t.deepEqual(writtenRosters.at(-1), [{ id: 'w2', address: 'w2:1' }]);
 	pool.close();
 });
 
@@ -129,15 +129,16 @@
 	const { clock, store, takeOver } = fixtures.createEnvironment(() => ({ ms: 500, how: 'done' }));
 	const first = await takeOver();
 	first.dispatcher.close();
-	const before = (generation: number): Uint8Array => wire.encodeValue({ generation, box: 'entry-1' });
-	store.put(ledgers.keys.epochKey, before(2));
+	const olderOwnerRecord = (generation: number): Uint8Array =>
+		wire.encodeValue({ generation, box: 'entry-1' });
+	store.put(ledgers.keys.epochKey, olderOwnerRecord(2));
 	const third = await takeOver();
 	third.dispatcher.close();
 	const fourth = await takeOver();
 	fourth.dispatcher.close();
 	const contents = await Promise.all([clock.pass(50), fourth.ledger.load()]);
-	const since = contents[1].ok ? contents[1].value.workersStoredSince : 0;
-	t.is(since, 3);
+	const storedSince = contents[1].ok ? contents[1].value.workersStoredSince : 0;
+	t.is(storedSince, 3);
 	const progress: jobs.ProgressRecord = {
 		state: 'running',
 		finished: {},
@@ -147,14 +148,14 @@
 		workers: {},
 	};
 	const record = fixtures.job('job1', [fixtures.step({ lasting: true })], { acceptedUnder: 1 });
-	const start = {
+	const options = {
 		cancelled: false,
 		inherited: true,
-		workersStored: record.acceptedUnder >= since,
+		workersStored: record.acceptedUnder >= storedSince,
 		now: 0,
 		age: 0,
 	};
 	// An owner of the version before may have started it without storing where.
-	t.false(jobs.ActiveJob.create(record, progress, start).workersStored);
-	t.true(jobs.ActiveJob.create(record, progress, { ...start, workersStored: true }).workersStored);
+	t.false(jobs.ActiveJob.create(record, progress, options).workersStored);
+	t.true(jobs.ActiveJob.create(record, progress, { ...options, workersStored: true }).workersStored);
 });
--- a/test/run-log.test.ts
+++ b/test/run-log.test.ts
@@ -1,13 +1,18 @@
 /** What the log tells of runs that an owner inherits, and of those that it takes for over without an end. */
 import test from 'ava';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as events from '../src/core/events/index.js';
 
-const told: events.LoggedEvent['name'][] = ['task.placed', 'takeover.heard', 'worker.lost', 'task.lost'];
+const eventNames: events.LoggedEvent['name'][] = [
+	'task.placed',
+	'takeover.heard',
+	'worker.lost',
+	'task.lost',
+];
 
 /** Lines of these names as an owner logged them, without what depends on the moment. */
-function linesOf(owner: world.TestOwner): unknown[] {
-	const lines = owner.events.select((event) => told.includes(event.name));
+function linesOf(owner: fixtures.TestOwner): unknown[] {
+	const lines = owner.events.select((event) => eventNames.includes(event.name));
 	return lines.map(({ name, fields }) => {
 		const { waitedMs, silentMs, ...others } = fields;
 		return { name, ...others, timed: typeof (waitedMs ?? silentMs) };
@@ -15,10 +20,10 @@
 }
 
 test('a successor tells what a worker ran when it first answered, and by which proof a run is over', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
-	await submit(first, world.job('job1', [world.step({ count: 2, milliCores: 10_000 })]));
+	await submit(first, fixtures.job('job1', [fixtures.step({ count: 2, milliCores: 10_000 })]));
 	await clock.pass(1_000);
 	first.dispatcher.close();
 	const second = await takeOver();
@@ -31,10 +36,10 @@
 });
 
 test('a worker that never answered a successor is told of without the time of an answer', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
-	await submit(first, world.job('job1', [world.step()]));
+	await submit(first, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(1_000);
 	first.dispatcher.close();
 	w1.fault = 'silent';
--- a/test/scheduler-failures.test.ts
+++ b/test/scheduler-failures.test.ts
@@ -6,7 +6,7 @@
 import * as operate from '../dev/operate.js';
 import * as processes from '../dev/processes.js';
 
-const shape: clusters.ClusterOptions = {
+const clusterOptions: clusters.ClusterOptions = {
 	zones: ['rennes'],
 	entriesPerZone: 0,
 	schedulersPerZone: 2,
@@ -26,7 +26,7 @@
 	return Promise.any(waiting);
 }
 
-const noFinishTwice = (ran: journal.ObservedAttempt[]): string[] =>
+const wrongFinishCounts = (ran: journal.ObservedAttempt[]): string[] =>
 	Object.entries(journal.successCounts(ran))
 		.filter(([, count]) => count !== 1)
 		.map(([task, count]) => `${task} finished ${count} times`);
@@ -35,7 +35,7 @@
 	test.serial(
 		`the owner is killed when it logs ${step}: every task still finishes, none in two places`,
 		async (t) => {
-			const { cluster, client } = await fixtures.startReady(t, shape);
+			const { cluster, client } = await fixtures.startReady(t, clusterOptions);
 			const killed = firstToLog(cluster, step).then((owner) => clusters.kill(owner.process));
 			await client.call('submit', { specJson: JSON.stringify(operate.batch('night', taskCount, 800)) });
 			await killed;
@@ -51,7 +51,7 @@
 
 for (const step of ['task.placed', 'task.running', 'task.finished']) {
 	test.serial(`the owner freezes when it logs ${step}, past lease and horizon, and comes back`, async (t) => {
-		const { cluster, client } = await fixtures.startReady(t, shape);
+		const { cluster, client } = await fixtures.startReady(t, clusterOptions);
 		const frozen = firstToLog(cluster, step).then((owner) => {
 			owner.process.child.kill('SIGSTOP');
 			return owner;
@@ -76,27 +76,27 @@
 		client.close();
 		const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
 		t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
-		t.deepEqual(noFinishTwice(ran), []);
+		t.deepEqual(wrongFinishCounts(ran), []);
 		t.is(Object.keys(journal.successCounts(ran)).length, taskCount);
 	});
 }
 
 test.serial('a worker is killed and comes back: its tasks resume, each once', async (t) => {
-	const { cluster, client } = await fixtures.startReady(t, shape);
+	const { cluster, client } = await fixtures.startReady(t, clusterOptions);
 	await operate.submit(client, operate.batch('night', taskCount, 3000));
-	const victim = cluster.workers[0];
-	t.truthy(victim);
-	if (victim === undefined) return;
-	await processes.waitLine(victim.process, (line) => line.journal !== undefined);
+	const target = cluster.workers[0];
+	t.truthy(target);
+	if (target === undefined) return;
+	await processes.waitLine(target.process, (line) => line.journal !== undefined);
 	const killedAt = Date.now();
-	await clusters.kill(victim.process);
-	const gone = { lines: victim.process.lines, killedAt };
-	const back = await cluster.startWorker(victim.id, victim.zone);
-	cluster.workers[0] = back;
-	await cluster.publish(victim.zone);
+	await clusters.kill(target.process);
+	const killedWorker = { lines: target.process.lines, killedAt };
+	const restarted = await cluster.startWorker(target.id, target.zone);
+	cluster.workers[0] = restarted;
+	await cluster.publish(target.zone);
 	await operate.reached(client, 'press/night', 'finished');
 	client.close();
-	const ran = journal.attemptsFrom(journal.processJournalsOf(cluster, [gone]));
+	const ran = journal.attemptsFrom(journal.processJournalsOf(cluster, [killedWorker]));
 	t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
 	t.is(Object.keys(journal.successCounts(ran)).length, taskCount);
 	t.true(ran.some((one) => one.how === 'killed'));
@@ -105,39 +105,41 @@
 test.serial(
 	'a worker is cut off while its tasks run: they stop by their lease before they run elsewhere',
 	async (t) => {
-		const { cluster, client, linkProxies } = await fixtures.startPartitionable(t, shape, (from, to) =>
-			from === 'scheduler' ? to : undefined,
+		const { cluster, client, linkProxies } = await fixtures.startPartitionable(
+			t,
+			clusterOptions,
+			(from, to) => (from === 'scheduler' ? to : undefined),
 		);
 		await operate.submit(client, operate.batch('night', taskCount, 4000));
-		const victim = cluster.workers[0];
-		if (victim === undefined) return;
-		await processes.waitLine(victim.process, (line) => line.journal !== undefined);
-		linkProxies.get(victim.id)?.set({ kind: 'drop-answers' });
+		const target = cluster.workers[0];
+		if (target === undefined) return;
+		await processes.waitLine(target.process, (line) => line.journal !== undefined);
+		linkProxies.get(target.id)?.set({ kind: 'drop-answers' });
 		await operate.reached(client, 'press/night', 'finished');
-		linkProxies.get(victim.id)?.set({ kind: 'cut' });
-		linkProxies.get(victim.id)?.set({ kind: 'pass' });
+		linkProxies.get(target.id)?.set({ kind: 'cut' });
+		linkProxies.get(target.id)?.set({ kind: 'pass' });
 		await operate.settled(client);
 		client.close();
 		const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
 		t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
-		t.deepEqual(noFinishTwice(ran), []);
+		t.deepEqual(wrongFinishCounts(ran), []);
 		t.is(Object.keys(journal.successCounts(ran)).length, taskCount);
-		t.true(ran.some((one) => one.worker === victim.id && one.how === 'lease lapsed'));
+		t.true(ran.some((one) => one.worker === target.id && one.how === 'lease lapsed'));
 		const logged = cluster.of('scheduler').flatMap((one) => one.process.lines.map((line) => line.name));
 		t.true(logged.includes('worker.unreachable'));
 	},
 );
 
 test.serial('urgent work evicts batch work, which resumes from its checkpoint exactly once', async (t) => {
-	const { cluster, client } = await fixtures.startReady(t, shape);
-	const whole = { needs: { cores: 32, memoryMb: 1024 } };
-	await operate.submit(client, operate.batch('long', 3, 3000, whole));
+	const { cluster, client } = await fixtures.startReady(t, clusterOptions);
+	const wholeWorker = { needs: { cores: 32, memoryMb: 1024 } };
+	await operate.submit(client, operate.batch('long', 3, 3000, wholeWorker));
 	await operate.until('the workers full', () =>
 		cluster.workers.every((box) => box.process.lines.some((line) => line.journal !== undefined)),
 	);
 	const fullAt = Date.now();
 	await operate.until('work done that an eviction must not lose', () => Date.now() - fullAt > 1500);
-	await operate.submit(client, operate.batch('urgent', 1, 500, { ...whole, urgent: true }));
+	await operate.submit(client, operate.batch('urgent', 1, 500, { ...wholeWorker, urgent: true }));
 	const finished = async (): Promise<boolean> =>
 		(await operate.jobState(client, 'press/urgent')) === 'finished' &&
 		(await operate.jobState(client, 'press/long')) === 'finished';
--- a/test/shrinking-rooms.test.ts
+++ b/test/shrinking-rooms.test.ts
@@ -4,34 +4,34 @@
  * and a list that is not read any more tells of no change at all.
  */
 import test from 'ava';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as fleet from '../src/core/fleet/types.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 
-const long = { ms: 60_000, how: 'done' as const };
+const longRun = { ms: 60_000, how: 'done' as const };
 
 /** A task that fills most of a worker, in thousandths of a core, and what a worker shrinks to. */
 const milliCores = 20_000;
-const shrunk: fleet.Capacity = { milliCores: 16_000, memoryMb: 128_000, accelerators: 0 };
+const reducedCapacity: fleet.Capacity = { milliCores: 16_000, memoryMb: 128_000, accelerators: 0 };
 
 /** The list says that a worker's room has shrunk. */
-function shrink(owner: world.TestOwner, entry: fleet.WorkerEntry): void {
-	owner.dispatcher.setWorkers([{ ...entry, capacity: shrunk }], [], false);
+function reduceCapacity(owner: fixtures.TestOwner, entry: fleet.WorkerEntry): void {
+	owner.dispatcher.setWorkers([{ ...entry, capacity: reducedCapacity }], [], false);
 }
 
 test('a start that waited for the store is not sent to a worker whose room has shrunk meanwhile', async (t) => {
-	const made = world.createEnvironment(() => long);
-	const { clock, fleet } = made;
+	const environment = fixtures.createEnvironment(() => longRun);
+	const { clock, fleet } = environment;
 	const w1 = fleet.add('w1');
 	let fault: memory.StoreFault = 'none';
-	const owner = await made.takeOver(undefined, () => fault);
+	const owner = await environment.takeOver(undefined, () => fault);
 	await clock.pass(1_200);
 	fault = 'down';
-	const record = world.job('job1', [world.step({ milliCores, lasting: true })]);
+	const record = fixtures.job('job1', [fixtures.step({ milliCores, lasting: true })]);
 	owner.dispatcher.addJob({ ...record, acceptedUnder: 1 });
 	await clock.pass(500);
 	t.is(fleet.starts.length, 0);
-	shrink(owner, w1.entry);
+	reduceCapacity(owner, w1.entry);
 	const w2 = fleet.add('w2');
 	owner.dispatcher.setWorkers([w2.entry], [], false);
 	fault = 'none';
@@ -44,9 +44,9 @@
 });
 
 test('a start without an answer is not repeated at a worker whose room has shrunk meanwhile', async (t) => {
-	const { environment, owner, w1 } = await world.leaveStartUnanswered(world.step({ milliCores }));
+	const { environment, owner, w1 } = await fixtures.leaveStartUnanswered(fixtures.step({ milliCores }));
 	const { clock, fleet } = environment;
-	shrink(owner, w1.entry);
+	reduceCapacity(owner, w1.entry);
 	w1.fault = 'none';
 	await clock.pass(5_000);
 	t.is(w1.running.size, 0);
@@ -55,16 +55,16 @@
 });
 
 test('no start is sent by a list of workers that has not been read for long', async (t) => {
-	const made = world.createEnvironment(() => long);
-	const { clock, fleet } = made;
+	const environment = fixtures.createEnvironment(() => longRun);
+	const { clock, fleet } = environment;
 	fleet.add('w1');
-	const owner = await made.takeOver();
+	const owner = await environment.takeOver();
 	owner.dispatcher.noteListRead(clock.now());
 	await clock.pass(1_200);
-	await made.submit(owner, world.job('job1', [world.step({ milliCores: 1_000 })]));
+	await environment.submit(owner, fixtures.job('job1', [fixtures.step({ milliCores: 1_000 })]));
 	await clock.pass(3_500);
 	t.is(fleet.starts.length, 1);
-	await made.submit(owner, world.job('job2', [world.step({ milliCores: 1_000 })]));
+	await environment.submit(owner, fixtures.job('job2', [fixtures.step({ milliCores: 1_000 })]));
 	await clock.pass(3_000);
 	t.is(fleet.starts.length, 1);
 	owner.dispatcher.noteListRead(clock.now());
@@ -74,15 +74,15 @@
 });
 
 test('a room that is over-full takes nothing more, and what runs there goes on', async (t) => {
-	const made = world.createEnvironment(() => long);
-	const { clock, fleet } = made;
+	const environment = fixtures.createEnvironment(() => longRun);
+	const { clock, fleet } = environment;
 	const w1 = fleet.add('w1');
-	const owner = await made.takeOver();
+	const owner = await environment.takeOver();
 	await clock.pass(1_200);
-	await made.submit(owner, world.job('job1', [world.step({ milliCores })]));
+	await environment.submit(owner, fixtures.job('job1', [fixtures.step({ milliCores })]));
 	await clock.pass(500);
-	shrink(owner, w1.entry);
-	await made.submit(owner, world.job('job2', [world.step({ milliCores: 1_000 })]));
+	reduceCapacity(owner, w1.entry);
+	await environment.submit(owner, fixtures.job('job2', [fixtures.step({ milliCores: 1_000 })]));
 	await clock.pass(3_000);
 	t.deepEqual([...w1.running.keys()], ['job1.0.0.0']);
 	owner.dispatcher.setWorkers([w1.entry], [], false);
--- a/test/silent-connections.test.ts
+++ b/test/silent-connections.test.ts
@@ -12,14 +12,14 @@
 import * as boxes from '../stand-ins/box-process.js';
 import * as narrow from '../stand-ins/proxy/narrow-link.js';
 import * as proxies from '../stand-ins/proxy/index.js';
-import * as real from './fixtures/real-boxes.js';
+import * as realBoxes from './fixtures/real-boxes.js';
 import * as users from '../stand-ins/users-platform/server.js';
 
 /** A confirmed version is in force after so long, in milliseconds, at boxes without trouble (`config_apply_ms`). */
-const applyMs = 2_000;
+const maxApplyMs = 2_000;
 
 /** After trouble at a box it has so long, in milliseconds, to be as good as any other (`contact_ms`). */
-const contactMs = 3_000;
+const maxRecoveryMs = 3_000;
 
 /** Requests at once: each takes a connection to the store of its own, and all of these are kept. */
 const requestsAtOnce = 6;
@@ -44,7 +44,7 @@
 	const platform = users.UsersPlatform.create({ plan: () => ({ ms: 50, how: 'done' }) });
 	const storeAddress = await platform.startStore();
 	await platform.startWorker('i-1', (address) => address);
-	platform.configure(3, real.host);
+	platform.configure(3, realBoxes.host);
 	const linked: LinkedBox[] = [];
 	t.teardown(async () => {
 		await Promise.all(linked.map(({ box }) => box.kill()));
@@ -55,25 +55,25 @@
 		const store = await proxies.FaultProxy.create(storeAddress);
 		const box = await boxes.BoxProcess.create(name, store.address);
 		linked.push({ box, store });
-		await applied(box, 3);
+		await waitUntilApplied(box, 3);
 		await box.logged((line) => line.name === (linked.length === 1 ? 'owner.taken' : 'owner.found'));
 	}
 	return { platform, linked: linked as [LinkedBox, ...LinkedBox[]] };
 }
 
-function applied(box: boxes.BoxProcess, version: number): Promise<boxes.LogLine> {
+function waitUntilApplied(box: boxes.BoxProcess, version: number): Promise<boxes.LogLine> {
 	return box.logged((line) => line.name === 'config.applied' && line.fields.version === version);
 }
 
 /** Whether something happens by `dueAt`, on the machine's clock. */
-async function isInTime(happens: Promise<unknown>, dueAt: number): Promise<boolean> {
+async function isInTime(event: Promise<unknown>, dueAt: number): Promise<boolean> {
 	let timer: NodeJS.Timeout | undefined;
 	const late = new Promise<boolean>((resolve) => {
 		timer = setTimeout(() => {
 			resolve(false);
 		}, dueAt - performance.now());
 	});
-	const res = await Promise.race([happens.then(() => true), late]);
+	const res = await Promise.race([event.then(() => true), late]);
 	clearTimeout(timer);
 	return res;
 }
@@ -83,28 +83,28 @@
 	const ids = Array.from({ length: requestsAtOnce }, (_, number) =>
 		(from + number).toString(16).padStart(16, '0'),
 	);
-	await Promise.all(ids.map((id) => real.call(box.callers, 'POST', id, real.jobBody)));
+	await Promise.all(ids.map((id) => realBoxes.call(box.callers, 'POST', id, realBoxes.jobBody)));
 }
 
 /** Status of a question for a queue's count. */
-async function ask(box: boxes.BoxProcess, prefix: string): Promise<number> {
-	return (await real.call(box.callers, 'GET', '', undefined, prefix)).status;
+async function getQueueStatus(box: boxes.BoxProcess, prefix: string): Promise<number> {
+	return (await realBoxes.call(box.callers, 'GET', '', undefined, prefix)).status;
 }
 
 test('kept connections go silent: queues added and dropped meanwhile are in force in time', async (t) => {
 	const { platform, linked } = await setUp(t, ['entry-1', 'entry-2']);
 	await Promise.all(linked.map(({ box }, number) => openConnections(box, 0xa0 + number * 0x10)));
-	platform.configure(4, real.host, ['/jobs/', '/old/']);
+	platform.configure(4, realBoxes.host, ['/jobs/', '/old/']);
 	// A new read waits from here on: it goes silent as it begins, which is found out last.
-	await Promise.all(linked.map(({ box }) => applied(box, 4)));
+	await Promise.all(linked.map(({ box }) => waitUntilApplied(box, 4)));
 	for (const { store } of linked) store.silence();
-	const silentAt = performance.now();
-	platform.configure(5, real.host, ['/jobs/', '/new/']);
+	const silencedAt = performance.now();
+	platform.configure(5, realBoxes.host, ['/jobs/', '/new/']);
 	await Promise.all(
 		linked.map(async ({ box }) => {
-			t.true(await isInTime(applied(box, 5), silentAt + contactMs));
-			t.is(await ask(box, '/new/'), 200);
-			t.is(await ask(box, '/old/'), 404);
+			t.true(await isInTime(waitUntilApplied(box, 5), silencedAt + maxRecoveryMs));
+			t.is(await getQueueStatus(box, '/new/'), 200);
+			t.is(await getQueueStatus(box, '/old/'), 404);
 		}),
 	);
 });
@@ -113,15 +113,15 @@
 	const { platform, linked } = await setUp(t, ['entry-1']);
 	const [{ box, store }] = linked;
 	await openConnections(box, 0xa0);
-	platform.configure(4, real.host, ['/jobs/', '/4/']);
-	await applied(box, 4);
+	platform.configure(4, realBoxes.host, ['/jobs/', '/4/']);
+	await waitUntilApplied(box, 4);
 	store.silence();
-	const silentAt = performance.now();
+	const silencedAt = performance.now();
 	for (const version of [5, 6, 7, 8]) {
 		const confirmedAt = performance.now();
-		platform.configure(version, real.host, ['/jobs/', `/${version}/`]);
-		const dueAt = Math.max(confirmedAt + applyMs, silentAt + contactMs);
-		t.true(await isInTime(applied(box, version), dueAt), `version ${version}`);
+		platform.configure(version, realBoxes.host, ['/jobs/', `/${version}/`]);
+		const dueAt = Math.max(confirmedAt + maxApplyMs, silencedAt + maxRecoveryMs);
+		t.true(await isInTime(waitUntilApplied(box, version), dueAt), `version ${version}`);
 	}
 });
 
@@ -129,12 +129,12 @@
 	const { platform, linked } = await setUp(t, ['entry-1']);
 	const [{ box }] = linked;
 	box.process.kill('SIGSTOP');
-	platform.configure(4, real.host, ['/jobs/', '/new/']);
+	platform.configure(4, realBoxes.host, ['/jobs/', '/new/']);
 	// Longer than any waiting read: its time limit has passed when the process wakes, and its answer lies in the socket.
 	await new Promise((resolve) => setTimeout(resolve, 4_000));
 	box.process.kill('SIGCONT');
 	const wokenAt = performance.now();
-	t.true(await isInTime(applied(box, 4), wokenAt + contactMs));
+	t.true(await isInTime(waitUntilApplied(box, 4), wokenAt + maxRecoveryMs));
 });
 
 test('many large versions over a slow link: the newest is in force in time', async (t) => {
@@ -146,10 +146,10 @@
 	// 3,000 queues take about 0.6 MB in the store's spelling: eight versions are 5 MB, six seconds of this link.
 	const many = Array.from({ length: 3_000 }, (_, number) => `/${number.toString().padStart(60, '0')}/`);
 	const last = 11;
-	for (let version = 4; version <= last; version += 1) platform.configure(version, real.host, many);
+	for (let version = 4; version <= last; version += 1) platform.configure(version, realBoxes.host, many);
 	box.process.kill('SIGCONT');
 	const sentAt = performance.now();
-	t.true(await isInTime(applied(box, last), sentAt + contactMs));
+	t.true(await isInTime(waitUntilApplied(box, last), sentAt + maxRecoveryMs));
 });
 
 test('a box that the store turns away takes a new configuration over from the owner', async (t) => {
@@ -161,11 +161,11 @@
 	}
 	other.store.set({ kind: 'cut' });
 	await other.box.logged((line) => line.name === 'store.lost');
-	platform.configure(4, real.host, ['/jobs/', '/new/']);
+	platform.configure(4, realBoxes.host, ['/jobs/', '/new/']);
 	const confirmedAt = performance.now();
-	t.true(await isInTime(applied(other.box, 4), confirmedAt + applyMs));
+	t.true(await isInTime(waitUntilApplied(other.box, 4), confirmedAt + maxApplyMs));
 	t.is(other.box.lines.find((line) => line.fields.version === 4)?.fields.source, 'owner');
-	t.is(await ask(other.box, '/new/'), 200);
+	t.is(await getQueueStatus(other.box, '/new/'), 200);
 });
 
 test('a way to the store that was cut, and whose connections stay dead, is found again in time', async (t) => {
@@ -174,9 +174,9 @@
 	await openConnections(box, 0xa0);
 	store.set({ kind: 'drop-answers' });
 	await box.logged((line) => line.name === 'config.unconfirmed');
-	platform.configure(4, real.host, ['/jobs/', '/new/']);
+	platform.configure(4, realBoxes.host, ['/jobs/', '/new/']);
 	// A connection that was opened during the cut is no better than those from before it.
 	store.silence();
 	store.set({ kind: 'pass' });
-	t.true(await isInTime(applied(box, 4), performance.now() + contactMs));
+	t.true(await isInTime(waitUntilApplied(box, 4), performance.now() + maxRecoveryMs));
 });
--- a/test/slow-links.test.ts
+++ b/test/slow-links.test.ts
@@ -1,10 +1,10 @@
 /** Real boxes over narrow links: an owner that is slow stays the owner, and finishes what it was given. */
 import test from 'ava';
 import * as boxes from '../stand-ins/box-process.js';
-import * as linking from '../dev/soak/links.js';
+import * as soakLinks from '../dev/soak/links.js';
 import * as narrow from '../stand-ins/proxy/narrow-link.js';
 import * as proxies from '../stand-ins/proxy/index.js';
-import * as real from './fixtures/real-boxes.js';
+import * as realBoxes from './fixtures/real-boxes.js';
 import * as users from '../stand-ins/users-platform/server.js';
 
 /** What a box's link carries each way, in bytes a second. */
@@ -13,23 +13,26 @@
 /** So many that a burst goes out at once: a box keeps six connections to a worker. */
 const workerCount = 40;
 
-const names = ['entry-1', 'entry-2'];
+const boxNames = ['entry-1', 'entry-2'];
 
 /** 400 starts of 3.4 KB: sent at once they occupy such a link for seven seconds, three times the owner's lease. */
-const burst = { spec: 'x'.repeat(3_000), steps: [{ count: 200, cpu: 6_000, mem_mb: 10, estimate_ms: 100 }] };
-const ids = ['00000000000000a1', '00000000000000a2'];
+const burstBody = {
+	spec: 'x'.repeat(3_000),
+	steps: [{ count: 200, cpu: 6_000, mem_mb: 10, estimate_ms: 100 }],
+};
+const jobIds = ['00000000000000a1', '00000000000000a2'];
 
 /** Two boxes, each with a narrow link to the store and to the workers. */
 async function setUp(t: { teardown: (fn: () => Promise<void>) => void }): Promise<boxes.BoxProcess[]> {
 	const platform = users.UsersPlatform.create({ plan: () => ({ ms: 100, how: 'done' }) });
-	const links = linking.Links.create(names);
-	const own = new Map(names.map((name) => [name, createMode()]));
+	const links = soakLinks.Links.create(boxNames);
+	const modeByBox = new Map(boxNames.map((name) => [name, createNarrowMode()]));
 	for (let number = 1; number <= workerCount; number += 1) {
 		const address = await platform.startWorker(`i-${String(number)}`, (at) => at);
 		await links.reach(address);
-		for (const { box, proxy } of links.to(address)) proxy.set(own.get(box) ?? { kind: 'pass' });
+		for (const { box, proxy } of links.to(address)) proxy.set(modeByBox.get(box) ?? { kind: 'pass' });
 	}
-	platform.configure(3, real.host);
+	platform.configure(3, realBoxes.host);
 	const started: boxes.BoxProcess[] = [];
 	const stores: proxies.FaultProxy[] = [];
 	t.teardown(async () => {
@@ -38,9 +41,9 @@
 		for (const store of stores) store.close();
 		platform.close();
 	});
-	for (const name of names) {
+	for (const name of boxNames) {
 		const store = await proxies.FaultProxy.create(await platform.startStore(links.bookOf(name)));
-		store.set(own.get(name) ?? { kind: 'pass' });
+		store.set(modeByBox.get(name) ?? { kind: 'pass' });
 		stores.push(store);
 		const box = await boxes.BoxProcess.create(name, store.address);
 		started.push(box);
@@ -50,7 +53,7 @@
 	return started;
 }
 
-function createMode(): proxies.ProxyMode {
+function createNarrowMode(): proxies.ProxyMode {
 	const create = (): narrow.NarrowLink => narrow.NarrowLink.create(bytesPerS);
 	return { kind: 'narrow', links: { request: create(), answer: create() } };
 }
@@ -58,9 +61,9 @@
 test('a burst of starts over a narrow link leads to no takeover, and is finished', async (t) => {
 	const [owner, other] = await setUp(t);
 	if (owner === undefined || other === undefined) return;
-	for (const id of ids) t.is((await real.call(other.callers, 'POST', id, burst)).status, 200);
-	await Promise.all(ids.map((id) => real.waitUntilEnded(owner, id)));
-	await Promise.all(ids.map((id) => real.waitUntilCompleted(other, id)));
+	for (const id of jobIds) t.is((await realBoxes.call(other.callers, 'POST', id, burstBody)).status, 200);
+	await Promise.all(jobIds.map((id) => realBoxes.waitUntilEnded(owner, id)));
+	await Promise.all(jobIds.map((id) => realBoxes.waitUntilCompleted(other, id)));
 	const taken = [owner, other].flatMap((box) => box.lines.filter((line) => line.name === 'owner.taken'));
 	t.deepEqual(
 		taken.map((line) => line.fields.generation),
--- a/test/start-window.test.ts
+++ b/test/start-window.test.ts
@@ -1,24 +1,24 @@
 /** Many starts at once over a link or processor that can't carry them: what else the owner sends, and what comes first. */
 import test from 'ava';
 import * as windows from '../src/core/dispatch/start-window.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 
 /** A link of two megabits a second: with the fields around it, a start of such a job takes 6.4 ms on it. */
 const bytesPerS = 250_000;
 const text = 'x'.repeat(1_200);
 
-function brief(): { ms: number; how: 'done' } {
+function shortRun(): { ms: number; how: 'done' } {
 	return { ms: 300, how: 'done' };
 }
 
 test('a burst of starts over a slow link does not hold up calls to the store', async (t) => {
-	const { clock, fleet, takeOverLinked, submit } = world.createEnvironment(brief);
+	const { clock, fleet, takeOverLinked, submit } = fixtures.createEnvironment(shortRun);
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner, link } = await takeOverLinked(bytesPerS);
 	await clock.pass(1_000);
-	const steps = [world.step({ count: 500, milliCores: 500, memoryMb: 10 })];
-	await submit(owner, world.job('burst', steps, { text }));
+	const steps = [fixtures.step({ count: 500, milliCores: 500, memoryMb: 10 })];
+	await submit(owner, fixtures.job('burst', steps, { text }));
 	await clock.pass(6_000);
 	t.is(fleet.starts.length, 500);
 	// 500 starts sent at once occupy the link for 3,200 ms, longer than the owner's lease.
@@ -30,15 +30,15 @@
 });
 
 test('an urgent task that comes while a burst is sent is started before the rest of it', async (t) => {
-	const { clock, fleet, takeOverLinked, submit } = world.createEnvironment(brief);
+	const { clock, fleet, takeOverLinked, submit } = fixtures.createEnvironment(shortRun);
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner } = await takeOverLinked(bytesPerS);
 	await clock.pass(1_000);
-	const steps = [world.step({ count: 500, milliCores: 500, memoryMb: 10 })];
-	await submit(owner, world.job('burst', steps, { text, queue: { ...world.queue, priority: 2 } }));
+	const steps = [fixtures.step({ count: 500, milliCores: 500, memoryMb: 10 })];
+	await submit(owner, fixtures.job('burst', steps, { text, queue: { ...fixtures.queue, priority: 2 } }));
 	await clock.pass(100);
 	const sentAt = clock.now();
-	await submit(owner, world.job('urgent', [world.step()], { text }));
+	await submit(owner, fixtures.job('urgent', [fixtures.step()], { text }));
 	await clock.pass(6_000);
 	const urgent = fleet.starts.find((one) => one.task.startsWith('urgent'));
 	t.true((urgent?.at ?? Infinity) - sentAt < 600, `it waited for ${String((urgent?.at ?? 0) - sentAt)} ms`);
@@ -47,13 +47,13 @@
 });
 
 test('workers that fall silent in a burst do not hold up starts at the others', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(brief);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(shortRun);
 	const added = Array.from({ length: 30 }, (_, number) => fleet.add(`w${String(number)}`));
 	const owner = await takeOver();
 	await clock.pass(1_000);
 	for (const worker of added.slice(0, 20)) worker.fault = 'silent';
-	const steps = [world.step({ count: 400, milliCores: 4_000, memoryMb: 10 })];
-	await submit(owner, world.job('burst', steps));
+	const steps = [fixtures.step({ count: 400, milliCores: 4_000, memoryMb: 10 })];
+	await submit(owner, fixtures.job('burst', steps));
 	await clock.pass(4_000);
 	// 80 at once on ten workers, for 300 ms each: what is left after 160 places at silent workers takes a second.
 	t.true(fleet.starts.length >= 240, `${String(fleet.starts.length)} were started`);
@@ -61,21 +61,24 @@
 });
 
 test('short tasks are started in an outage of the store beside lasting ones that have to wait for it', async (t) => {
-	const { clock, fleet, takeOver, submit, store } = world.createEnvironment((task) =>
-		task.startsWith('lasting') ? { ms: 'endless', how: 'done' } : brief(),
+	const { clock, fleet, takeOver, submit, store } = fixtures.createEnvironment((task) =>
+		task.startsWith('lasting') ? { ms: 'endless', how: 'done' } : shortRun(),
 	);
 	for (let number = 1; number <= 40; number += 1) fleet.add(`w${String(number)}`);
 	let fault: memory.StoreFault = 'none';
 	const owner = await takeOver(undefined, () => fault);
 	await clock.pass(1_000);
-	const lasting = [world.step({ count: 200, milliCores: 2_000, lasting: true })];
-	await submit(owner, world.job('lasting', lasting, { queue: { ...world.queue, priority: 2 } }));
+	const longRunningSteps = [fixtures.step({ count: 200, milliCores: 2_000, lasting: true })];
+	await submit(
+		owner,
+		fixtures.job('lasting', longRunningSteps, { queue: { ...fixtures.queue, priority: 2 } }),
+	);
 	fault = 'down';
 	await clock.pass(300);
-	const before = fleet.starts.length;
-	owner.dispatcher.addJob({ ...world.job('short', [world.step({ count: 50 })]), acceptedUnder: 1 });
+	const startsBefore = fleet.starts.length;
+	owner.dispatcher.addJob({ ...fixtures.job('short', [fixtures.step({ count: 50 })]), acceptedUnder: 1 });
 	await clock.pass(1_000);
-	const short = fleet.starts.slice(before).filter((one) => one.task.startsWith('short'));
+	const short = fleet.starts.slice(startsBefore).filter((one) => one.task.startsWith('short'));
 	t.is(short.length, 50);
 	t.true(store.writes > 0);
 	owner.dispatcher.close();
@@ -92,32 +95,32 @@
 });
 
 test('starts are not held back for answers that come late however few of them are on their way', async (t) => {
-	const { clock, fleet, takeOverBusy, submit } = world.createEnvironment(brief);
+	const { clock, fleet, takeOverBusy, submit } = fixtures.createEnvironment(shortRun);
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner, processor } = await takeOverBusy({ send: 0.1, answer: 0.1 });
 	await clock.pass(1_000);
 	// Whatever is asked of the processor waits for this long, as it does where it is full of reports.
 	processor.delayMs = 150;
-	const before = fleet.starts.length;
-	const steps = [world.step({ count: 2_000, milliCores: 100, memoryMb: 10 })];
-	await submit(owner, world.job('burst', steps));
+	const startsBefore = fleet.starts.length;
+	const steps = [fixtures.step({ count: 2_000, milliCores: 100, memoryMb: 10 })];
+	await submit(owner, fixtures.job('burst', steps));
 	await clock.pass(6_000);
-	t.is(fleet.starts.length - before, 2_000);
+	t.is(fleet.starts.length - startsBefore, 2_000);
 	owner.dispatcher.close();
 });
 
 test('starts to silent workers take up no room once others have overtaken them', (t) => {
 	let now = 0;
 	const window = windows.StartWindow.create(() => now);
-	const first = window.free;
-	for (let number = 0; number < first; number += 1) window.take();
+	const initialFree = window.free;
+	for (let number = 0; number < initialFree; number += 1) window.take();
 	t.is(window.free, 0);
-	const silent = windows.StartWindow.create(() => now);
-	for (let number = 0; number < first / 2; number += 1) silent.take();
-	for (let answered = 0; answered < first * 2; answered += 1) {
-		const slot = silent.take();
+	const unresponsive = windows.StartWindow.create(() => now);
+	for (let number = 0; number < initialFree / 2; number += 1) unresponsive.take();
+	for (let answered = 0; answered < initialFree * 2; answered += 1) {
+		const slot = unresponsive.take();
 		now += 5;
-		silent.noteAnswered(slot);
+		unresponsive.noteAnswered(slot);
 	}
-	t.is(silent.free, first);
+	t.is(unresponsive.free, initialFree);
 });
--- a/test/suspended.test.ts
+++ b/test/suspended.test.ts
@@ -4,56 +4,59 @@
  */
 import test from 'ava';
 import * as clocks from '../src/core/clock.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 
 /** Two clocks that a test moves, and what is made of them. */
-function watched(): { pass: (steadyMs: number, wallMs: number) => void; look: () => number } {
+function createMovableClocks(): {
+	advance: (monotonicMs: number, wallMs: number) => void;
+	resumedAt: () => number;
+} {
 	let now = 1_000;
 	let wall = 5_000_000;
-	const watch = clocks.SuspensionDetector.create(
+	const detector = clocks.SuspensionDetector.create(
 		() => now,
 		() => wall,
 	);
 	return {
-		pass: (steadyMs, wallMs) => {
-			now += steadyMs;
+		advance: (monotonicMs, wallMs) => {
+			now += monotonicMs;
 			wall += wallMs;
 		},
-		look: () => watch.lastResumedAt(),
+		resumedAt: () => detector.lastResumedAt(),
 	};
 }
 
 test('a wall clock that runs ahead of the monotonic one tells of a suspension', (t) => {
-	const { pass, look } = watched();
-	pass(500, 500);
-	t.is(look(), -Infinity);
-	pass(1, 4_001);
-	t.is(look(), 1_501);
-	pass(700, 700);
-	t.is(look(), 1_501);
+	const { advance, resumedAt } = createMovableClocks();
+	advance(500, 500);
+	t.is(resumedAt(), -Infinity);
+	advance(1, 4_001);
+	t.is(resumedAt(), 1_501);
+	advance(700, 700);
+	t.is(resumedAt(), 1_501);
 });
 
 test('a wall clock that is set back, or drifts, tells of none', (t) => {
-	const { pass, look } = watched();
-	pass(10, -3_000);
-	t.is(look(), -Infinity);
+	const { advance, resumedAt } = createMovableClocks();
+	advance(10, -3_000);
+	t.is(resumedAt(), -Infinity);
 	for (let second = 0; second < 600; second += 1) {
-		pass(1_000, 1_020);
-		t.is(look(), -Infinity);
+		advance(1_000, 1_020);
+		t.is(resumedAt(), -Infinity);
 	}
 });
 
 test('an owner that was suspended starts nothing before the store has shown its epoch in force', async (t) => {
-	const made = world.createEnvironment(() => ({ ms: 1_000, how: 'done' }));
-	const { clock, fleet } = made;
+	const environment = fixtures.createEnvironment(() => ({ ms: 1_000, how: 'done' }));
+	const { clock, fleet } = environment;
 	fleet.add('w1');
 	let fault: memory.StoreFault = 'none';
-	const owner = await made.takeOver(undefined, () => fault);
+	const owner = await environment.takeOver(undefined, () => fault);
 	await clock.pass(1_200);
 	fault = 'down';
 	clock.resume();
-	owner.dispatcher.addJob({ ...world.job('job1', [world.step()]), acceptedUnder: 1 });
+	owner.dispatcher.addJob({ ...fixtures.job('job1', [fixtures.step()]), acceptedUnder: 1 });
 	await clock.pass(1_500);
 	t.is(fleet.starts.length, 0);
 	fault = 'none';
@@ -63,15 +66,15 @@
 });
 
 test('an owner that was suspended starts nothing by a list of workers that it read before', async (t) => {
-	const made = world.createEnvironment(() => ({ ms: 1_000, how: 'done' }));
-	const { clock, fleet } = made;
+	const environment = fixtures.createEnvironment(() => ({ ms: 1_000, how: 'done' }));
+	const { clock, fleet } = environment;
 	fleet.add('w1');
-	const owner = await made.takeOver();
+	const owner = await environment.takeOver();
 	await clock.pass(1_200);
 	owner.dispatcher.noteListRead(clock.now());
 	await clock.pass(10);
 	clock.resume();
-	await made.submit(owner, world.job('job1', [world.step()]));
+	await environment.submit(owner, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(2_000);
 	t.is(fleet.starts.length, 0);
 	owner.dispatcher.noteListRead(clock.now());
--- a/test/takeover.test.ts
+++ b/test/takeover.test.ts
@@ -1,29 +1,29 @@
 /** What a successor starts at once, and what it has to wait for, when workers are gone or silent. */
 import test from 'ava';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as jobs from '../src/core/jobs/index.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
 /** Time that a takeover and a start take, with room to spare; far less than any lease. */
-const soonMs = 2_000;
+const takeoverAndStartMs = 2_000;
 
-function endless(): { ms: 'endless'; how: 'done' } {
+function endlessRun(): { ms: 'endless'; how: 'done' } {
 	return { ms: 'endless', how: 'done' };
 }
 
 /** A step of lasting tasks, of which a worker holds one. */
-function lasting(count: number): jobs.StepSpec[] {
-	return [world.step({ count, milliCores: 20_000, lasting: true })];
+function longRunningSteps(count: number): jobs.StepSpec[] {
+	return [fixtures.step({ count, milliCores: 20_000, lasting: true })];
 }
 
 test('inherited work does not wait for a worker that was emptied before it left', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(endless);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(endlessRun);
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const first = await takeOver();
 	// Short tasks and lasting ones alike: these end by themselves, if nobody stops them.
-	await submit(first, world.job('job1', [world.step({ count: 2, milliCores: 20_000 })]));
+	await submit(first, fixtures.job('job1', [fixtures.step({ count: 2, milliCores: 20_000 })]));
 	await clock.pass(3_000);
 	t.is(fleet.starts.length, 2);
 	first.dispatcher.setWorkers([{ ...w2.entry, draining: true, remainingMs: 3_000 }], [], false);
@@ -35,24 +35,24 @@
 	first.dispatcher.close();
 	const w3 = fleet.add('w3');
 	const second = await takeOver();
-	await clock.pass(soonMs);
+	await clock.pass(takeoverAndStartMs);
 	t.is(w3.running.size, 1);
 	t.deepEqual(fleet.doubled(), []);
 	second.dispatcher.close();
 });
 
 test('a lasting task waits only for the worker where it was last started', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(endless);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(endlessRun);
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const w3 = fleet.add('w3');
 	const first = await takeOver();
-	await submit(first, world.job('job1', lasting(3)));
+	await submit(first, fixtures.job('job1', longRunningSteps(3)));
 	await clock.pass(3_000);
 	t.is(fleet.starts.length, 3);
 	const onW3 = [...w3.running.keys()];
 	first.dispatcher.setWorkers([{ ...w2.entry, draining: true, remainingMs: 20_000 }], [], false);
-	await submit(first, world.job('never-started', lasting(1)));
+	await submit(first, fixtures.job('never-started', longRunningSteps(1)));
 	await clock.pass(1_000);
 	t.is(w2.running.size, 0);
 	// The owner and a worker fail in the same moment: nothing could be stored about the worker.
@@ -62,7 +62,7 @@
 	fleet.add('w5');
 	fleet.add('w6');
 	const second = await takeOver();
-	await clock.pass(soonMs);
+	await clock.pass(takeoverAndStartMs);
 	const started = fleet.starts.slice(3).map((one) => one.task);
 	t.is(started.length, 2);
 	t.true(started.includes('never-started.0.0.0'));
@@ -79,11 +79,11 @@
 });
 
 test('an owner takes nothing for lost whose lease its successor may have renewed', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
 	fleet.add('w1');
 	let isCut = false;
 	const first = await takeOver((worker) => isCut && worker === 'w1');
-	await submit(first, world.job('job1', [world.step()]));
+	await submit(first, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(1_000);
 	t.is(fleet.starts.length, 1);
 	const w2 = fleet.add('w2');
@@ -102,30 +102,30 @@
 });
 
 /** A world whose only worker runs a lasting task and has just become silent. */
-async function silentWorld(
+async function setUpUnresponsiveWorker(
 	fault?: () => memory.StoreFault,
-): Promise<world.TestEnvironment & { owner: world.TestOwner; w1: workers.FakeWorker }> {
-	const made = world.createEnvironment(endless);
-	const w1 = made.fleet.add('w1');
-	const owner = await made.takeOver(undefined, fault);
-	await made.submit(owner, world.job('job1', lasting(1)));
-	await made.clock.pass(1_000);
+): Promise<fixtures.TestEnvironment & { owner: fixtures.TestOwner; w1: workers.FakeWorker }> {
+	const environment = fixtures.createEnvironment(endlessRun);
+	const w1 = environment.fleet.add('w1');
+	const owner = await environment.takeOver(undefined, fault);
+	await environment.submit(owner, fixtures.job('job1', longRunningSteps(1)));
+	await environment.clock.pass(1_000);
 	w1.fault = 'silent';
-	return { ...made, owner, w1 };
+	return { ...environment, owner, w1 };
 }
 
 /** Ends of leases as a box takes them from an owner's answer. */
-function endsFrom(leftMs: Record<string, number>, now: number): Map<string, number> {
+function leaseEndsFrom(leftMs: Record<string, number>, now: number): Map<string, number> {
 	return new Map(Object.entries(leftMs).map(([worker, left]) => [worker, now + left]));
 }
 
 test('a successor waits for a silent worker no longer than its predecessor would have', async (t) => {
-	const { clock, fleet, takeOver, owner: first } = await silentWorld();
+	const { clock, fleet, takeOver, owner: first } = await setUpUnresponsiveWorker();
 	await clock.pass(4_000);
-	const ends = endsFrom(first.dispatcher.unresponsiveLeases(), clock.now());
+	const leaseEnds = leaseEndsFrom(first.dispatcher.unresponsiveLeases(), clock.now());
 	first.dispatcher.close();
 	const w2 = fleet.add('w2');
-	const second = await takeOver(undefined, undefined, ends);
+	const second = await takeOver(undefined, undefined, leaseEnds);
 	for (let passed = 0; passed < 3_000; passed += 50) {
 		await clock.pass(50);
 		t.deepEqual(fleet.doubled(), []);
@@ -136,7 +136,7 @@
 
 test('a worker whose lease was stated gets none before the roster has changed', async (t) => {
 	let fault: 'none' | 'down' = 'none';
-	const { clock, owner, w1 } = await silentWorld(() => fault);
+	const { clock, owner, w1 } = await setUpUnresponsiveWorker(() => fault);
 	await clock.pass(3_300);
 	t.deepEqual(Object.keys(owner.dispatcher.unresponsiveLeases()), ['w1']);
 	fault = 'down';
@@ -147,7 +147,7 @@
 });
 
 test('a worker whose lease was stated is renewed once the roster has changed', async (t) => {
-	const { clock, fleet, owner, w1 } = await silentWorld();
+	const { clock, fleet, owner, w1 } = await setUpUnresponsiveWorker();
 	await clock.pass(3_300);
 	t.deepEqual(Object.keys(owner.dispatcher.unresponsiveLeases()), ['w1']);
 	w1.fault = 'none';
@@ -158,28 +158,28 @@
 });
 
 /** A worker whose last start is on its way for longer than the lease that it brings; it is silent, and another one is there. */
-async function startUnderWay(): Promise<
-	world.TestEnvironment & { owner: world.TestOwner; w1: workers.FakeWorker }
+async function setUpStartInFlight(): Promise<
+	fixtures.TestEnvironment & { owner: fixtures.TestOwner; w1: workers.FakeWorker }
 > {
-	const made = world.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
-	const { clock, fleet, takeOver, submit } = made;
+	const environment = fixtures.createEnvironment(() => ({ ms: 30_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await clock.pass(1_200);
 	// The first tries are lost on their way.
 	w1.fault = 'silent';
-	await submit(owner, world.job('job1', [world.step()]));
+	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(2_300);
 	w1.fault = 'late';
 	await clock.pass(500);
 	w1.fault = 'silent';
 	fleet.add('w2');
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
-	return { ...made, owner, w1 };
+	return { ...environment, owner, w1 };
 }
 
 test('a start that is carried out after its run was taken for lost does not begin', async (t) => {
-	const { clock, fleet, owner, w1 } = await startUnderWay();
+	const { clock, fleet, owner, w1 } = await setUpStartInFlight();
 	await clock.pass(3_700);
 	t.is(fleet.starts.length, 1);
 	w1.fault = 'none';
@@ -192,7 +192,7 @@
 });
 
 test('a start in doubt is not forgotten when its worker leaves the list and comes back', async (t) => {
-	const { clock, fleet, owner, w1 } = await startUnderWay();
+	const { clock, fleet, owner, w1 } = await setUpStartInFlight();
 	owner.dispatcher.setWorkers([], ['w1'], false);
 	await clock.pass(3_700);
 	t.is(fleet.starts.length, 1);
@@ -207,27 +207,27 @@
 });
 
 test('a worker that has not answered a new owner is not taken for empty', async (t) => {
-	const { takeOver, clock, owner: first, w1 } = await silentWorld();
+	const { takeOver, clock, owner: first, w1 } = await setUpUnresponsiveWorker();
 	first.dispatcher.close();
 	const second = await takeOver();
 	t.is(second.dispatcher.vacate('w1'), 'protected');
 	w1.fault = 'none';
-	await clock.pass(soonMs);
+	await clock.pass(takeoverAndStartMs);
 	t.is(second.dispatcher.vacate('w1'), 'moving');
 	second.dispatcher.close();
 });
 
 test('owners that follow each other quickly do not begin the wait for a silent worker anew', async (t) => {
-	const { clock, fleet, takeOver, owner: first } = await silentWorld();
+	const { clock, fleet, takeOver, owner: first } = await setUpUnresponsiveWorker();
 	await clock.pass(3_500);
-	const ends = endsFrom(first.dispatcher.unresponsiveLeases(), clock.now());
+	const leaseEnds = leaseEndsFrom(first.dispatcher.unresponsiveLeases(), clock.now());
 	first.dispatcher.close();
 	const w2 = fleet.add('w2');
-	const second = await takeOver(undefined, undefined, ends);
+	const second = await takeOver(undefined, undefined, leaseEnds);
 	await clock.pass(500);
-	const endsAgain = endsFrom(second.dispatcher.unresponsiveLeases(), clock.now());
+	const laterLeaseEnds = leaseEndsFrom(second.dispatcher.unresponsiveLeases(), clock.now());
 	second.dispatcher.close();
-	const third = await takeOver(undefined, undefined, endsAgain);
+	const third = await takeOver(undefined, undefined, laterLeaseEnds);
 	await clock.pass(3_000);
 	t.is(w2.running.size, 1);
 	t.deepEqual(fleet.doubled(), []);
@@ -235,15 +235,15 @@
 });
 
 test('a gang waits as long as any member may run somewhere', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 60_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 60_000, how: 'done' }));
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const first = await takeOver();
 	const gang = { count: 2, milliCores: 20_000, gang: true };
-	await submit(first, world.job('gang', [world.step(gang)]));
+	await submit(first, fixtures.job('gang', [fixtures.step(gang)]));
 	await clock.pass(1_000);
 	t.is(fleet.starts.length, 2);
-	const [lostName] = [...(fleet.workers.get('w1')?.running.keys() ?? [])];
+	const [lostTask] = [...(fleet.workers.get('w1')?.running.keys() ?? [])];
 	// Cut off while it runs on, so its entry is closed; and then the other worker starts anew.
 	w2.fault = 'silent';
 	await clock.pass(3_000);
@@ -255,38 +255,40 @@
 		await clock.pass(50);
 		t.deepEqual(fleet.doubled(), []);
 	}
-	t.true(fleet.starts.slice(2).some((one) => one.task === lostName));
+	t.true(fleet.starts.slice(2).some((one) => one.task === lostTask));
 	second.dispatcher.close();
 });
 
 test('a lasting task that was stopped does not wait for the worker where it ran', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(endless);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(endlessRun);
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
-	await submit(first, world.job('job1', [world.step({ count: 4, milliCores: 8_000, lasting: true })]));
+	await submit(first, fixtures.job('job1', [fixtures.step({ count: 4, milliCores: 8_000, lasting: true })]));
 	await clock.pass(5_000);
 	t.is(w1.running.size, 4);
-	await submit(first, world.job('short', [world.step({ count: 2, milliCores: 4_000 })]));
+	await submit(first, fixtures.job('short', [fixtures.step({ count: 2, milliCores: 4_000 })]));
 	await clock.pass(1_000);
-	const stopped = [0, 1, 2, 3].map((index) => `job1.0.0.${index}`).filter((name) => !w1.running.has(name));
-	t.true(stopped.length > 0);
+	const stoppedTasks = [0, 1, 2, 3]
+		.map((index) => `job1.0.0.${index}`)
+		.filter((name) => !w1.running.has(name));
+	t.true(stoppedTasks.length > 0);
 	// The owner and the worker fail in the same moment.
 	w1.fault = 'silent';
 	first.dispatcher.close();
 	const w2 = fleet.add('w2');
 	const second = await takeOver();
-	await clock.pass(soonMs);
-	t.deepEqual([...w2.running.keys()], stopped);
+	await clock.pass(takeoverAndStartMs);
+	t.deepEqual([...w2.running.keys()], stoppedTasks);
 	second.dispatcher.close();
 });
 
 test('a lasting task is not started on a worker that began to drain while it was being stored', async (t) => {
 	let fault: 'none' | 'down' = 'none';
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(endless);
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(endlessRun);
 	const w1 = fleet.add('w1');
 	const owner = await takeOver(undefined, () => fault);
 	await clock.pass(1_200);
-	await submit(owner, world.job('job1', lasting(1)));
+	await submit(owner, fixtures.job('job1', longRunningSteps(1)));
 	fault = 'down';
 	await clock.pass(500);
 	owner.dispatcher.setWorkers([{ ...w1.entry, draining: true, remainingMs: 20_000 }], [], false);
--- a/test/two-beliefs.test.ts
+++ b/test/two-beliefs.test.ts
@@ -4,130 +4,134 @@
  */
 import test from 'ava';
 import * as contacts from '../src/core/platform/contact.js';
-import * as real from './fixtures/real-boxes.js';
+import * as realBoxes from './fixtures/real-boxes.js';
 import * as results from '../src/core/result.js';
 import * as service from '../src/core/box/job-service.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-const steps = [world.step({ milliCores: 20_000 })];
-const ids = ['job1', 'job2'];
+const steps = [fixtures.step({ milliCores: 20_000 })];
+const jobIds = ['job1', 'job2'];
 
 /** The worker that both tasks run on at first. */
-const held = 'w0';
+const sharedWorker = 'w0';
 
-interface Check {
+interface Assertions {
 	deepEqual: (a: unknown, b: unknown) => unknown;
 }
 
-function long(): workers.RunPlan {
+function longRun(): workers.RunPlan {
 	return { ms: 60_000, how: 'done' };
 }
 
 /** A world with an owner and a worker that holds both tasks; `fault`: what the store does to the owner. */
-async function heldWorld(fault?: () => memory.StoreFault): Promise<{
-	made: world.TestEnvironment;
-	first: world.TestOwner;
+async function setUpSharedWorker(fault?: () => memory.StoreFault): Promise<{
+	environment: fixtures.TestEnvironment;
+	first: fixtures.TestOwner;
 	worker: workers.FakeWorker;
 }> {
-	const made = world.createEnvironment(long);
+	const environment = fixtures.createEnvironment(longRun);
 	const capacity = { milliCores: 64_000, memoryMb: 128_000, accelerators: 0 };
-	const worker = made.fleet.add(held, { capacity });
-	const first = await made.takeOver(undefined, fault);
-	await made.clock.pass(1_200);
-	return { made, first, worker };
+	const worker = environment.fleet.add(sharedWorker, { capacity });
+	const first = await environment.takeOver(undefined, fault);
+	await environment.clock.pass(1_200);
+	return { environment, first, worker };
 }
 
-async function submitBoth(made: world.TestEnvironment, owner: world.TestOwner): Promise<void> {
-	for (const id of ids) await made.submit(owner, world.job(id, steps));
+async function submitBoth(environment: fixtures.TestEnvironment, owner: fixtures.TestOwner): Promise<void> {
+	for (const id of jobIds) await environment.submit(owner, fixtures.job(id, steps));
 }
 
-function addOthers(made: world.TestEnvironment): void {
-	made.fleet.add('w1');
-	made.fleet.add('w2');
+function addSpareWorkers(environment: fixtures.TestEnvironment): void {
+	environment.fleet.add('w1');
+	environment.fleet.add('w2');
 }
 
 /** Lets time pass, and looks for tasks with two runs at once all the while. */
-async function watchRuns(t: Check, made: world.TestEnvironment, ms: number): Promise<void> {
+async function passCheckingRuns(
+	t: Assertions,
+	environment: fixtures.TestEnvironment,
+	ms: number,
+): Promise<void> {
 	for (let passed = 0; passed < ms; passed += 10) {
-		await made.clock.pass(10);
-		t.deepEqual(made.fleet.doubled(), []);
+		await environment.clock.pass(10);
+		t.deepEqual(environment.fleet.doubled(), []);
 	}
 }
 
 test('generation 2 frees nothing on a worker that it does not reach any more and generation 3 renews', async (t) => {
-	const { made, first, worker } = await heldWorld();
-	await submitBoth(made, first);
-	await made.clock.pass(1_000);
+	const { environment, first, worker } = await setUpSharedWorker();
+	await submitBoth(environment, first);
+	await environment.clock.pass(1_000);
 	first.dispatcher.close();
-	addOthers(made);
+	addSpareWorkers(environment);
 	let isCut = false;
-	const second = await made.takeOver((id) => isCut && id === held);
-	await made.clock.pass(1_000);
+	const second = await environment.takeOver((id) => isCut && id === sharedWorker);
+	await environment.clock.pass(1_000);
 	t.is(worker.running.size, 2);
 	isCut = true;
 	// Its lease there has seconds left, and its last call to the store is less than that old when generation 3 comes.
-	await watchRuns(t, made, 5_500);
-	const third = await made.takeOver((id) => id !== held);
-	await watchRuns(t, made, 8_000);
+	await passCheckingRuns(t, environment, 5_500);
+	const third = await environment.takeOver((id) => id !== sharedWorker);
+	await passCheckingRuns(t, environment, 8_000);
 	second.dispatcher.close();
 	third.dispatcher.close();
 });
 
 test('a worker closed by a late roster write and listed again keeps what it gets from then on', async (t) => {
-	let now: memory.StoreFault = 'none';
-	const { made, first, worker } = await heldWorld(() => now);
-	now = 'late';
-	first.dispatcher.setWorkers([], [held], false);
-	await made.clock.pass(300);
-	now = 'none';
+	let storeFault: memory.StoreFault = 'none';
+	const { environment, first, worker } = await setUpSharedWorker(() => storeFault);
+	storeFault = 'late';
+	first.dispatcher.setWorkers([], [sharedWorker], false);
+	await environment.clock.pass(300);
+	storeFault = 'none';
 	first.dispatcher.setWorkers([worker.entry], [], false);
-	await submitBoth(made, first);
-	await watchRuns(t, made, 3_000);
+	await submitBoth(environment, first);
+	await passCheckingRuns(t, environment, 3_000);
 	t.is(worker.running.size, 2);
 	// The late write comes with its worker silent, so that only the roster tells its successor.
 	worker.fault = 'silent';
-	await watchRuns(t, made, 1_000);
+	await passCheckingRuns(t, environment, 1_000);
 	first.dispatcher.close();
-	addOthers(made);
-	const second = await made.takeOver();
-	await watchRuns(t, made, 1_000);
+	addSpareWorkers(environment);
+	const second = await environment.takeOver();
+	await passCheckingRuns(t, environment, 1_000);
 	worker.fault = 'none';
-	await watchRuns(t, made, 3_000);
+	await passCheckingRuns(t, environment, 3_000);
 	t.is(worker.running.size, 2);
 	second.dispatcher.close();
 });
 
 test('a worker that was dropped from the list begins no run that was taken for lost, once it is listed again', async (t) => {
-	const { made, first, worker } = await heldWorld();
+	const { environment, first, worker } = await setUpSharedWorker();
 	worker.fault = 'late';
-	await submitBoth(made, first);
-	await watchRuns(t, made, 3_000);
+	await submitBoth(environment, first);
+	await passCheckingRuns(t, environment, 3_000);
 	worker.fault = 'silent';
-	addOthers(made);
-	first.dispatcher.setWorkers(made.fleet.entries(), [], true);
-	first.dispatcher.setWorkers([], [held], false);
-	await watchRuns(t, made, 3_700);
-	t.is(made.fleet.starts.length, 2);
+	addSpareWorkers(environment);
+	first.dispatcher.setWorkers(environment.fleet.entries(), [], true);
+	first.dispatcher.setWorkers([], [sharedWorker], false);
+	await passCheckingRuns(t, environment, 3_700);
+	t.is(environment.fleet.starts.length, 2);
 	// It is back before the second tries of both starts, which are on their way for 6 s.
 	worker.fault = 'none';
 	first.dispatcher.setWorkers([worker.entry], [], false);
-	await watchRuns(t, made, 8_000);
+	await passCheckingRuns(t, environment, 8_000);
 	first.dispatcher.close();
 });
 
 test('a job that is handed in again is not new to an owner that has not read it yet', async (t) => {
-	const { made, first, worker } = await heldWorld();
-	addOthers(made);
-	const second = await made.takeOver((id) => id === held);
+	const { environment, first, worker } = await setUpSharedWorker();
+	addSpareWorkers(environment);
+	const second = await environment.takeOver((id) => id === sharedWorker);
 	// Stored after the second owner has read all jobs, and started by the first one, which is not turned away yet.
-	await submitBoth(made, first);
-	await made.clock.pass(20);
+	await submitBoth(environment, first);
+	await environment.clock.pass(20);
 	t.is(worker.running.size, 2);
 	const jobs = service.JobService.create({
-		...contacts.monitorContact(made.store.view(), second.events, () => made.clock.now()),
-		clock: made.clock,
+		...contacts.monitorContact(environment.store.view(), second.events, () => environment.clock.now()),
+		clock: environment.clock,
 		events: second.events,
 		dispatcher: () => second.dispatcher,
 		callOwner: () => Promise.resolve(results.fail({ sent: false, reason: 'this box owns' })),
@@ -136,38 +140,38 @@
 		random: () => 0,
 		ownerReachesStore: () => true,
 	});
-	for (const id of ids) void jobs.submit(world.queue, id, { text: `text of ${id}`, steps });
-	await watchRuns(t, made, 3_000);
+	for (const id of jobIds) void jobs.submit(fixtures.queue, id, { text: `text of ${id}`, steps });
+	await passCheckingRuns(t, environment, 3_000);
 	first.dispatcher.close();
 	second.dispatcher.close();
 });
 
 for (const fault of ['lost', 'late'] as const)
 	test(`an owner is stopped after starts whose answers are ${fault}, and its successor is quick`, async (t) => {
-		const { made, first, worker } = await heldWorld();
+		const { environment, first, worker } = await setUpSharedWorker();
 		worker.fault = fault;
-		await submitBoth(made, first);
-		await made.clock.pass(100);
+		await submitBoth(environment, first);
+		await environment.clock.pass(100);
 		first.dispatcher.close();
-		addOthers(made);
-		const second = await made.takeOver();
-		await watchRuns(t, made, 1_000);
+		addSpareWorkers(environment);
+		const second = await environment.takeOver();
+		await passCheckingRuns(t, environment, 1_000);
 		worker.fault = 'none';
-		await watchRuns(t, made, 12_000);
-		t.is(made.fleet.starts.length, 2);
+		await passCheckingRuns(t, environment, 12_000);
+		t.is(environment.fleet.starts.length, 2);
 		second.dispatcher.close();
 	});
 
 test('over real boxes: the owner is told to stop while starts have no answer yet', async (t) => {
 	const starts: workers.StartRecord[] = [];
-	let bothStarted = (): void => undefined;
-	const started = new Promise<void>((resolve) => {
-		bothStarted = resolve;
+	let resolveBothStarted = (): void => undefined;
+	const bothRunsStarted = new Promise<void>((resolve) => {
+		resolveBothStarted = resolve;
 	});
 	const journal: workers.FleetJournal = {
 		started: (start) => {
 			starts.push(start);
-			if (starts.length === 2) bothStarted();
+			if (starts.length === 2) resolveBothStarted();
 		},
 		ended: () => undefined,
 		forgotten: () => undefined,
@@ -175,7 +179,7 @@
 	const shortJob = '00000000000000a3';
 	const plan = (task: string): workers.RunPlan =>
 		task.startsWith(shortJob) ? { ms: 50, how: 'done' } : { ms: 'endless', how: 'done' };
-	const { platform, startTwo } = await real.setUp(t, { plan, journal });
+	const { platform, startTwo } = await realBoxes.setUp(t, { plan, journal });
 	const { owner, other } = await startTwo();
 	const worker = platform.fleet.workers.get('i-1');
 	await owner.logged((line) => line.name === 'worker.reached');
@@ -183,8 +187,8 @@
 	if (worker !== undefined) worker.fault = 'lost';
 	const body = { spec: 'a proof', steps: [{ count: 1, cpu: 10_000, mem_mb: 100, estimate_ms: 100 }] };
 	for (const id of ['00000000000000a1', '00000000000000a2'])
-		t.is((await real.call(other.callers, 'POST', id, body)).status, 200);
-	await started;
+		t.is((await realBoxes.call(other.callers, 'POST', id, body)).status, 200);
+	await bothRunsStarted;
 	owner.process.kill('SIGTERM');
 	await other.logged((line) => line.name === 'owner.taken');
 	for (const id of ['i-2', 'i-3']) await platform.startWorker(id, (address) => address);
@@ -192,8 +196,8 @@
 	if (worker !== undefined) worker.fault = 'none';
 	await other.logged((line) => line.name === 'takeover.settled');
 	// Its tasks are placed in the same round as what is free at that time, or in a later one.
-	t.is((await real.call(other.callers, 'POST', shortJob, body)).status, 200);
-	await real.waitUntilCompleted(other, shortJob);
+	t.is((await realBoxes.call(other.callers, 'POST', shortJob, body)).status, 200);
+	await realBoxes.waitUntilCompleted(other, shortJob);
 	t.deepEqual(
 		starts.map((one) => [one.task, one.epoch]),
 		[
--- a/test/unnoted-ends.test.ts
+++ b/test/unnoted-ends.test.ts
@@ -3,35 +3,35 @@
  * brought new ends, storing them took longer than an answer counted as recent, and so no question named any end.
  */
 import test from 'ava';
-import * as real from './fixtures/real-boxes.js';
-import * as world from './fixtures/dispatching.js';
+import * as realBoxes from './fixtures/real-boxes.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
 /** A job of three tasks is handed in so often, in milliseconds, so that each report brings new ends. */
-const jobGapMs = 120;
+const jobIntervalMs = 120;
 
 /** How long jobs are handed in, in milliseconds. */
-const busyMs = 8_000;
+const submitPhaseMs = 8_000;
 
 /** The longest that a report waits beside the writes, in milliseconds (`dispatch/settings.ts`). */
-const reportMs = 1_000;
+const maxReportWaitMs = 1_000;
 
 /** When each end was listed and forgotten, by task and run. */
-class EndTimes {
+class ExitTimes {
 	private readonly listed = new Map<string, number>();
-	private readonly noted = new Map<string, number>();
+	private readonly acknowledged = new Map<string, number>();
 
 	private constructor(private readonly now: () => number) {}
 
-	static create(now: () => number): EndTimes {
-		return new EndTimes(now);
+	static create(now: () => number): ExitTimes {
+		return new ExitTimes(now);
 	}
 
 	get journal(): workers.FleetJournal {
 		return {
 			started: () => undefined,
 			ended: ({ task, run }) => void this.listed.set(`${task}#${String(run)}`, this.now()),
-			forgotten: ({ task, run }) => void this.noted.set(`${task}#${String(run)}`, this.now()),
+			forgotten: ({ task, run }) => void this.acknowledged.set(`${task}#${String(run)}`, this.now()),
 		};
 	}
 
@@ -42,100 +42,102 @@
 	/** Ends that were listed more than `ms` before now and are not noted, or were noted later than that. */
 	overdue(ms: number): string[] {
 		const now = this.now();
-		return [...this.listed].filter(([end, at]) => (this.noted.get(end) ?? now) - at > ms).map(([end]) => end);
+		return [...this.listed]
+			.filter(([exit, at]) => (this.acknowledged.get(exit) ?? now) - at > ms)
+			.map(([exit]) => exit);
 	}
 }
 
 for (const writeMs of [50, 150, 250, 350, 500])
 	test(`ends are taken note of while each report brings new ones and a write takes ${String(writeMs)} ms`, async (t) => {
 		let now = (): number => 0;
-		const ends = EndTimes.create(() => now());
-		const made = world.createEnvironment(() => ({ ms: 200, how: 'done' }), ends.journal);
-		now = () => made.clock.now();
-		made.fleet.add('w1', {}, 1);
-		const owner = await made.takeOver();
-		await made.clock.pass(1_200);
-		made.store.writeMs = writeMs;
-		for (let at = 0; at < busyMs; at += jobGapMs) {
-			const handedIn = world.job(`job${String(at)}`, [world.step({ count: 3, milliCores: 200 })]);
-			owner.dispatcher.addJob({ ...handedIn, acceptedUnder: owner.ledger.generation });
-			await made.clock.pass(jobGapMs);
+		const exits = ExitTimes.create(() => now());
+		const environment = fixtures.createEnvironment(() => ({ ms: 200, how: 'done' }), exits.journal);
+		now = () => environment.clock.now();
+		environment.fleet.add('w1', {}, 1);
+		const owner = await environment.takeOver();
+		await environment.clock.pass(1_200);
+		environment.store.writeMs = writeMs;
+		for (let at = 0; at < submitPhaseMs; at += jobIntervalMs) {
+			const record = fixtures.job(`job${String(at)}`, [fixtures.step({ count: 3, milliCores: 200 })]);
+			owner.dispatcher.addJob({ ...record, acceptedUnder: owner.ledger.generation });
+			await environment.clock.pass(jobIntervalMs);
 		}
-		t.true(ends.count > busyMs / jobGapMs);
+		t.true(exits.count > submitPhaseMs / jobIntervalMs);
 		// An end waits for the write under way and for its own.
-		t.deepEqual(ends.overdue(2 * writeMs + reportMs), []);
+		t.deepEqual(exits.overdue(2 * writeMs + maxReportWaitMs), []);
 		owner.dispatcher.close();
 	});
 
 test('ends are taken note of while reports wait for the processor of a full owner', async (t) => {
 	let now = (): number => 0;
-	const ends = EndTimes.create(() => now());
-	const made = world.createEnvironment(() => ({ ms: 200, how: 'done' }), ends.journal);
-	now = () => made.clock.now();
-	const { fleet, store, clock } = made;
+	const exits = ExitTimes.create(() => now());
+	const environment = fixtures.createEnvironment(() => ({ ms: 200, how: 'done' }), exits.journal);
+	now = () => environment.clock.now();
+	const { fleet, store, clock } = environment;
 	fleet.add('w1', {}, 1);
-	const owner = await made.takeOver();
+	const owner = await environment.takeOver();
 	await clock.pass(1_200);
 	store.writeMs = 300;
 	fleet.reportDelayMs = 600;
-	for (let at = 0; at < busyMs; at += jobGapMs) {
-		const handedIn = world.job(`job${String(at)}`, [world.step({ count: 3, milliCores: 200 })]);
-		owner.dispatcher.addJob({ ...handedIn, acceptedUnder: owner.ledger.generation });
-		await clock.pass(jobGapMs);
+	for (let at = 0; at < submitPhaseMs; at += jobIntervalMs) {
+		const record = fixtures.job(`job${String(at)}`, [fixtures.step({ count: 3, milliCores: 200 })]);
+		owner.dispatcher.addJob({ ...record, acceptedUnder: owner.ledger.generation });
+		await clock.pass(jobIntervalMs);
 	}
-	t.true(ends.count > busyMs / jobGapMs);
+	t.true(exits.count > submitPhaseMs / jobIntervalMs);
 	// Two reports come late: the one that lists the end, and the one after whose answer it is named.
-	t.deepEqual(ends.overdue(2 * store.writeMs + reportMs + 2 * fleet.reportDelayMs), []);
+	t.deepEqual(exits.overdue(2 * store.writeMs + maxReportWaitMs + 2 * fleet.reportDelayMs), []);
 	owner.dispatcher.close();
 });
 
 test('ends are taken note of on a worker that answers no stops while the start of a lost run is in doubt there', async (t) => {
 	let now = (): number => 0;
-	const ends = EndTimes.create(() => now());
-	const made = world.createEnvironment(() => ({ ms: 'endless', how: 'done' }), ends.journal);
-	now = () => made.clock.now();
-	const { clock, fleet, submit } = made;
+	const exits = ExitTimes.create(() => now());
+	const environment = fixtures.createEnvironment(() => ({ ms: 'endless', how: 'done' }), exits.journal);
+	now = () => environment.clock.now();
+	const { clock, fleet, submit } = environment;
 	const w1 = fleet.add('w1', {}, 1);
-	const owner = await made.takeOver();
-	await submit(owner, world.job('running', [world.step({ count: 3 })]));
+	const owner = await environment.takeOver();
+	await submit(owner, fixtures.job('running', [fixtures.step({ count: 3 })]));
 	await clock.pass(1_200);
 	w1.fault = 'silent';
-	await submit(owner, world.job('unanswered', [world.step()]));
+	await submit(owner, fixtures.job('unanswered', [fixtures.step()]));
 	// Its leases run out, so what ran there has lapsed, and the start that was not answered is in doubt.
-	await clock.pass(world.maxLeaseMs + 2_000);
-	t.is(ends.count, 3);
+	await clock.pass(fixtures.maxLeaseMs + 2_000);
+	t.is(exits.count, 3);
 	w1.ignoresStops = true;
 	w1.fault = 'none';
-	await clock.pass(2 * reportMs);
+	await clock.pass(2 * maxReportWaitMs);
 	t.is(owner.dispatcher.load().listedEnds, 0);
 	t.deepEqual(w1.ended, []);
 	owner.dispatcher.close();
 });
 
 test('a box takes note of ends while each report brings new ones and its store is slow', async (t) => {
-	const ends = EndTimes.create(() => performance.now());
-	const { platform, start } = await real.setUp(t, {
+	const exits = ExitTimes.create(() => performance.now());
+	const { platform, start } = await realBoxes.setUp(t, {
 		plan: () => ({ ms: 100, how: 'done' }),
-		journal: ends.journal,
+		journal: exits.journal,
 	});
 	const box = await start('entry-1');
 	await box.logged((line) => line.name === 'owner.taken');
-	await real.call(box.callers, 'POST', '00000000000000ff', real.jobBody);
-	await real.waitUntilCompleted(box, '00000000000000ff');
+	await realBoxes.call(box.callers, 'POST', '00000000000000ff', realBoxes.jobBody);
+	await realBoxes.waitUntilCompleted(box, '00000000000000ff');
 	platform.store.writeMs = 300;
 	const until = performance.now() + 5_000;
-	const replies: Promise<real.Reply>[] = [];
+	const replies: Promise<realBoxes.Reply>[] = [];
 	while (performance.now() < until) {
 		const id = replies.length.toString(16).padStart(16, '0');
-		replies.push(real.call(box.callers, 'POST', id, real.jobBody));
-		await new Promise((resolve) => setTimeout(resolve, jobGapMs));
+		replies.push(realBoxes.call(box.callers, 'POST', id, realBoxes.jobBody));
+		await new Promise((resolve) => setTimeout(resolve, jobIntervalMs));
 	}
-	const overdue = ends.overdue(2 * platform.store.writeMs + reportMs);
+	const overdue = exits.overdue(2 * platform.store.writeMs + maxReportWaitMs);
 	const statuses = (await Promise.all(replies)).map((reply) => reply.status);
 	t.deepEqual(
 		statuses.filter((status) => status !== 200),
 		[],
 	);
-	t.true(ends.count > replies.length);
+	t.true(exits.count > replies.length);
 	t.deepEqual(overdue, []);
 });
--- a/test/unstored-progress.test.ts
+++ b/test/unstored-progress.test.ts
@@ -2,18 +2,18 @@
 import test from 'ava';
 import * as fixtures from './fixtures/progress.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
-import * as world from './fixtures/dispatching.js';
+import * as dispatching from './fixtures/dispatching.js';
 import type * as jobs from '../src/core/jobs/index.js';
 import type * as saver from '../src/core/dispatch/progress-saver.js';
 import type * as ledger from '../src/core/ledger/index.js';
 
 /** A calm store takes ends within this time, in milliseconds: half of the shortest time that operators allow. */
-const boundMs = 2_000;
+const maxStoreMs = 2_000;
 
 /** A refused job is tried again after so long, in milliseconds. */
-const asideMs = 5_000;
+const retryIntervalMs = 5_000;
 
-const reportGapMs = 50;
+const reportIntervalMs = 50;
 
 /** A saver whose writes take `writeMs`; `outcomeOf`: what becomes of a batch. */
 function createSaver(
@@ -29,46 +29,49 @@
 
 test('a refused job that workers go on reporting costs one write each time it is tried again', async (t) => {
 	const clock = time.VirtualClock.create();
-	const lengthMs = 20_000;
+	const durationMs = 20_000;
 	const refusedAt: number[] = [];
-	const sizes: number[] = [];
-	const progress = createSaver(clock, 20, (ids) => {
+	const batchSizes: number[] = [];
+	const progressSaver = createSaver(clock, 20, (ids) => {
 		if (ids.includes('refused')) {
 			refusedAt.push(clock.now());
 			return 'refused';
 		}
-		sizes.push(ids.length);
+		batchSizes.push(ids.length);
 		return 'committed';
 	});
 	const refused = fixtures.createJob('refused', clock.now());
-	const sound = fixtures.createJobs(60, clock.now());
-	for (let at = 0; at < lengthMs; at += reportGapMs) {
-		for (const job of [refused, ...sound]) progress.mark(job);
-		await clock.pass(reportGapMs);
+	const healthy = fixtures.createJobs(60, clock.now());
+	for (let at = 0; at < durationMs; at += reportIntervalMs) {
+		for (const job of [refused, ...healthy]) progressSaver.mark(job);
+		await clock.pass(reportIntervalMs);
 	}
 	// The first time it stands in a whole batch, which is halved until it is alone.
-	const findingIt = Math.ceil(Math.log2(15)) + 1;
-	t.true(refusedAt.length <= findingIt + lengthMs / asideMs, `${String(refusedAt.length)} refused writes`);
-	const mean = sizes.reduce((sum, one) => sum + one, 0) / sizes.length;
+	const isolatingWrites = Math.ceil(Math.log2(15)) + 1;
+	t.true(
+		refusedAt.length <= isolatingWrites + durationMs / retryIntervalMs,
+		`${String(refusedAt.length)} refused writes`,
+	);
+	const mean = batchSizes.reduce((sum, one) => sum + one, 0) / batchSizes.length;
 	t.true(mean >= 10, `${mean.toFixed(1)} records in the mean write`);
-	progress.close();
+	progressSaver.close();
 });
 
 test('ends of a refused job do not count as stored while it is set aside', async (t) => {
 	const clock = time.VirtualClock.create();
 	let isRefused = true;
-	const progress = createSaver(clock, 20, () => (isRefused ? 'refused' : 'committed'));
+	const progressSaver = createSaver(clock, 20, () => (isRefused ? 'refused' : 'committed'));
 	const job = fixtures.createJob('job1', clock.now());
-	progress.mark(job);
+	progressSaver.mark(job);
 	await clock.pass(200);
 	let isStored = false;
-	void progress.whenStored([job]).then(() => (isStored = true));
-	await clock.pass(asideMs / 2);
+	void progressSaver.whenStored([job]).then(() => (isStored = true));
+	await clock.pass(retryIntervalMs / 2);
 	t.false(isStored);
 	isRefused = false;
-	await clock.pass(asideMs);
+	await clock.pass(retryIntervalMs);
 	t.true(isStored);
-	progress.close();
+	progressSaver.close();
 });
 
 for (const { perS, writeMs } of [
@@ -77,38 +80,38 @@
 ])
 	test(`a job with ended tasks is stored in time while ${String(perS)} jobs a second end and a write takes ${String(writeMs)} ms`, async (t) => {
 		const clock = time.VirtualClock.create();
-		const progress = createSaver(clock, writeMs);
-		const gapMs = 1_000 / perS;
+		const progressSaver = createSaver(clock, writeMs);
+		const exitIntervalMs = 1_000 / perS;
 		let ended = 0;
 		const endJobs = async (forMs: number): Promise<void> => {
-			for (let at = 0; at < forMs; at += gapMs) {
+			for (let at = 0; at < forMs; at += exitIntervalMs) {
 				const job = fixtures.createJob(`ended${String((ended += 1))}`, clock.now());
 				job.state = 'completed';
-				progress.mark(job);
-				await clock.pass(gapMs);
+				progressSaver.mark(job);
+				await clock.pass(exitIntervalMs);
 			}
 		};
 		await endJobs(1_000);
 		const running = fixtures.createJob('running', clock.now());
 		const markedAt = clock.now();
-		progress.mark(running);
+		progressSaver.mark(running);
 		let storedAt = Infinity;
-		void progress.whenStored([running]).then(() => (storedAt = clock.now()));
+		void progressSaver.whenStored([running]).then(() => (storedAt = clock.now()));
 		await endJobs(10_000);
 		const tookMs = storedAt - markedAt;
-		t.true(tookMs <= boundMs, `${String(tookMs)} ms`);
-		progress.close();
+		t.true(tookMs <= maxStoreMs, `${String(tookMs)} ms`);
+		progressSaver.close();
 	});
 
 test('ends of hundreds of jobs that go on changing are stored in time where a write takes 300 ms', async (t) => {
 	const clock = time.VirtualClock.create();
-	const progress = createSaver(clock, 300);
+	const progressSaver = createSaver(clock, 300);
 	const running = fixtures.createJobs(500, clock.now());
 	let longestMs = 0;
 	const mark = async (job: jobs.ActiveJob): Promise<void> => {
 		const markedAt = clock.now();
-		progress.mark(job);
-		await progress.whenStored([job]);
+		progressSaver.mark(job);
+		await progressSaver.whenStored([job]);
 		longestMs = Math.max(longestMs, clock.now() - markedAt);
 	};
 	for (let round = 0; round < 20; round += 1) {
@@ -116,15 +119,18 @@
 		await clock.pass(500);
 	}
 	await clock.pass(5_000);
-	t.true(longestMs <= boundMs, `${String(longestMs)} ms`);
-	progress.close();
+	t.true(longestMs <= maxStoreMs, `${String(longestMs)} ms`);
+	progressSaver.close();
 });
 
 test('an end that reports list again and again while it is being stored is stored once', async (t) => {
-	const { clock, store, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 300, how: 'done' }));
+	const { clock, store, fleet, takeOver, submit } = dispatching.createEnvironment(() => ({
+		ms: 300,
+		how: 'done',
+	}));
 	fleet.add('w1', {}, 1);
 	const owner = await takeOver();
-	await submit(owner, world.job('job1', [world.step()]));
+	await submit(owner, dispatching.job('job1', [dispatching.step()]));
 	await clock.pass(200);
 	store.writeMs = 2_000;
 	const before = store.writes;
--- a/test/unworkable-jobs.test.ts
+++ b/test/unworkable-jobs.test.ts
@@ -3,35 +3,38 @@
 import * as jobBody from '../platform/job-body.js';
 import * as ledger from '../src/core/ledger/index.js';
 import * as wire from '../src/core/wire/frame.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as jobs from '../src/core/jobs/index.js';
 
-const brief = { ms: 300, how: 'done' as const };
+const shortRun = { ms: 300, how: 'done' as const };
 
 /** A job that would have to be open a thousand million times at once. */
-function endless(id: string): jobs.JobRecord {
+function jobWithTooManyOccurrences(id: string): jobs.JobRecord {
 	const schedule = { times: 1_000_000_000, firstAt: 0, intervalMs: 0 };
-	return world.job(id, [world.step()], { schedule });
+	return fixtures.job(id, [fixtures.step()], { schedule });
 }
 
 const unworkable: [string, Uint8Array][] = [
 	['bytes that are no record', Buffer.from([0xff, 0x00, 0x7b])],
 	['a record of another form', wire.encodeValue({ id: 'bad', steps: 'none' })],
-	['more times than can be held', wire.encodeValue(endless('bad'))],
-	['more tasks than can be held', wire.encodeValue(world.job('bad', [world.step({ count: 2_000_000 })]))],
+	['more times than can be held', wire.encodeValue(jobWithTooManyOccurrences('bad'))],
+	[
+		'more tasks than can be held',
+		wire.encodeValue(fixtures.job('bad', [fixtures.step({ count: 2_000_000 })])),
+	],
 ];
 
 for (const [title, value] of unworkable)
 	test(`owners go on beside a stored job of ${title}`, async (t) => {
-		const made = world.createEnvironment(() => brief);
-		made.fleet.add('w1');
-		const first = await made.takeOver();
-		await made.clock.pass(1_000);
-		made.store.put(ledger.keys.jobKey('bad'), value);
+		const environment = fixtures.createEnvironment(() => shortRun);
+		environment.fleet.add('w1');
+		const first = await environment.takeOver();
+		await environment.clock.pass(1_000);
+		environment.store.put(ledger.keys.jobKey('bad'), value);
 		first.dispatcher.close();
-		const second = await made.takeOver();
-		await made.submit(second, world.job('good', [world.step()]));
-		await made.clock.pass(2_000);
+		const second = await environment.takeOver();
+		await environment.submit(second, fixtures.job('good', [fixtures.step()]));
+		await environment.clock.pass(2_000);
 		t.is(second.dispatcher.stateOf('good'), 'completed');
 		t.deepEqual(
 			second.events.select((event) => event.name === 'job.unreadable').map((event) => event.fields.job),
@@ -41,21 +44,21 @@
 	});
 
 test('owners go on beside a job of which the progress is unreadable, and do not run it anew', async (t) => {
-	const made = world.createEnvironment(() => brief);
-	made.fleet.add('w1');
-	const first = await made.takeOver();
-	await made.submit(first, world.job('bad', [world.step()]));
-	await made.clock.pass(2_000);
+	const environment = fixtures.createEnvironment(() => shortRun);
+	environment.fleet.add('w1');
+	const first = await environment.takeOver();
+	await environment.submit(first, fixtures.job('bad', [fixtures.step()]));
+	await environment.clock.pass(2_000);
 	first.dispatcher.close();
-	made.store.put(ledger.keys.progressKey('bad'), Buffer.from([0xff]));
-	const second = await made.takeOver();
-	await made.submit(second, world.job('good', [world.step()]));
-	await made.clock.pass(2_000);
+	environment.store.put(ledger.keys.progressKey('bad'), Buffer.from([0xff]));
+	const second = await environment.takeOver();
+	await environment.submit(second, fixtures.job('good', [fixtures.step()]));
+	await environment.clock.pass(2_000);
 	t.is(second.dispatcher.stateOf('good'), 'completed');
-	t.is(made.fleet.starts.filter((one) => one.task.startsWith('bad')).length, 1);
+	t.is(environment.fleet.starts.filter((one) => one.task.startsWith('bad')).length, 1);
 	// It is there, and nothing can be said of it.
-	const reading = ledger.readJob(made.store.view(), 'bad');
-	await made.clock.pass(50);
+	const reading = ledger.readJob(environment.store.view(), 'bad');
+	await environment.clock.pass(50);
 	t.false((await reading).ok);
 	second.dispatcher.close();
 });
--- a/test/upkeep.test.ts
+++ b/test/upkeep.test.ts
@@ -6,33 +6,33 @@
 import * as results from '../src/core/result.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
 import * as upkeep from '../src/core/upkeep/index.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 import type * as fleet from '../src/core/fleet/types.js';
 
 interface Machines {
 	calls: fleet.MachineCalls;
 	states: Map<string, fleet.Machine['state']>;
-	begun: string[];
+	takenDown: string[];
 	/** Most machines down at once. */
-	most: () => number;
+	maxDown: () => number;
 }
 
 /** Machines whose upkeep takes two seconds; the first answer of each order is lost. */
 function createMachines(clock: time.VirtualClock, names: string[]): Machines {
 	const states = new Map<string, fleet.Machine['state']>(names.map((name) => [name, 'up']));
-	const begun: string[] = [];
+	const takenDown: string[] = [];
 	const asked = new Set<string>();
-	let most = 0;
+	let maxDown = 0;
 	const calls: fleet.MachineCalls = {
 		list: () =>
 			Promise.resolve(
 				results.ok([...states].map(([name, state]) => ({ name, pool: 'press', state, worker: `w-${name}` }))),
 			),
 		upkeep: (name) => {
-			if (!begun.includes(name)) {
-				begun.push(name);
+			if (!takenDown.includes(name)) {
+				takenDown.push(name);
 				states.set(name, 'upkeep');
-				most = Math.max(most, [...states.values()].filter((state) => state === 'upkeep').length);
+				maxDown = Math.max(maxDown, [...states.values()].filter((state) => state === 'upkeep').length);
 				clock.after(2_000, () => states.set(name, 'up'));
 			}
 			const isFirst = !asked.has(name);
@@ -41,14 +41,14 @@
 		},
 		move: () => Promise.resolve('impossible'),
 	};
-	return { calls, states, begun, most: () => most };
+	return { calls, states, takenDown, maxDown: () => maxDown };
 }
 
 /** What a test's upkeep is told of workers, and tells of its waves. */
-type UpkeepEnds = Pick<upkeep.UpkeepOptions, 'vacate' | 'report'> & Partial<upkeep.UpkeepOptions>;
+type UpkeepHooks = Pick<upkeep.UpkeepOptions, 'vacate' | 'report'> & Partial<upkeep.UpkeepOptions>;
 
 /** The upkeep of one owner. */
-function createUpkeep(clock: time.VirtualClock, machines: Machines, ends: UpkeepEnds): upkeep.Upkeep {
+function createUpkeep(clock: time.VirtualClock, machines: Machines, hooks: UpkeepHooks): upkeep.Upkeep {
 	return upkeep.Upkeep.create({
 		clock,
 		events: events.EventLog.create('test', clock),
@@ -58,7 +58,7 @@
 		mayAct: () => true,
 		reopen: () => undefined,
 		onFenced: () => undefined,
-		...ends,
+		...hooks,
 	});
 }
 
@@ -69,15 +69,15 @@
 	const running = createUpkeep(clock, machines, {
 		vacate: () => 'empty',
 		report: (wave, state) => {
-			reports.push(`${wave} ${state} after ${machines.begun.length}`);
+			reports.push(`${wave} ${state} after ${machines.takenDown.length}`);
 			return Promise.resolve(true);
 		},
 	});
 	running.add({ number: 7, machines: ['m1', 'm2', 'm3', 'm4'], withinMs: 60_000, maximum: 2 });
 	await clock.pass(20_000);
 	running.close();
-	t.deepEqual([...machines.begun].sort(), ['m1', 'm2', 'm3', 'm4']);
-	t.is(machines.most(), 2);
+	t.deepEqual([...machines.takenDown].sort(), ['m1', 'm2', 'm3', 'm4']);
+	t.is(machines.maxDown(), 2);
 	t.deepEqual(reports, ['7 running after 0', '7 completed after 4']);
 });
 
@@ -91,11 +91,11 @@
 	});
 	running.add({ number: 1, machines: ['m1'], withinMs: 5_000, maximum: 1 });
 	await clock.pass(10_000);
-	t.deepEqual(machines.begun, []);
+	t.deepEqual(machines.takenDown, []);
 	state = 'empty';
 	await clock.pass(3_000);
 	running.close();
-	t.deepEqual(machines.begun, ['m1']);
+	t.deepEqual(machines.takenDown, ['m1']);
 });
 
 test('a worker is vacated, but a step that may miss none keeps its tasks', async (t) => {
@@ -104,11 +104,11 @@
 		fleet: workers,
 		takeOver,
 		submit,
-	} = world.createEnvironment(() => ({ ms: 'endless', how: 'done' }));
+	} = fixtures.createEnvironment(() => ({ ms: 'endless', how: 'done' }));
 	const w1 = workers.add('w1');
 	const owner = await takeOver();
-	await submit(owner, world.job('free', [world.step({ lasting: true })]));
-	await submit(owner, world.job('kept', [world.step({ lasting: true, mayMiss: 0 })]));
+	await submit(owner, fixtures.job('free', [fixtures.step({ lasting: true })]));
+	await submit(owner, fixtures.job('kept', [fixtures.step({ lasting: true, mayMiss: 0 })]));
 	await clock.pass(1_000);
 	t.is(owner.dispatcher.vacate('w1'), 'protected');
 	await clock.pass(1_000);
@@ -125,10 +125,10 @@
 		fleet: workers,
 		takeOver,
 		submit,
-	} = world.createEnvironment(() => ({ ms: 400, how: 'done' }));
+	} = fixtures.createEnvironment(() => ({ ms: 400, how: 'done' }));
 	workers.add('w1');
 	const owner = await takeOver();
-	await submit(owner, world.job('gang', [world.step({ count: 4, milliCores: 10_000, gang: true })]));
+	await submit(owner, fixtures.job('gang', [fixtures.step({ count: 4, milliCores: 10_000, gang: true })]));
 	await clock.pass(1_500);
 	t.is(workers.starts.length, 0);
 	workers.add('w2');
@@ -143,7 +143,7 @@
 
 test('the adviser is asked once at a time, and its tickets run out', async (t) => {
 	const clock = time.VirtualClock.create();
-	const record = world.job('job1', [world.step()]);
+	const record = fixtures.job('job1', [fixtures.step()]);
 	const opts = { cancelled: false, inherited: false, workersStored: true, now: clock.now(), age: 0 };
 	const job = jobs.ActiveJob.create(record, undefined, opts);
 	job.openNextOccurrence(clock.now());
@@ -186,9 +186,9 @@
 	});
 	running.add({ number: 1, machines: ['m1', 'm2'], withinMs: 10_000, maximum: 2 });
 	await clock.pass(3_000);
-	t.deepEqual(machines.begun, []);
+	t.deepEqual(machines.takenDown, []);
 	mayAct = true;
 	await clock.pass(3_000);
-	t.deepEqual(machines.begun, ['m1', 'm2']);
+	t.deepEqual(machines.takenDown, ['m1', 'm2']);
 	running.close();
 });
--- a/test/waiting-log.test.ts
+++ b/test/waiting-log.test.ts
@@ -1,14 +1,14 @@
 /** What the log tells of work that waits: why, and for whom. */
 import test from 'ava';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 
 test('a step that waits is logged once for each reason, with what stands in its way', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 6_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 6_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await submit(owner, world.job('first', [world.step({ milliCores: 32_000 })]));
+	await submit(owner, fixtures.job('first', [fixtures.step({ milliCores: 32_000 })]));
 	await clock.pass(500);
-	await submit(owner, world.job('second', [world.step({ milliCores: 16_000, count: 2 })]));
+	await submit(owner, fixtures.job('second', [fixtures.step({ milliCores: 16_000, count: 2 })]));
 	await clock.pass(3_000);
 	w1.fault = 'silent';
 	await clock.pass(4_500);
@@ -17,11 +17,11 @@
 });
 
 test('a takeover names the workers that it waits for, once a second', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 6_000, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 6_000, how: 'done' }));
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const first = await takeOver();
-	await submit(first, world.job('first', [world.step({ milliCores: 32_000, count: 3 })]));
+	await submit(first, fixtures.job('first', [fixtures.step({ milliCores: 32_000, count: 3 })]));
 	await clock.pass(500);
 	first.dispatcher.close();
 	w2.fault = 'silent';
@@ -35,12 +35,15 @@
 });
 
 test('a step that goes on waiting is told of every few seconds, with why its workers are closed', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 'endless', how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({
+		ms: 'endless',
+		how: 'done',
+	}));
 	fleet.add('w1');
 	const w2 = fleet.add('w2', { draining: true, remainingMs: 60_000 });
 	const owner = await takeOver();
-	await submit(owner, world.job('first', [world.step({ milliCores: 30_000 })]));
-	await submit(owner, world.job('second', [world.step({ milliCores: 16_000, count: 2 })]));
+	await submit(owner, fixtures.job('first', [fixtures.step({ milliCores: 30_000 })]));
+	await submit(owner, fixtures.job('second', [fixtures.step({ milliCores: 16_000, count: 2 })]));
 	await clock.pass(7_000);
 	owner.dispatcher.setWorkers([{ ...w2.entry, draining: false }], [], false);
 	await clock.pass(4_000);
@@ -49,15 +52,15 @@
 });
 
 test('ends that a worker has forgotten unread are told of', async (t) => {
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(() => ({ ms: 100, how: 'done' }));
+	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 100, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await submit(owner, world.job('first', [world.step()]));
+	await submit(owner, fixtures.job('first', [fixtures.step()]));
 	await clock.pass(1_000);
 	w1.fault = 'silent';
-	await submit(owner, world.job('second', [world.step({ count: 2 })]));
+	await submit(owner, fixtures.job('second', [fixtures.step({ count: 2 })]));
 	await clock.pass(300);
-	const token = world.firstToken(1);
+	const token = fixtures.firstToken(1);
 	for (const task of ['lost.0.0.0', 'lost.0.0.1'])
 		w1.start({ task, run: 1, text: '', token, leaseUntil: Infinity, checkpoint: '', ticket: '' });
 	await clock.pass(200);
--- a/test/worker-entries.test.ts
+++ b/test/worker-entries.test.ts
@@ -1,14 +1,14 @@
 /** Entries of the platform's list of workers that others have written: unreadable, incomplete, or of something else. */
 import test from 'ava';
 import * as events from '../src/core/events/index.js';
-import * as lives from '../src/core/fleet/incarnations.js';
+import * as incarnations from '../src/core/fleet/incarnations.js';
 import * as memory from '../stand-ins/fleet/memory-store.js';
-import * as real from './fixtures/real-boxes.js';
+import * as realBoxes from './fixtures/real-boxes.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
 import * as workerEntries from '../platform/worker-list.js';
 import * as workerList from '../src/core/box/worker-list.js';
 
-const good = {
+const validEntry = {
 	service: 'press',
 	address: '10.0.0.1:80',
 	zone: 'rennes',
@@ -18,35 +18,35 @@
 };
 
 /** Entries that name no worker to use, by what is wrong with them. */
-const unusable: Record<string, unknown> = {
+const unusableEntries: Record<string, unknown> = {
 	'no object': 7,
 	'an array': [],
-	'no service': { ...good, service: undefined },
-	'a service of another type': { ...good, service: 4 },
-	'no address': { ...good, address: undefined },
-	'an address without a port': { ...good, address: '10.0.0.1' },
-	'an address that is none': { ...good, address: 'nowhere at all:80' },
-	'an empty address': { ...good, address: '' },
-	'no zone': { ...good, zone: undefined },
-	'a state that is not known': { ...good, state: 'resting' },
-	'no state': { ...good, state: undefined },
-	'no capacity': { ...good, capacity: undefined },
-	'a capacity of another type': { ...good, capacity: 'large' },
-	'less than no capacity': { ...good, capacity: { cpu: -1, mem_mb: 1 } },
-	'labels of another type': { ...good, labels: 'a' },
-	'a time left of another type': { ...good, remaining_ms: 'long' },
-	'a start of another type': { ...good, born: '1796000000000' },
-	'a start that is no whole number': { ...good, born: 0.5 },
+	'no service': { ...validEntry, service: undefined },
+	'a service of another type': { ...validEntry, service: 4 },
+	'no address': { ...validEntry, address: undefined },
+	'an address without a port': { ...validEntry, address: '10.0.0.1' },
+	'an address that is none': { ...validEntry, address: 'nowhere at all:80' },
+	'an empty address': { ...validEntry, address: '' },
+	'no zone': { ...validEntry, zone: undefined },
+	'a state that is not known': { ...validEntry, state: 'resting' },
+	'no state': { ...validEntry, state: undefined },
+	'no capacity': { ...validEntry, capacity: undefined },
+	'a capacity of another type': { ...validEntry, capacity: 'large' },
+	'less than no capacity': { ...validEntry, capacity: { cpu: -1, mem_mb: 1 } },
+	'labels of another type': { ...validEntry, labels: 'a' },
+	'a time left of another type': { ...validEntry, remaining_ms: 'long' },
+	'a start of another type': { ...validEntry, born: '1796000000000' },
+	'a start that is no whole number': { ...validEntry, born: 0.5 },
 };
 
-function bytes(value: unknown): Uint8Array {
+function encodeJson(value: unknown): Uint8Array {
 	return Buffer.from(JSON.stringify(value));
 }
 
 test('an entry of another form names no worker to use', (t) => {
-	t.truthy(workerEntries.decodeWorker('servers/w1', bytes(good)));
-	for (const [what, value] of Object.entries(unusable))
-		t.is(workerEntries.decodeWorker('servers/w1', bytes(value)), undefined, what);
+	t.truthy(workerEntries.decodeWorker('servers/w1', encodeJson(validEntry)));
+	for (const [what, value] of Object.entries(unusableEntries))
+		t.is(workerEntries.decodeWorker('servers/w1', encodeJson(value)), undefined, what);
 	t.is(workerEntries.decodeWorker('servers/w1', Buffer.from([0xff, 0x00, 0x7b])), undefined);
 	t.is(workerEntries.decodeWorker('servers/w1', new Uint8Array(0)), undefined);
 });
@@ -56,8 +56,8 @@
 	const store = memory.MemoryStore.create(clock);
 	const log = events.EventLog.create('test', clock);
 	const told: unknown[] = [];
-	store.put('servers/w1', bytes(good));
-	store.put('servers/w2', bytes(good));
+	store.put('servers/w1', encodeJson(validEntry));
+	store.put('servers/w2', encodeJson(validEntry));
 	const follower = workerList.followWorkers({
 		adapter: workerEntries,
 		store: store.view(),
@@ -74,7 +74,7 @@
 	// The history is gone: the list is read again, with that entry in it.
 	store.forget();
 	await clock.pass(3_000);
-	store.put('servers/w1', bytes(good));
+	store.put('servers/w1', encodeJson(validEntry));
 	await clock.pass(1_000);
 	store.drop('servers/w1');
 	await clock.pass(1_000);
@@ -86,36 +86,40 @@
 test('over a real box: a worker whose entry is unreadable gets nothing new, and what runs there goes on', async (t) => {
 	let endFirst = (): void => undefined;
 	const firstEnds = new Promise<void>((resolve) => (endFirst = resolve));
-	const { platform, start } = await real.setUp(t, { plan: () => ({ ms: 1_000, how: 'done' }) });
+	const { platform, start } = await realBoxes.setUp(t, { plan: () => ({ ms: 1_000, how: 'done' }) });
 	const box = await start('entry-1');
 	const first = '00000000000000a1';
 	const second = '00000000000000a2';
-	await real.call(box.callers, 'POST', first, real.jobBody);
+	await realBoxes.call(box.callers, 'POST', first, realBoxes.jobBody);
 	await box.logged((line) => line.name === 'task.placed');
 	const entry = platform.store.keys().find((key) => key.startsWith('servers/')) ?? '';
 	const before = await platform.store.view().get(entry);
 	platform.store.put(entry, Buffer.from([0xff]));
 	await box.logged((line) => line.name === 'wire.rejected');
-	await real.call(box.callers, 'POST', second, real.jobBody);
-	void real.waitUntilEnded(box, first).then(endFirst);
+	await realBoxes.call(box.callers, 'POST', second, realBoxes.jobBody);
+	void realBoxes.waitUntilEnded(box, first).then(endFirst);
 	await firstEnds;
 	const placed = box.lines.filter((line) => line.name === 'task.placed');
 	t.true(placed.every((line) => String(line.fields.task).startsWith(first)));
 	t.is(box.lines.filter((line) => line.name === 'worker.lost').length, 0);
 	platform.store.put(entry, before.ok && before.value !== undefined ? before.value.value : new Uint8Array(0));
-	await real.waitUntilEnded(box, second);
+	await realBoxes.waitUntilEnded(box, second);
 	t.is(box.lines.filter((line) => line.name === 'wire.rejected').length, 1);
 });
 
 test('an entry names one life of a worker, by its name and its start', (t) => {
 	const idOf = (value: unknown): string | undefined =>
-		workerEntries.decodeWorker('servers/i-1', bytes(value))?.id;
-	const [older, first, second] = [idOf(good), idOf({ ...good, born: 5 }), idOf({ ...good, born: 4 })];
+		workerEntries.decodeWorker('servers/i-1', encodeJson(value))?.id;
+	const [older, first, second] = [
+		idOf(validEntry),
+		idOf({ ...validEntry, born: 5 }),
+		idOf({ ...validEntry, born: 4 }),
+	];
 	t.is(older, 'i-1');
 	t.is(new Set([older, first, second]).size, 3);
 	t.deepEqual(
-		[older, first, second].map((id) => lives.nameOf(id ?? '')),
+		[older, first, second].map((id) => incarnations.nameOf(id ?? '')),
 		['i-1', 'i-1', 'i-1'],
 	);
-	t.is(lives.nameOf(lives.idOf('i-1@4', undefined)), 'i-1@4');
+	t.is(incarnations.nameOf(incarnations.idOf('i-1@4', undefined)), 'i-1@4');
 });
--- a/test/worker-silence.test.ts
+++ b/test/worker-silence.test.ts
@@ -7,51 +7,51 @@
 import * as client from '../platform/http-client.js';
 import * as results from '../src/core/result.js';
 import * as settings from '../src/core/dispatch/settings.js';
-import * as silences from '../src/core/dispatch/worker-responsiveness.js';
+import * as workerResponsiveness from '../src/core/dispatch/worker-responsiveness.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
 import * as workerCalls from '../platform/worker-calls.js';
-import * as world from './fixtures/dispatching.js';
+import * as fixtures from './fixtures/dispatching.js';
 
 test('a worker hangs once it has left a connection that it accepted without an answer', async (t) => {
 	const clock = time.VirtualClock.create();
-	const silence = silences.WorkerResponsiveness.create(clock);
-	silence.noteConnected();
+	const responsiveness = workerResponsiveness.WorkerResponsiveness.create(clock);
+	responsiveness.noteConnected();
 	await clock.pass(1_000);
-	t.false(silence.isHanging, 'connections opened before a call failed tell nothing');
-	t.true(silence.noteFailure());
-	t.false(silence.noteFailure());
+	t.false(responsiveness.isHanging, 'connections opened before a call failed tell nothing');
+	t.true(responsiveness.noteFailure());
+	t.false(responsiveness.noteFailure());
 	await clock.pass(1_000);
-	t.false(silence.isHanging, 'it may have gone down at that moment');
-	silence.noteConnected();
-	t.false(silence.isHanging, 'the answer may be on its way');
+	t.false(responsiveness.isHanging, 'it may have gone down at that moment');
+	responsiveness.noteConnected();
+	t.false(responsiveness.isHanging, 'the answer may be on its way');
 	await clock.pass(300);
-	t.true(silence.isHanging);
-	silence.noteAnswer();
-	silence.noteFailure();
-	silence.noteConnected();
-	silence.notePollFailed();
+	t.true(responsiveness.isHanging);
+	responsiveness.noteAnswer();
+	responsiveness.noteFailure();
+	responsiveness.noteConnected();
+	responsiveness.notePollFailed();
 	await clock.pass(1_000);
-	t.false(silence.isHanging, 'a connection that breaks at once is what a crash leaves');
-	silence.noteConnected();
+	t.false(responsiveness.isHanging, 'a connection that breaks at once is what a crash leaves');
+	responsiveness.noteConnected();
 	await clock.pass(1_000);
-	silence.notePollFailed();
-	t.true(silence.isHanging);
-	silence.noteAnswer();
-	t.false(silence.isHanging);
-	t.is(silence.firstFailureAt, undefined);
+	responsiveness.notePollFailed();
+	t.true(responsiveness.isHanging);
+	responsiveness.noteAnswer();
+	t.false(responsiveness.isHanging);
+	t.is(responsiveness.firstFailureAt, undefined);
 });
 
 test('a worker that refuses questions is not asked again and again without a pause', async (t) => {
-	const { clock, fleet, takeOver } = world.createEnvironment(() => ({ ms: 100, how: 'done' }));
+	const { clock, fleet, takeOver } = fixtures.createEnvironment(() => ({ ms: 100, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	let asked = 0;
+	let polls = 0;
 	w1.hold = () => {
-		asked += 1;
+		polls += 1;
 		return results.fail({ kind: 'refused', status: 503 });
 	};
 	await clock.pass(5_000);
-	t.true(asked <= 5_000 / settings.pollRetryMs, `${String(asked)} times in five seconds`);
+	t.true(polls <= 5_000 / settings.pollRetryMs, `${String(polls)} times in five seconds`);
 	owner.dispatcher.close();
 });
 
@@ -65,7 +65,7 @@
 	const { port } = server.address() as net.AddressInfo;
 	const calls = workerCalls.workerCalls(client.JsonClient.create());
 	const target = { id: 'w1', address: `127.0.0.1:${String(port)}` };
-	const ask = async (): Promise<[isOk: boolean, connections: number]> => {
+	const poll = async (): Promise<[isOk: boolean, connections: number]> => {
 		let connections = 0;
 		const onConnected = (): void => void (connections += 1);
 		const res = await calls.requestReport(target, { token: 1, acknowledgeUpTo: 0, waitMs: 0, onConnected });
@@ -73,14 +73,14 @@
 		await timers.setImmediate();
 		return [res.ok, connections];
 	};
-	t.deepEqual(await ask(), [true, 1]);
-	t.deepEqual(await ask(), [true, 0], 'the connection is kept');
+	t.deepEqual(await poll(), [true, 1]);
+	t.deepEqual(await poll(), [true, 0], 'the connection is kept');
 	answers = false;
-	t.deepEqual(await ask(), [false, 0]);
-	t.deepEqual(await ask(), [false, 1], 'it is up, and hangs');
+	t.deepEqual(await poll(), [false, 0]);
+	t.deepEqual(await poll(), [false, 1], 'it is up, and hangs');
 	server.closeAllConnections();
 	server.close();
 	await events.once(server, 'close');
-	t.deepEqual(await ask(), [false, 0], 'nobody listens');
+	t.deepEqual(await poll(), [false, 0], 'nobody listens');
 	calls.forget(target);
 });
