--- a/dev/soak/box-client.ts
+++ b/dev/soak/box-client.ts
@@ -1,14 +1,14 @@
 /** HTTP as callers speak it to boxes; connections stay open as long as a box's process lives. */
 import * as undici from 'undici';
 import * as random from '../random.js';
-import * as worlds from './world.js';
-import type * as judges from './judge.js';
+import * as environments from './world.js';
+import type * as checkers from './judge.js';
 
 /** A caller waits so long for an answer, in milliseconds. */
-const patienceMs = 3_000;
+const answerTimeoutMs = 3_000;
 
 /** Connections to one process. */
-const connections = 4;
+const connectionsPerProcess = 4;
 
 /** Errors of connections that the kernel of the other side resets. */
 const resetCodes = new Set(['ECONNRESET', 'EPIPE']);
@@ -23,10 +23,10 @@
 
 /** What a client uses. */
 export interface BoxClientOptions {
-	world: Pick<worlds.World, 'boxes' | 'now'>;
-	judge: judges.Judge;
+	environment: Pick<environments.Environment, 'boxes' | 'now'>;
+	checker: checkers.InvariantChecker;
 	/** Decides which box is asked. */
-	next: () => number;
+	nextRandom: () => number;
 }
 
 /** The connections of one caller. */
@@ -40,36 +40,37 @@
 	}
 
 	/** One request to one box. */
-	async send(box: worlds.SoakBox, method: Method, path: string, body?: object): Promise<Reply> {
-		const { world, judge } = this.opts;
+	async send(box: environments.SoakBox, method: Method, path: string, body?: object): Promise<Reply> {
+		const { environment, checker } = this.opts;
 		const { process } = box;
 		if (process === undefined) return { status: undefined, body: {} };
-		const sentAt = world.now();
-		const headers = { host: worlds.host, 'content-type': 'application/json' };
+		const sentAt = environment.now();
+		const headers = { host: environments.host, 'content-type': 'application/json' };
 		let writtenAt: number | undefined;
-		const noting = noteWrite(() => {
-			writtenAt = world.now();
+		const writeObserver = observeWrite(() => {
+			writtenAt = environment.now();
 		});
 		try {
 			const res = await this.pool(process.callers)
-				.compose(noting)
+				.compose(writeObserver)
 				.request({
 					method,
 					path,
 					headers,
 					body: body === undefined ? null : JSON.stringify(body),
-					headersTimeout: patienceMs,
-					bodyTimeout: patienceMs,
+					headersTimeout: answerTimeoutMs,
+					bodyTimeout: answerTimeoutMs,
 				});
-			return { status: res.statusCode, body: parse(await res.body.text()) };
+			return { status: res.statusCode, body: parseBody(await res.body.text()) };
 		} catch (err) {
 			const { code = '' } = err as NodeJS.ErrnoException;
 			// A planned stop of the very process that was asked closed its connection.
 			if (box.stopping === process && isCutOff(code, writtenAt !== undefined)) {
-				const writtenMs = writtenAt === undefined ? 'never' : `${Math.round(world.now() - writtenAt)} ms ago`;
-				const sentMs = Math.round(world.now() - sentAt);
+				const writtenMs =
+					writtenAt === undefined ? 'never' : `${Math.round(environment.now() - writtenAt)} ms ago`;
+				const sentMs = Math.round(environment.now() - sentAt);
 				const detail = `${sentMs} ms after it was sent, written ${writtenMs}: ${String(err)}`;
-				judge.report('cut', `${box.name} ${method} ${path}, ${detail}`);
+				checker.reportViolation('cut', `${box.name} ${method} ${path}, ${detail}`);
 			}
 			return { status: undefined, body: {} };
 		}
@@ -81,14 +82,14 @@
 
 	/** One request to any box. */
 	sendAnywhere(method: Method, path: string, body?: object): Promise<Reply> {
-		return this.send(random.pick(this.opts.next, this.opts.world.boxes), method, path, body);
+		return this.send(random.pick(this.opts.nextRandom, this.opts.environment.boxes), method, path, body);
 	}
 
-	private pool(callers: string): undici.Pool {
-		const known = this.pools.get(callers);
+	private pool(address: string): undici.Pool {
+		const known = this.pools.get(address);
 		if (known !== undefined) return known;
-		const created = new undici.Pool(`http://${callers}`, { connections });
-		this.pools.set(callers, created);
+		const created = new undici.Pool(`http://${address}`, { connections: connectionsPerProcess });
+		this.pools.set(address, created);
 		return created;
 	}
 }
@@ -102,18 +103,18 @@
 }
 
 /** Tells when a request is written to its connection: until then it waits in the pool, and no box knows of it. */
-function noteWrite(onWrite: () => void): undici.Dispatcher.DispatcherComposeInterceptor {
+function observeWrite(onWrite: () => void): undici.Dispatcher.DispatcherComposeInterceptor {
 	return (dispatch) => (opts, handler) => {
-		const noting: undici.Dispatcher.DispatchHandler = new undici.DecoratorHandler(handler);
-		const pass = noting.onRequestStart?.bind(noting);
-		noting.onRequestStart = (controller, context) => {
+		const observer: undici.Dispatcher.DispatchHandler = new undici.DecoratorHandler(handler);
+		const forward = observer.onRequestStart?.bind(observer);
+		observer.onRequestStart = (controller, context) => {
 			onWrite();
-			pass?.(controller, context);
+			forward?.(controller, context);
 		};
-		return dispatch(opts, noting);
+		return dispatch(opts, observer);
 	};
 }
 
-function parse(text: string): Record<string, unknown> {
+function parseBody(text: string): Record<string, unknown> {
 	return text === '' ? {} : (JSON.parse(text) as Record<string, unknown>);
 }
--- a/dev/soak/box-faults.ts
+++ b/dev/soak/box-faults.ts
@@ -1,41 +1,41 @@
 /** Faults of the boxes' processes. */
 import * as random from '../random.js';
-import type * as worlds from './world.js';
+import type * as environments from './world.js';
 
 /** Where a fault was that was not injected after all. */
-export const nowhere = 'none';
+export const notInjected = 'none';
 
 /** A killed process starts again after so long, in milliseconds. */
-const restartMs = 400;
+const restartDelayMs = 400;
 
 /** A planned stop that lasts longer is killed: the grace that `box-process.ts` tells boxes, in milliseconds. */
-const graceMs = 3_000;
+const stopGraceMs = 3_000;
 
 /** A box that has just started anew is given so long, in milliseconds. */
-const settleStartMs = 1_500;
+const startupMs = 1_500;
 
 /** A series of planned stops has so many at most. */
-const mostStops = 4;
+const maxStops = 4;
 
 /** An owner is killed so often in a row at most. */
-const mostKills = 3;
+const maxKills = 3;
 
 /** From so long to so long after an owner's restart the box that owns then is killed, in milliseconds. */
-const leastOwnedMs = 300;
-const mostOwnedMs = 2_000;
+const minOwnedMs = 300;
+const maxOwnedMs = 2_000;
 
 /**
  * In this part of these faults the others don't reach the store until so long after the restart, in milliseconds: until
  * the lease of the process that was killed (2 s) has run out and the new one has taken over.
  */
-const alonePart = 0.4;
-const aloneMs = 2_200;
+const cutOffFraction = 0.4;
+const cutOffMs = 2_200;
 
 /** Kills a box's process and starts another. */
-export async function kill(world: worlds.World, next: () => number): Promise<string> {
-	const box = pickSound(world, next);
-	if (box === undefined) return nowhere;
-	await restart(world, box);
+export async function kill(environment: environments.Environment, nextRandom: () => number): Promise<string> {
+	const box = pickFaultFree(environment, nextRandom);
+	if (box === undefined) return notInjected;
+	await restart(environment, box);
 	return box.name;
 }
 
@@ -43,76 +43,89 @@
  * Kills the box that owns, and the one that owns then, some times in a row. Now and then the others don't reach the store
  * meanwhile, so that the box that was killed owns again.
  */
-export async function killOwner(world: worlds.World, next: () => number): Promise<string> {
-	const times = random.between(next, 1, mostKills);
-	const isAlone = next() < alonePart;
+export async function killOwner(
+	environment: environments.Environment,
+	nextRandom: () => number,
+): Promise<string> {
+	const count = random.between(nextRandom, 1, maxKills);
+	const areOthersCutOff = nextRandom() < cutOffFraction;
 	const killed: string[] = [];
-	for (let time = 0; time < times; time += 1) {
-		const owner = world.owner();
+	for (let index = 0; index < count; index += 1) {
+		const owner = environment.owner();
 		// A box that is in trouble already may be the last one left, or be started anew by another fault.
-		if (owner !== undefined && isSound(world, owner)) {
-			const others = world.boxes.filter((box) => isAlone && box !== owner);
-			const lifts = others.map((box) => box.store.trouble({ kind: 'freeze' }));
-			for (const box of others) world.troubled(box, restartMs + aloneMs);
-			await restart(world, owner);
-			killed.push(isAlone ? `${owner.name} (others without store)` : owner.name);
-			if (isAlone) await world.sleep(aloneMs);
-			for (const lift of lifts) lift();
+		if (owner !== undefined && isFaultFree(environment, owner)) {
+			const others = environment.boxes.filter((box) => areOthersCutOff && box !== owner);
+			const undos = others.map((box) => box.store.trouble({ kind: 'freeze' }));
+			for (const box of others) environment.noteFault(box, restartDelayMs + cutOffMs);
+			await restart(environment, owner);
+			killed.push(areOthersCutOff ? `${owner.name} (others without store)` : owner.name);
+			if (areOthersCutOff) await environment.sleep(cutOffMs);
+			for (const undo of undos) undo();
 		}
-		await world.sleep(random.between(next, leastOwnedMs, mostOwnedMs));
+		await environment.sleep(random.between(nextRandom, minOwnedMs, maxOwnedMs));
 	}
-	return killed.length === 0 ? nowhere : killed.join(', ');
+	return killed.length === 0 ? notInjected : killed.join(', ');
 }
 
 /** Stops a box as planned and starts it anew; killed if it takes longer than its grace. */
-export async function stop(world: worlds.World, next: () => number): Promise<string> {
-	const box = pickSound(world, next);
-	if (box?.process === undefined) return nowhere;
+export async function stop(environment: environments.Environment, nextRandom: () => number): Promise<string> {
+	const box = pickFaultFree(environment, nextRandom);
+	if (box?.process === undefined) return notInjected;
 	const running = box.process;
 	box.stopping = running;
-	box.stoppingUntil = world.now() + graceMs;
-	const killer = setTimeout(() => running.process.kill('SIGKILL'), graceMs);
+	box.plannedStopUntil = environment.now() + stopGraceMs;
+	const killTimer = setTimeout(() => running.process.kill('SIGKILL'), stopGraceMs);
 	await running.kill('SIGTERM');
-	clearTimeout(killer);
-	world.troubled(box, settleStartMs);
-	await world.startBox(box);
+	clearTimeout(killTimer);
+	environment.noteFault(box, startupMs);
+	await environment.startBox(box);
 	return box.name;
 }
 
 /** Stops boxes as planned, one after another: each as the one before it serves again. */
-export async function stopInSeries(world: worlds.World, next: () => number): Promise<string> {
-	const times = random.between(next, 2, mostStops);
+export async function stopInSeries(
+	environment: environments.Environment,
+	nextRandom: () => number,
+): Promise<string> {
+	const count = random.between(nextRandom, 2, maxStops);
 	const stopped: string[] = [];
-	for (let time = 0; time < times; time += 1) stopped.push(await stop(world, next));
+	for (let index = 0; index < count; index += 1) stopped.push(await stop(environment, nextRandom));
 	return stopped.join(', ');
 }
 
 /** Lets a box's process stand still. */
-export async function pause(world: worlds.World, next: () => number, forMs: number): Promise<string> {
-	const box = pickSound(world, next);
-	if (box?.process === undefined) return nowhere;
+export async function pause(
+	environment: environments.Environment,
+	nextRandom: () => number,
+	durationMs: number,
+): Promise<string> {
+	const box = pickFaultFree(environment, nextRandom);
+	if (box?.process === undefined) return notInjected;
 	const { process: paused } = box.process;
-	world.troubled(box, forMs + settleStartMs);
+	environment.noteFault(box, durationMs + startupMs);
 	paused.kill('SIGSTOP');
-	await world.sleep(forMs);
+	await environment.sleep(durationMs);
 	paused.kill('SIGCONT');
 	return box.name;
 }
 
 /** A box without trouble of its own; undefined: the last such box is left alone. */
-export function pickSound(world: worlds.World, next: () => number): worlds.SoakBox | undefined {
-	const sound = world.boxes.filter((box) => isSound(world, box));
-	return sound.length > 1 ? random.pick(next, sound) : undefined;
+export function pickFaultFree(
+	environment: environments.Environment,
+	nextRandom: () => number,
+): environments.SoakBox | undefined {
+	const faultFree = environment.boxes.filter((box) => isFaultFree(environment, box));
+	return faultFree.length > 1 ? random.pick(nextRandom, faultFree) : undefined;
 }
 
 /** Kills a box's process and starts another a little later. */
-async function restart(world: worlds.World, box: worlds.SoakBox): Promise<void> {
-	world.troubled(box, restartMs + settleStartMs);
+async function restart(environment: environments.Environment, box: environments.SoakBox): Promise<void> {
+	environment.noteFault(box, restartDelayMs + startupMs);
 	await box.process?.kill();
-	await world.sleep(restartMs);
-	await world.startBox(box);
+	await environment.sleep(restartDelayMs);
+	await environment.startBox(box);
 }
 
-function isSound(world: worlds.World, box: worlds.SoakBox): boolean {
-	return box.process !== undefined && Math.max(box.troubledUntil, box.stoppingUntil) < world.now();
+function isFaultFree(environment: environments.Environment, box: environments.SoakBox): boolean {
+	return box.process !== undefined && Math.max(box.faultUntil, box.plannedStopUntil) < environment.now();
 }
--- a/dev/soak/callers.ts
+++ b/dev/soak/callers.ts
@@ -1,96 +1,100 @@
 /** Callers: hand jobs in, ask for them, cancel some. */
 import * as crypto from 'node:crypto';
-import * as clients from './box-client.js';
+import * as boxClients from './box-client.js';
 import * as random from '../random.js';
-import type * as judges from './judge.js';
-import * as worlds from './world.js';
+import type * as checkers from './judge.js';
+import * as environments from './world.js';
 
 /** Between two jobs of a caller, and two questions for one, in milliseconds. */
-const betweenJobsMs = 250;
-const betweenQuestionsMs = 200;
+const submissionIntervalMs = 250;
+const pollIntervalMs = 200;
 
 /** Tries to hand a job in, before a caller that was only ever turned away gives up. */
-const mostTries = 8;
+const maxTries = 8;
 
 /** Parts of the jobs that are to be cancelled, and of the questions before which that is done. */
-const cancelledPart = 0.08;
-const cancelNowPart = 0.3;
+const cancelledFraction = 0.08;
+const cancelPerPollFraction = 0.3;
 
 /** How long after a change of the configuration every calm box has to know it, in milliseconds. */
-const configurationMs = 2_000;
+const configurationTimeoutMs = 2_000;
 
 /** Changes of queues that are asked for in turn: older ones every box has told of often enough. */
-const changesAsked = 5;
+const maxChangesChecked = 5;
 
 /** What all callers share. */
 export interface CallersOptions {
-	world: worlds.World;
-	judge: judges.Judge;
-	next: () => number;
+	environment: environments.Environment;
+	checker: checkers.InvariantChecker;
+	nextRandom: () => number;
 	/** Clock time until which new jobs are handed in. */
 	until: number;
 	/** Whether nobody need wait for open jobs any longer. */
-	isOver: () => boolean;
+	isWaitOver: () => boolean;
 }
 
 /** One caller, until the time is over and all its jobs have ended, or nobody need wait for them. */
 export async function call(opts: CallersOptions): Promise<void> {
-	const client = clients.BoxClient.create(opts);
-	const open: Promise<void>[] = [];
-	while (opts.world.now() < opts.until) {
-		open.push(follow(opts, client));
-		await opts.world.sleep(betweenJobsMs);
+	const client = boxClients.BoxClient.create(opts);
+	const followed: Promise<void>[] = [];
+	while (opts.environment.now() < opts.until) {
+		followed.push(followJob(opts, client));
+		await opts.environment.sleep(submissionIntervalMs);
 	}
-	await Promise.all(open);
+	await Promise.all(followed);
 	await client.close();
 }
 
 /** Asks every calm box again and again whether it knows the newest changes of queues. */
 export async function watchConfiguration(opts: CallersOptions): Promise<void> {
-	const { world } = opts;
-	const client = clients.BoxClient.create(opts);
-	while (world.now() < opts.until) {
-		const due = [...world.changes.values()].filter(({ at }) => world.now() - at > configurationMs);
-		for (const change of due.slice(-changesAsked))
-			for (const box of world.boxes) await askForQueue(opts, client, box, change);
-		await world.sleep(betweenQuestionsMs);
+	const { environment } = opts;
+	const client = boxClients.BoxClient.create(opts);
+	while (environment.now() < opts.until) {
+		const due = [...environment.changes.values()].filter(
+			({ at }) => environment.now() - at > configurationTimeoutMs,
+		);
+		for (const change of due.slice(-maxChangesChecked))
+			for (const box of environment.boxes) await checkQueue(opts, client, box, change);
+		await environment.sleep(pollIntervalMs);
 	}
 	await client.close();
 }
 
 /** Asks one box, if it is calm, for a queue that was changed long enough ago. */
-async function askForQueue(
+async function checkQueue(
 	opts: CallersOptions,
-	client: clients.BoxClient,
-	box: worlds.SoakBox,
-	change: worlds.QueueChange,
+	client: boxClients.BoxClient,
+	box: environments.SoakBox,
+	change: environments.QueueChange,
 ): Promise<void> {
-	const { world, judge } = opts;
+	const { environment, checker } = opts;
 	const { prefix, exists } = change;
 	// It was changed again, or the box got into trouble, while others were asked.
-	if (world.changes.get(prefix) !== change || !world.isCalm(box)) return;
+	if (environment.changes.get(prefix) !== change || !environment.isStable(box)) return;
 	const { status } = await client.send(box, 'GET', prefix);
-	if (status === 404 && exists) judge.report('configuration', `${box.name} does not know ${prefix}`);
-	if (status === 200 && !exists) judge.report('configuration', `${box.name} still knows ${prefix}`);
+	if (status === 404 && exists)
+		checker.reportViolation('configuration', `${box.name} does not know ${prefix}`);
+	if (status === 200 && !exists)
+		checker.reportViolation('configuration', `${box.name} still knows ${prefix}`);
 }
 
 /** Hands one job in and follows it to its end. */
-async function follow(opts: CallersOptions, client: clients.BoxClient): Promise<void> {
-	const { world, judge, next } = opts;
-	const job = makeJob(next);
-	const isToCancel = next() < cancelledPart;
-	judge.sent(job);
-	if (!(await submit(opts, client, job))) return;
-	while (!opts.isOver()) {
-		await world.sleep(betweenQuestionsMs);
-		if (isToCancel && !job.cancelled && next() < cancelNowPart) await cancel(client, job);
-		const reply = await client.sendAnywhere('GET', `${worlds.firstQueue}${job.id}`);
-		if (reply.status === 410) judge.report('lost', `${job.id} was accepted and is not known`);
+async function followJob(opts: CallersOptions, client: boxClients.BoxClient): Promise<void> {
+	const { environment, checker, nextRandom } = opts;
+	const job = makeJob(nextRandom);
+	const isToCancel = nextRandom() < cancelledFraction;
+	checker.noteSubmission(job);
+	if (!(await submitJob(opts, client, job))) return;
+	while (!opts.isWaitOver()) {
+		await environment.sleep(pollIntervalMs);
+		if (isToCancel && !job.cancelled && nextRandom() < cancelPerPollFraction) await cancelJob(client, job);
+		const reply = await client.sendAnywhere('GET', `${environments.firstQueue}${job.id}`);
+		if (reply.status === 410) checker.reportViolation('lost', `${job.id} was accepted and is not known`);
 		const { state } = reply.body;
-		if (state === 'completed') judge.toldCompleted(job);
+		if (state === 'completed') checker.noteReportedCompleted(job);
 		if (state === 'completed' || state === 'cancelled' || job.cancelled) return;
 		if (state === 'failed') {
-			if (!judge.mayFail(job)) judge.report('lost', `${job.id} is shown as failed`);
+			if (!checker.mayFail(job)) checker.reportViolation('lost', `${job.id} is shown as failed`);
 			job.failed = true;
 			return;
 		}
@@ -98,34 +102,34 @@
 }
 
 /** Hands a job in, again and again while it may not be kept; false: given up. */
-async function submit(
+async function submitJob(
 	opts: CallersOptions,
-	client: clients.BoxClient,
-	job: judges.SoakJob,
+	client: boxClients.BoxClient,
+	job: checkers.SoakJob,
 ): Promise<boolean> {
-	const { world, judge } = opts;
-	const body = { spec: 'soak', steps: spellSteps(job) };
-	for (let tries = 0; !opts.isOver(); tries += 1) {
-		if (tries >= mostTries && !job.unknown) return false;
-		const reply = await client.sendAnywhere('POST', `${worlds.firstQueue}${job.id}`, body);
+	const { environment, checker } = opts;
+	const body = { spec: 'soak', steps: toWireSteps(job) };
+	for (let tries = 0; !opts.isWaitOver(); tries += 1) {
+		if (tries >= maxTries && !job.mayBeAccepted) return false;
+		const reply = await client.sendAnywhere('POST', `${environments.firstQueue}${job.id}`, body);
 		if (reply.status === 200) {
-			judge.accepted(job);
+			checker.accepted(job);
 			return true;
 		}
-		if (reply.status === undefined || reply.status === 502 || reply.status === 504) job.unknown = true;
-		await world.sleep(betweenQuestionsMs);
+		if (reply.status === undefined || reply.status === 502 || reply.status === 504) job.mayBeAccepted = true;
+		await environment.sleep(pollIntervalMs);
 	}
 	return false;
 }
 
 /** Cancels a job; it counts as cancelled unless an answer says that it is not. */
-async function cancel(client: clients.BoxClient, job: judges.SoakJob): Promise<void> {
-	const reply = await client.sendAnywhere('DELETE', `${worlds.firstQueue}${job.id}`);
+async function cancelJob(client: boxClients.BoxClient, job: checkers.SoakJob): Promise<void> {
+	const reply = await client.sendAnywhere('DELETE', `${environments.firstQueue}${job.id}`);
 	job.cancelled = reply.status === 200 || reply.status === undefined || reply.status === 504;
 }
 
 /** A job's steps on the wire. */
-function spellSteps(job: judges.SoakJob): object[] {
+function toWireSteps(job: checkers.SoakJob): object[] {
 	return job.steps.map((step) => ({
 		count: step.tasks,
 		cpu: step.milliCores,
@@ -136,19 +140,19 @@
 }
 
 /** A job of one to three steps in a row. */
-function makeJob(next: () => number): judges.SoakJob {
+function makeJob(nextRandom: () => number): checkers.SoakJob {
 	const id = crypto.randomBytes(8).toString('hex');
-	const steps = Array.from({ length: random.between(next, 1, 3) }, (_, number) => ({
-		tasks: random.between(next, 1, 6),
-		milliCores: random.between(next, 500, 12_000),
+	const steps = Array.from({ length: random.between(nextRandom, 1, 3) }, (_, number) => ({
+		tasks: random.between(nextRandom, 1, 6),
+		milliCores: random.between(nextRandom, 500, 12_000),
 		after: number === 0 ? [] : [number - 1],
 	}));
-	const times = { sentAt: 0, acceptedAt: 0, movedAt: 0 };
+	const times = { sentAt: 0, acceptedAt: 0, lastProgressAt: 0 };
 	return {
 		id,
 		steps,
 		accepted: false,
-		unknown: false,
+		mayBeAccepted: false,
 		cancelled: false,
 		completed: false,
 		failed: false,
--- a/dev/soak/far-callers.ts
+++ b/dev/soak/far-callers.ts
@@ -6,25 +6,25 @@
 import * as listening from '../../src/cli/box/listening.js';
 import * as random from '../random.js';
 import type * as boxes from '../../stand-ins/box-process.js';
-import type * as judges from './judge.js';
-import * as worlds from './world.js';
+import type * as checkers from './judge.js';
+import * as environments from './world.js';
 
 /** From a caller to a box, one way, in milliseconds: of one that is near, and of one that is far. */
 const delaysMs = [0, 20, 40];
 
 /** A connection is left unused for so long at most before its first request, and from so long to so long between two, in milliseconds. */
-const mostAheadMs = 3_000;
-const leastPauseMs = 300;
-const mostPauseMs = 4_000;
+const maxIdleBeforeFirstMs = 3_000;
+const minIdleMs = 300;
+const maxIdleMs = 4_000;
 
 /** A caller waits so long for an answer, in milliseconds. */
-const patienceMs = 3_000;
+const answerTimeoutMs = 3_000;
 
 /** What the callers share. */
-export interface FarCallersOptions {
-	world: worlds.World;
-	judge: judges.Judge;
-	next: () => number;
+export interface DelayedCallersOptions {
+	environment: environments.Environment;
+	checker: checkers.InvariantChecker;
+	nextRandom: () => number;
 	/** Clock time until which requests are sent. */
 	until: number;
 }
@@ -33,43 +33,46 @@
 type Outcome = 'answered' | 'cut' | 'no-answer';
 
 /** One caller, one connection after another, until the time is over. */
-export async function call(opts: FarCallersOptions): Promise<void> {
-	const { world, next, until } = opts;
-	const delayMs = random.pick(next, delaysMs);
-	while (world.now() < until) {
-		const box = random.pick(next, world.boxes);
-		const connection = box.process && (await FarConnection.create(box.process.callers, delayMs));
+export async function call(opts: DelayedCallersOptions): Promise<void> {
+	const { environment, nextRandom, until } = opts;
+	const delayMs = random.pick(nextRandom, delaysMs);
+	while (environment.now() < until) {
+		const box = random.pick(nextRandom, environment.boxes);
+		const connection = box.process && (await DelayedConnection.create(box.process.callers, delayMs));
 		if (box.process === undefined || connection === undefined)
-			await world.sleep(random.between(next, 0, leastPauseMs));
+			await environment.sleep(random.between(nextRandom, 0, minIdleMs));
 		else await useConnection(opts, box, box.process, connection);
 	}
 }
 
 /** Sends requests over one connection, with pauses, until the other side ends it. */
 async function useConnection(
-	opts: FarCallersOptions,
-	box: worlds.SoakBox,
+	opts: DelayedCallersOptions,
+	box: environments.SoakBox,
 	process: boxes.BoxProcess,
-	connection: FarConnection,
+	connection: DelayedConnection,
 ): Promise<void> {
-	const { world, judge, next, until } = opts;
-	await world.sleep(random.between(next, 0, mostAheadMs));
-	while (world.now() < until && !connection.hasEnded) {
-		const outcome = await connection.ask(worlds.firstQueue);
+	const { environment, checker, nextRandom, until } = opts;
+	await environment.sleep(random.between(nextRandom, 0, maxIdleBeforeFirstMs));
+	while (environment.now() < until && !connection.hasEnded) {
+		const outcome = await connection.request(environments.firstQueue);
 		if (outcome === 'cut' && box.stopping === process)
-			judge.report('cut', `${box.name} GET ${worlds.firstQueue}, from ${connection.delayMs} ms away`);
+			checker.reportViolation(
+				'cut',
+				`${box.name} GET ${environments.firstQueue}, from ${connection.delayMs} ms away`,
+			);
 		if (outcome !== 'answered') break;
-		await world.sleep(random.between(next, leastPauseMs, mostPauseMs));
+		await environment.sleep(random.between(nextRandom, minIdleMs, maxIdleMs));
 	}
 	connection.close();
 }
 
 /** A connection on which everything takes a while, either way. */
-class FarConnection {
+class DelayedConnection {
 	/** Whether its end has reached the caller. */
 	hasEnded = false;
 	private received = '';
-	private isAsking = false;
+	private isAwaitingAnswer = false;
 	private notify: () => void = () => undefined;
 
 	private constructor(
@@ -78,17 +81,17 @@
 	) {}
 
 	/** Undefined: the address takes no connection. */
-	static create(address: string, delayMs: number): Promise<FarConnection | undefined> {
+	static create(address: string, delayMs: number): Promise<DelayedConnection | undefined> {
 		// What a far caller sends may still arrive after the other side has ended the connection.
 		const socket = net.connect({ ...listening.toListenOptions(address), allowHalfOpen: true });
-		const connection = new FarConnection(socket, delayMs);
+		const connection = new DelayedConnection(socket, delayMs);
 		return new Promise((resolve) => {
 			socket.once('connect', () => {
 				resolve(connection);
 			});
 			socket.on('data', (chunk: Buffer) => {
 				connection.later(() => {
-					connection.take(chunk.toString('utf8'));
+					connection.receive(chunk.toString('utf8'));
 				});
 			});
 			socket.on('error', () => {
@@ -102,18 +105,21 @@
 	}
 
 	/** Sends one request and waits for its answer. */
-	async ask(path: string): Promise<Outcome> {
+	async request(path: string): Promise<Outcome> {
 		this.received = '';
-		this.isAsking = true;
+		this.isAwaitingAnswer = true;
 		const sentAt = performance.now();
-		setTimeout(() => this.socket.write(`GET ${path} HTTP/1.1\r\nhost: ${worlds.host}\r\n\r\n`), this.delayMs);
-		while (!isWhole(this.received)) {
-			const leftMs = patienceMs - (performance.now() - sentAt);
+		setTimeout(
+			() => this.socket.write(`GET ${path} HTTP/1.1\r\nhost: ${environments.host}\r\n\r\n`),
+			this.delayMs,
+		);
+		while (!isComplete(this.received)) {
+			const leftMs = answerTimeoutMs - (performance.now() - sentAt);
 			if (this.hasEnded) return 'cut';
 			if (leftMs <= 0) return 'no-answer';
-			await this.change(leftMs);
+			await this.waitForChange(leftMs);
 		}
-		this.isAsking = false;
+		this.isAwaitingAnswer = false;
 		return 'answered';
 	}
 
@@ -121,10 +127,10 @@
 		this.socket.destroy();
 	}
 
-	private take(text: string): void {
+	private receive(text: string): void {
 		this.received += text;
 		// What comes without a request is no answer to the next one, and the connection is not to be used any more (RFC 9112, 9.2).
-		if (!this.isAsking) this.hasEnded = true;
+		if (!this.isAwaitingAnswer) this.hasEnded = true;
 	}
 
 	/** Does something once it has come the whole way to the caller. */
@@ -136,9 +142,9 @@
 	}
 
 	/** Resolves once something has reached the caller, after `mostMs` at the latest. */
-	private change(mostMs: number): Promise<void> {
+	private waitForChange(timeoutMs: number): Promise<void> {
 		return new Promise((resolve) => {
-			const timer = setTimeout(resolve, mostMs);
+			const timer = setTimeout(resolve, timeoutMs);
 			this.notify = () => {
 				clearTimeout(timer);
 				resolve();
@@ -148,7 +154,7 @@
 }
 
 /** Whether a text holds an answer with all of its body. */
-function isWhole(text: string): boolean {
+function isComplete(text: string): boolean {
 	const [head = '', body] = text.split('\r\n\r\n', 2);
 	const length = /^content-length: (\d+)/im.exec(head)?.[1];
 	return body !== undefined && length !== undefined && Buffer.byteLength(body) >= Number(length);
--- a/dev/soak/faults.ts
+++ b/dev/soak/faults.ts
@@ -4,191 +4,210 @@
 import * as random from '../random.js';
 import * as workerFaults from './worker-faults.js';
 import type * as workers from '../../stand-ins/fleet/workers.js';
-import * as worlds from './world.js';
+import * as environments from './world.js';
 
 /** Between two faults, in milliseconds: several are under way at most times. */
-const leastGapMs = 150;
-const mostGapMs = 1_100;
+const minIntervalMs = 150;
+const maxIntervalMs = 1_100;
 
 /** How long one lasts, in milliseconds: from a hiccup to twice the owner's lease and the horizon. */
-const leastMs = 200;
-const mostMs = 6_000;
+const minFaultMs = 200;
+const maxFaultMs = 6_000;
 
 /**
  * With the later sets this part of the faults of links and pauses of boxes outlasts a lease (10 s): from just below one to
  * beyond a lease and the horizon that a successor waits for (13.4 s); in milliseconds.
  */
-const longPart = 0.25;
-const leastLongMs = 9_000;
-const mostLongMs = 18_000;
+const longFraction = 0.25;
+const minLongFaultMs = 9_000;
+const maxLongFaultMs = 18_000;
 
 /** Faults that may last so long. */
-const mayBeLong = /-link-|^box-paused$/;
+const longFaultNames = /-link-|^box-paused$/;
 
 /** A series of changes of queues has so many at most, so far apart at most in milliseconds, this part of them drops. */
-const mostChanges = 5;
-const mostBetweenChangesMs = 900;
-const droppedPart = 0.4;
+const maxQueueChanges = 5;
+const maxChangeIntervalMs = 900;
+const droppedFraction = 0.4;
 
 /** The first set; a seed picks by the order. */
-const formerFaults: Record<string, worlds.Fault> = {
+const firstFaults: Record<string, environments.Fault> = {
 	'box-killed': boxFaults.kill,
 	'box-stopped': boxFaults.stop,
 	'box-paused': boxFaults.pause,
 	...linkFaults.storeFaults,
-	'store-down': (world, _next, forMs) => storeFault(world, forMs, 'down'),
-	'store-loses-answers': (world, _next, forMs) => storeFault(world, forMs, 'lost'),
-	'store-writes-late': (world, _next, forMs) => storeFault(world, forMs, 'late'),
-	'owner-name-revoked': (world) => {
-		world.platform.store.drop('woodcross/owner');
+	'store-down': (environment, _next, durationMs) => injectStoreFault(environment, durationMs, 'down'),
+	'store-loses-answers': (environment, _next, durationMs) =>
+		injectStoreFault(environment, durationMs, 'lost'),
+	'store-writes-late': (environment, _next, durationMs) => injectStoreFault(environment, durationMs, 'late'),
+	'owner-name-revoked': (environment) => {
+		environment.platform.store.drop('woodcross/owner');
 		return 'owner';
 	},
 	...linkFaults.workerFaults,
-	'worker-loses-answers': (world, next, forMs) => workerFault(world, next, forMs, 'lost'),
-	'worker-orders-late': (world, next, forMs) => workerFault(world, next, forMs, 'late'),
-	'worker-crashed': (world, next) => {
-		const worker = random.pick(next, world.workers);
-		world.replaceWorker(worker);
+	'worker-loses-answers': (environment, nextRandom, durationMs) =>
+		injectWorkerFault(environment, nextRandom, durationMs, 'lost'),
+	'worker-orders-late': (environment, nextRandom, durationMs) =>
+		injectWorkerFault(environment, nextRandom, durationMs, 'late'),
+	'worker-crashed': (environment, nextRandom) => {
+		const worker = random.pick(nextRandom, environment.workers);
+		environment.replaceWorker(worker);
 		return worker.id;
 	},
-	'worker-clock-slow': (world, next) => {
-		const worker = random.pick(next, world.workers);
-		const life = world.platform.fleet.workers.get(worker.id);
+	'worker-clock-slow': (environment, nextRandom) => {
+		const worker = random.pick(nextRandom, environment.workers);
+		const incarnation = environment.platform.fleet.workers.get(worker.id);
 		// The slowest that is stated of the users' workers.
-		if (life !== undefined) life.rate = 0.98;
+		if (incarnation !== undefined) incarnation.rate = 0.98;
 		return worker.id;
 	},
-	'configuration-changed': (world) => {
-		world.configure(`/more-${world.version}/`);
-		return `version ${world.version}`;
+	'configuration-changed': (environment) => {
+		environment.storeConfiguration(`/more-${environment.version}/`);
+		return `version ${environment.version}`;
 	},
 };
 
 /** The second set. */
-const secondFaults: Record<string, worlds.Fault> = {
-	...formerFaults,
+const secondFaults: Record<string, environments.Fault> = {
+	...firstFaults,
 	'owner-killed': boxFaults.killOwner,
-	...linkFaults.pairFaults,
+	...linkFaults.singleBoxFaults,
 	...workerFaults.faults,
 	'store-forgets': workerFaults.forget,
 };
 
 /** The third set. */
-const thirdFaults: Record<string, worlds.Fault> = {
+const thirdFaults: Record<string, environments.Fault> = {
 	...secondFaults,
-	...linkFaults.silentFaults,
+	...linkFaults.silentConnectionFaults,
 	'queues-changed': changeQueues,
 };
 
 /** The fourth set. */
-const fourthFaults: Record<string, worlds.Fault> = { ...thirdFaults, 'worker-shrunk': workerFaults.shrink };
+const fourthFaults: Record<string, environments.Fault> = {
+	...thirdFaults,
+	'worker-shrunk': workerFaults.reduceCapacity,
+};
 
 /** The set of planned stops. */
-const stopFaults: Record<string, worlds.Fault> = {
+const plannedStopFaults: Record<string, environments.Fault> = {
 	'box-stopped': boxFaults.stop,
 	'boxes-stopped': boxFaults.stopInSeries,
 	'box-killed': boxFaults.kill,
 	'box-paused': boxFaults.pause,
-	'store-loses-answers': (world, _next, forMs) => storeFault(world, forMs, 'lost'),
+	'store-loses-answers': (environment, _next, durationMs) =>
+		injectStoreFault(environment, durationMs, 'lost'),
 };
 
 /** What may be injected, by set. */
-const faultSets: Record<worlds.FaultSet, Record<string, worlds.Fault>> = {
-	1: formerFaults,
+const faultSets: Record<environments.FaultSet, Record<string, environments.Fault>> = {
+	1: firstFaults,
 	2: secondFaults,
 	3: thirdFaults,
 	4: fourthFaults,
-	5: { ...fourthFaults, ...workerFaults.restarts },
-	6: { ...fourthFaults, ...workerFaults.restarts, 'zone-evacuated': workerFaults.evacuate },
-	7: stopFaults,
-	8: stopFaults,
+	5: { ...fourthFaults, ...workerFaults.restartFaults },
+	6: { ...fourthFaults, ...workerFaults.restartFaults, 'zone-evacuated': workerFaults.evacuateZone },
+	7: plannedStopFaults,
+	8: plannedStopFaults,
 };
 
 /** Injects faults until `until` (clock time), and resolves once the last has ended. */
 export async function inject(
-	world: worlds.World,
-	next: () => number,
+	environment: environments.Environment,
+	nextRandom: () => number,
 	until: number,
-	log: (line: string) => void,
+	logFault: (line: string) => void,
 ): Promise<void> {
-	const open: Promise<void>[] = [];
-	const faults = faultSets[world.faults];
-	while (world.now() < until) {
-		const name = random.pick(next, Object.keys(faults));
-		const forMs = lastsMs(world, next, name, until);
-		open.push(run(name, world, next, forMs, log));
-		await world.sleep(random.between(next, leastGapMs, mostGapMs));
+	const pendingFaults: Promise<void>[] = [];
+	const faults = faultSets[environment.faults];
+	while (environment.now() < until) {
+		const name = random.pick(nextRandom, Object.keys(faults));
+		const durationMs = durationMsOf(environment, nextRandom, name, until);
+		pendingFaults.push(injectOne(name, environment, nextRandom, durationMs, logFault));
+		await environment.sleep(random.between(nextRandom, minIntervalMs, maxIntervalMs));
 	}
-	await Promise.all(open);
+	await Promise.all(pendingFaults);
 }
 
 /** How long a fault lasts; none goes on for longer after `until` than a short one could. */
-function lastsMs(world: worlds.World, next: () => number, name: string, until: number): number {
-	const shortMs = random.between(next, leastMs, mostMs);
-	if (world.faults === 1) return shortMs;
-	const isLong = next() < longPart;
-	const longMs = random.between(next, leastLongMs, mostLongMs);
-	const isInTime = world.now() + longMs < until + mostMs;
-	return isLong && isInTime && mayBeLong.test(name) ? longMs : shortMs;
+function durationMsOf(
+	environment: environments.Environment,
+	nextRandom: () => number,
+	name: string,
+	until: number,
+): number {
+	const shortMs = random.between(nextRandom, minFaultMs, maxFaultMs);
+	if (environment.faults === 1) return shortMs;
+	const isLong = nextRandom() < longFraction;
+	const longMs = random.between(nextRandom, minLongFaultMs, maxLongFaultMs);
+	const isInTime = environment.now() + longMs < until + maxFaultMs;
+	return isLong && isInTime && longFaultNames.test(name) ? longMs : shortMs;
 }
 
 /** Injects one fault and logs it once it is over. */
-async function run(
+async function injectOne(
 	name: string,
-	world: worlds.World,
-	next: () => number,
-	forMs: number,
-	log: (line: string) => void,
+	environment: environments.Environment,
+	nextRandom: () => number,
+	durationMs: number,
+	logFault: (line: string) => void,
 ): Promise<void> {
-	const startedAt = world.now();
-	const at = await faultSets[world.faults][name]?.(world, next, forMs);
-	if (at !== boxFaults.nowhere) log(`${name} at ${at ?? ''} for ${Math.round(world.now() - startedAt)} ms`);
+	const startedAt = environment.now();
+	const location = await faultSets[environment.faults][name]?.(environment, nextRandom, durationMs);
+	if (location !== boxFaults.notInjected)
+		logFault(`${name} at ${location ?? ''} for ${Math.round(environment.now() - startedAt)} ms`);
 }
 
 /** Adds and drops queues one after another, within a time in which one change has to be known. */
-async function changeQueues(world: worlds.World, next: () => number): Promise<string> {
-	const times = random.between(next, 2, mostChanges);
-	const names: string[] = [];
-	for (let time = 0; time < times; time += 1) {
-		const dropped = next() < droppedPart ? random.pick(next, world.prefixes) : worlds.firstQueue;
-		if (dropped === worlds.firstQueue) {
-			const added = `/series-${world.version}/`;
-			world.configure(added);
-			names.push(`+${added}`);
+async function changeQueues(
+	environment: environments.Environment,
+	nextRandom: () => number,
+): Promise<string> {
+	const count = random.between(nextRandom, 2, maxQueueChanges);
+	const changedQueues: string[] = [];
+	for (let index = 0; index < count; index += 1) {
+		const dropped =
+			nextRandom() < droppedFraction
+				? random.pick(nextRandom, environment.prefixes)
+				: environments.firstQueue;
+		if (dropped === environments.firstQueue) {
+			const added = `/series-${environment.version}/`;
+			environment.storeConfiguration(added);
+			changedQueues.push(`+${added}`);
 		} else {
-			world.dropQueue(dropped);
-			names.push(`-${dropped}`);
+			environment.dropQueue(dropped);
+			changedQueues.push(`-${dropped}`);
 		}
-		await world.sleep(random.between(next, 0, mostBetweenChangesMs));
+		await environment.sleep(random.between(nextRandom, 0, maxChangeIntervalMs));
 	}
-	return names.join(' ');
+	return changedQueues.join(' ');
 }
 
-async function storeFault(
-	world: worlds.World,
-	forMs: number,
+async function injectStoreFault(
+	environment: environments.Environment,
+	durationMs: number,
 	fault: 'down' | 'lost' | 'late',
 ): Promise<string> {
-	if (world.platform.storeFault !== 'none') return boxFaults.nowhere;
-	world.storeTroubledUntil = world.now() + forMs;
-	world.platform.storeFault = fault;
-	await world.sleep(forMs);
-	world.platform.storeFault = 'none';
+	if (environment.platform.storeFault !== 'none') return boxFaults.notInjected;
+	environment.storeFaultUntil = environment.now() + durationMs;
+	environment.platform.storeFault = fault;
+	await environment.sleep(durationMs);
+	environment.platform.storeFault = 'none';
 	return 'the store';
 }
 
-async function workerFault(
-	world: worlds.World,
-	next: () => number,
-	forMs: number,
+async function injectWorkerFault(
+	environment: environments.Environment,
+	nextRandom: () => number,
+	durationMs: number,
 	fault: workers.WorkerFault,
 ): Promise<string> {
-	const { id } = random.pick(next, world.workers);
-	const life = world.platform.fleet.workers.get(id);
-	if (life === undefined) return boxFaults.nowhere;
-	life.fault = fault;
-	if (fault === 'late') world.ordersLate(id, forMs);
-	await world.sleep(forMs);
-	life.fault = 'none';
+	const { id } = random.pick(nextRandom, environment.workers);
+	const incarnation = environment.platform.fleet.workers.get(id);
+	if (incarnation === undefined) return boxFaults.notInjected;
+	incarnation.fault = fault;
+	if (fault === 'late') environment.noteLateCommands(id, durationMs);
+	await environment.sleep(durationMs);
+	incarnation.fault = 'none';
 	return id;
 }
--- a/dev/soak/judge.ts
+++ b/dev/soak/judge.ts
@@ -39,14 +39,14 @@
 	/** Some answer said that it is kept. */
 	accepted: boolean;
 	/** Some attempt got no answer, or one that leaves open what became of it. */
-	unknown: boolean;
+	mayBeAccepted: boolean;
 	cancelled: boolean;
 	completed: boolean;
 	failed: boolean;
 	/** Seconds, as the judge counts them: when it was first sent, accepted, and when something of it started or ended. */
 	sentAt: number;
 	acceptedAt: number;
-	movedAt: number;
+	lastProgressAt: number;
 }
 
 /** A task that is not done. */
@@ -57,59 +57,59 @@
 }
 
 /** Takes note of everything that callers and workers see. */
-export class Judge implements workers.FleetJournal {
+export class InvariantChecker implements workers.FleetJournal {
 	readonly violations: Violation[] = [];
 	private readonly jobs = new Map<string, SoakJob>();
 	/** Tasks of which a run is done. */
 	private readonly done = new Set<string>();
 	/** Those whose end a worker has forgotten, as the boxes asked. */
-	private readonly doneForgotten = new Set<string>();
+	private readonly doneAcknowledged = new Set<string>();
 	private readonly startedJobs = new Set<string>();
 	/** Runs that go on, as the workers know them; set once there are workers. */
 	running: () => { worker: string; task: string }[] = () => [];
 	/** Told of each start of a job's task, and what it asks for in thousandths of a core. */
 	onStart: (job: SoakJob, milliCores: number) => void = () => undefined;
 	/** What a worker holds now, in thousandths of a core. */
-	roomOf: (worker: string) => number = () => Infinity;
+	capacityOf: (worker: string) => number = () => Infinity;
 	/** Whether something may start at a worker now: its zone may be evacuated. */
 	mayStartAt: (worker: string) => boolean = () => true;
 	/** Workers that went down under a task, and its starts after the last that is put up with. */
-	private readonly crashes = new Map<string, { count: number; startsAfter: number }>();
+	private readonly crashes = new Map<string, { count: number; startsAfterLimit: number }>();
 	starts = 0;
 	/** When something last started or ended, in seconds from the start. */
-	movedAt = 0;
+	anyProgressAt = 0;
 
 	private constructor(
 		readonly now: () => number,
-		private readonly hasCrashing: boolean,
+		private readonly hasCrashingJobs: boolean,
 	) {}
 
 	/** `now`: seconds from the start; `hasCrashing`: some jobs bring their workers down. */
-	static create(now: () => number, hasCrashing: boolean): Judge {
-		return new Judge(now, hasCrashing);
+	static create(now: () => number, hasCrashingJobs: boolean): InvariantChecker {
+		return new InvariantChecker(now, hasCrashingJobs);
 	}
 
 	/** Whether a job brings its workers down, and may be given up. */
 	isCrashing(job: SoakJob): boolean {
-		return this.hasCrashing && crashing.isCrashing(job.id);
+		return this.hasCrashingJobs && crashing.isCrashing(job.id);
 	}
 
 	/** Whether a job may be shown as failed: enough workers went down under one of its tasks. */
 	mayFail(job: SoakJob): boolean {
-		const counts = taskNames(job).map((name) => this.crashes.get(name)?.count ?? 0);
-		return this.hasCrashing && Math.max(...counts) >= crashing.crashesBeforeGivingUp;
+		const crashCounts = taskNames(job).map((name) => this.crashes.get(name)?.count ?? 0);
+		return this.hasCrashingJobs && Math.max(...crashCounts) >= crashing.crashesBeforeAbandoning;
 	}
 
 	/** A worker went down while these tasks ran there. */
 	crashed(tasks: string[]): void {
 		for (const task of tasks) {
-			const known = this.crashes.get(task) ?? { count: 0, startsAfter: 0 };
+			const known = this.crashes.get(task) ?? { count: 0, startsAfterLimit: 0 };
 			this.crashes.set(task, { ...known, count: known.count + 1 });
 		}
 	}
 
 	/** A caller is about to hand a job in. */
-	sent(job: SoakJob): void {
+	noteSubmission(job: SoakJob): void {
 		job.sentAt = this.now();
 		this.jobs.set(job.id, job);
 	}
@@ -136,7 +136,7 @@
 	}
 
 	/** Least of what the tasks of a job ask for whose turn has come and that don't run, in thousandths of a core; none: infinite. */
-	leastWaiting(job: SoakJob): number {
+	minWaitingMilliCores(job: SoakJob): number {
 		const running = new Set(this.running().map((one) => one.task));
 		const open = this.openTasks(job);
 		const isDue = (step: number): boolean =>
@@ -156,10 +156,11 @@
 	}
 
 	/** A caller was told that a job has completed. */
-	toldCompleted(job: SoakJob): void {
+	noteReportedCompleted(job: SoakJob): void {
 		job.completed = true;
 		const open = taskNames(job).filter((name) => !this.done.has(name));
-		if (open.length > 0) this.report('completed-early', `${job.id}: ${open.join(' ')} did not finish`);
+		if (open.length > 0)
+			this.reportViolation('completed-early', `${job.id}: ${open.join(' ')} did not finish`);
 	}
 
 	started(start: workers.StartRecord): void {
@@ -167,73 +168,76 @@
 		const parsed = jobs.parseTaskName(start.task);
 		const job = parsed && this.jobs.get(parsed.job);
 		if (parsed === undefined || job === undefined) {
-			this.report('unasked', `${start.task}: nobody handed it in`);
+			this.reportViolation('unasked', `${start.task}: nobody handed it in`);
 			return;
 		}
 		this.startedJobs.add(job.id);
-		this.judgeCrashes(start.task);
-		this.moved(job);
-		this.judgeStart(start, job, parsed.step);
+		this.checkCrashes(start.task);
+		this.noteProgress(job);
+		this.checkStart(start, job, parsed.step);
 		this.onStart(job, this.milliCoresOf(start.task));
 	}
 
 	ended(end: fleet.RunExit): void {
 		const parsed = jobs.parseTaskName(end.task);
 		const job = parsed && this.jobs.get(parsed.job);
-		if (job !== undefined) this.moved(job);
+		if (job !== undefined) this.noteProgress(job);
 		if (end.how === 'done') this.done.add(end.task);
 	}
 
 	forgotten(end: fleet.RunExit): void {
-		if (end.how === 'done') this.doneForgotten.add(end.task);
+		if (end.how === 'done') this.doneAcknowledged.add(end.task);
 	}
 
 	/** What can only be judged once everything has settled. */
-	atEnd(): void {
+	checkAtEnd(): void {
 		for (const job of this.jobs.values()) {
-			const isRefused = !job.accepted && !job.unknown;
-			if (isRefused && this.startedJobs.has(job.id)) this.report('refused-ran', job.id);
+			const isRefused = !job.accepted && !job.mayBeAccepted;
+			if (isRefused && this.startedJobs.has(job.id)) this.reportViolation('refused-ran', job.id);
 		}
 	}
 
 	/** Notes a broken promise. */
-	report(promise: Violation['promise'], detail: string): void {
+	reportViolation(promise: Violation['promise'], detail: string): void {
 		this.violations.push({ at: this.now(), promise, detail });
 	}
 
-	private moved(job: SoakJob): void {
-		job.movedAt = this.now();
-		this.movedAt = job.movedAt;
+	private noteProgress(job: SoakJob): void {
+		job.lastProgressAt = this.now();
+		this.anyProgressAt = job.lastProgressAt;
 	}
 
-	private judgeStart(start: workers.StartRecord, job: SoakJob, step: number): void {
+	private checkStart(start: workers.StartRecord, job: SoakJob, step: number): void {
 		const running = this.running();
 		const copies = running.filter((one) => one.task === start.task);
 		if (copies.length > 1)
-			this.report('one-run', `${start.task} runs on ${copies.map((one) => one.worker).join(' and ')}`);
-		if (this.doneForgotten.has(start.task))
-			this.report('not-after-done', `${start.task} run ${start.run} on ${start.worker}`);
-		for (const before of job.steps[step]?.after ?? []) this.judgeOrder(start, job, before);
+			this.reportViolation(
+				'one-run',
+				`${start.task} runs on ${copies.map((one) => one.worker).join(' and ')}`,
+			);
+		if (this.doneAcknowledged.has(start.task))
+			this.reportViolation('not-after-done', `${start.task} run ${start.run} on ${start.worker}`);
+		for (const before of job.steps[step]?.after ?? []) this.checkOrder(start, job, before);
 		if (!this.mayStartAt(start.worker))
-			this.report('evacuated', `${start.task} run ${start.run} starts on ${start.worker}`);
-		const here = running.filter((one) => one.worker === start.worker);
-		const milliCores = here.reduce((sum, one) => sum + this.milliCoresOf(one.task), 0);
-		if (milliCores > this.roomOf(start.worker))
-			this.report('room', `${start.worker} holds ${milliCores} thousandths of a core`);
+			this.reportViolation('evacuated', `${start.task} run ${start.run} starts on ${start.worker}`);
+		const runningHere = running.filter((one) => one.worker === start.worker);
+		const milliCores = runningHere.reduce((sum, one) => sum + this.milliCoresOf(one.task), 0);
+		if (milliCores > this.capacityOf(start.worker))
+			this.reportViolation('room', `${start.worker} holds ${milliCores} thousandths of a core`);
 	}
 
-	private judgeCrashes(task: string): void {
+	private checkCrashes(task: string): void {
 		const known = this.crashes.get(task);
-		const isCrashing = this.hasCrashing && crashing.crashMsOf(task) !== undefined;
-		if (!isCrashing || known === undefined || known.count < crashing.crashesBeforeBound) return;
-		known.startsAfter += 1;
-		if (known.startsAfter > crashing.startsAfterBound)
-			this.report('crashes', `${task} is started after ${known.count} workers went down under it`);
+		const isCrashing = this.hasCrashingJobs && crashing.crashMsOf(task) !== undefined;
+		if (!isCrashing || known === undefined || known.count < crashing.crashesBeforeStartLimit) return;
+		known.startsAfterLimit += 1;
+		if (known.startsAfterLimit > crashing.maxStartsAfterCrashes)
+			this.reportViolation('crashes', `${task} is started after ${known.count} workers went down under it`);
 	}
 
-	private judgeOrder(start: workers.StartRecord, job: SoakJob, before: number): void {
-		const open = taskNames(job, before).filter((name) => !this.done.has(name));
-		if (open.length > 0) this.report('order', `${start.task} before ${open.join(' ')}`);
+	private checkOrder(start: workers.StartRecord, job: SoakJob, preceding: number): void {
+		const open = taskNames(job, preceding).filter((name) => !this.done.has(name));
+		if (open.length > 0) this.reportViolation('order', `${start.task} before ${open.join(' ')}`);
 	}
 
 	private milliCoresOf(task: string): number {
@@ -243,9 +247,9 @@
 }
 
 /** Names of the tasks of a job, or of one of its steps. */
-function taskNames(job: SoakJob, only?: number): string[] {
+function taskNames(job: SoakJob, onlyStep?: number): string[] {
 	return job.steps.flatMap((step, number) =>
-		only === undefined || only === number
+		onlyStep === undefined || onlyStep === number
 			? Array.from({ length: step.tasks }, (_, index) => `${job.id}.0.${number}.${index}`)
 			: [],
 	);
--- a/dev/soak/link-faults.ts
+++ b/dev/soak/link-faults.ts
@@ -2,128 +2,128 @@
 import * as boxFaults from './box-faults.js';
 import * as random from '../random.js';
 import type * as proxies from '../../stand-ins/proxy/index.js';
-import type * as worlds from './world.js';
+import type * as environments from './world.js';
 
 /** A slow link delays what goes over it by so long, in milliseconds. */
-const leastDelayMs = 20;
-const mostDelayMs = 300;
+const minDelayMs = 20;
+const maxDelayMs = 300;
 
 /** A box that can't reach all workers can't reach this part of them. */
-const partOfWorkers = 1 / 3;
+const workersFraction = 1 / 3;
 
 /** Links that get a fault together, and where that is; undefined: nowhere. */
-type Pick = (
-	world: worlds.World,
-	next: () => number,
-	forMs: number,
+type LinkPicker = (
+	environment: environments.Environment,
+	nextRandom: () => number,
+	durationMs: number,
 ) => { where: string; proxies: proxies.FaultProxy[] } | undefined;
 
 /** One box's way to the store. */
-export const storeFaults = linkFaults('store-link', (world, next, forMs) => {
-	const box = boxFaults.pickSound(world, next);
+export const storeFaults = linkFaults('store-link', (environment, nextRandom, durationMs) => {
+	const box = boxFaults.pickFaultFree(environment, nextRandom);
 	if (box === undefined) return undefined;
-	world.troubled(box, forMs);
+	environment.noteFault(box, durationMs);
 	return { where: box.name, proxies: [box.store] };
 });
 
 /** The ways of all boxes to one worker. */
-export const workerFaults = linkFaults('worker-link', (world, next) => {
-	const worker = random.pick(next, world.workers);
-	return { where: worker.id, proxies: world.links.to(worker.address).map((link) => link.proxy) };
+export const workerFaults = linkFaults('worker-link', (environment, nextRandom) => {
+	const worker = random.pick(nextRandom, environment.workers);
+	return { where: worker.id, proxies: environment.links.to(worker.address).map((link) => link.proxy) };
 });
 
 /** Ways that break for one box alone. */
-export const pairFaults = {
-	...linkFaults('pair-link', (world, next) => {
-		const box = pickBox(world, next);
-		return fromBox(world, box, [random.pick(next, world.workers)]);
+export const singleBoxFaults = {
+	...linkFaults('pair-link', (environment, nextRandom) => {
+		const box = pickBox(environment, nextRandom);
+		return linksFromBox(environment, box, [random.pick(nextRandom, environment.workers)]);
 	}),
-	...linkFaults('third-link', (world, next) => {
-		const box = pickBox(world, next);
-		const first = random.between(next, 0, world.workers.length - 1);
-		const count = Math.ceil(world.workers.length * partOfWorkers);
-		const around = [...world.workers.slice(first), ...world.workers];
-		return fromBox(world, box, around.slice(0, count));
+	...linkFaults('third-link', (environment, nextRandom) => {
+		const box = pickBox(environment, nextRandom);
+		const first = random.between(nextRandom, 0, environment.workers.length - 1);
+		const count = Math.ceil(environment.workers.length * workersFraction);
+		const rotated = [...environment.workers.slice(first), ...environment.workers];
+		return linksFromBox(environment, box, rotated.slice(0, count));
 	}),
-	...linkFaults('peer-link', (world, next) => {
-		const box = pickBox(world, next);
-		const others = world.boxes.filter((one) => one !== box);
-		const other = random.pick(next, others);
-		const links = world.links.between(box.name, other.name);
+	...linkFaults('peer-link', (environment, nextRandom) => {
+		const box = pickBox(environment, nextRandom);
+		const others = environment.boxes.filter((one) => one !== box);
+		const other = random.pick(nextRandom, others);
+		const links = environment.links.linksBetween(box.name, other.name);
 		return { where: `${box.name} and ${other.name}`, proxies: links.map((link) => link.proxy) };
 	}),
 };
 
 /** Open connections that carry nothing any more, while new ones work. */
-export const silentFaults: Record<string, worlds.Fault> = {
-	'store-connections-silent': (world, next) => {
-		const box = boxFaults.pickSound(world, next);
-		if (box === undefined) return boxFaults.nowhere;
+export const silentConnectionFaults: Record<string, environments.Fault> = {
+	'store-connections-silent': (environment, nextRandom) => {
+		const box = boxFaults.pickFaultFree(environment, nextRandom);
+		if (box === undefined) return boxFaults.notInjected;
 		box.store.silence();
-		world.troubled(box, 0);
+		environment.noteFault(box, 0);
 		return box.name;
 	},
-	'all-connections-silent': (world) => {
-		for (const box of world.boxes) {
+	'all-connections-silent': (environment) => {
+		for (const box of environment.boxes) {
 			box.store.silence();
-			world.troubled(box, 0);
+			environment.noteFault(box, 0);
 		}
-		world.links.silence();
+		environment.links.silence();
 		return 'all boxes';
 	},
 };
 
 /** Every way in which links go wrong. */
-function linkFaults(link: string, pick: Pick): Record<string, worlds.Fault> {
-	const fault =
-		(modeFor: (next: () => number) => proxies.ProxyMode): worlds.Fault =>
-		async (world, next, forMs) => {
-			const mode = modeFor(next);
-			const picked = pick(world, next, forMs);
-			if (picked === undefined) return boxFaults.nowhere;
-			await Promise.all(picked.proxies.map((proxy) => trouble(world, proxy, forMs, mode)));
+function linkFaults(link: string, pickLinks: LinkPicker): Record<string, environments.Fault> {
+	const makeFault =
+		(modeFor: (nextRandom: () => number) => proxies.ProxyMode): environments.Fault =>
+		async (environment, nextRandom, durationMs) => {
+			const mode = modeFor(nextRandom);
+			const picked = pickLinks(environment, nextRandom, durationMs);
+			if (picked === undefined) return boxFaults.notInjected;
+			await Promise.all(picked.proxies.map((proxy) => injectLinkFault(environment, proxy, durationMs, mode)));
 			return picked.where;
 		};
 	return {
-		[`${link}-cut`]: fault(() => ({ kind: 'cut' })),
-		[`${link}-silent`]: fault(() => ({ kind: 'freeze' })),
-		[`${link}-one-way`]: fault(() => ({ kind: 'drop-answers' })),
-		[`${link}-slow`]: fault((next) => ({
+		[`${link}-cut`]: makeFault(() => ({ kind: 'cut' })),
+		[`${link}-silent`]: makeFault(() => ({ kind: 'freeze' })),
+		[`${link}-one-way`]: makeFault(() => ({ kind: 'drop-answers' })),
+		[`${link}-slow`]: makeFault((nextRandom) => ({
 			kind: 'delay',
-			ms: random.between(next, leastDelayMs, mostDelayMs),
+			ms: random.between(nextRandom, minDelayMs, maxDelayMs),
 		})),
 	};
 }
 
-async function trouble(
-	world: worlds.World,
+async function injectLinkFault(
+	environment: environments.Environment,
 	proxy: proxies.FaultProxy,
-	forMs: number,
+	durationMs: number,
 	mode: proxies.ProxyMode,
 ): Promise<void> {
-	if (world.faults === 1) {
+	if (environment.faults === 1) {
 		proxy.set(mode);
-		await world.sleep(forMs);
+		await environment.sleep(durationMs);
 		proxy.set({ kind: 'pass' });
 		return;
 	}
-	const lift = proxy.trouble(mode);
-	await world.sleep(forMs);
-	lift();
+	const undo = proxy.trouble(mode);
+	await environment.sleep(durationMs);
+	undo();
 }
 
 /** Any box, or as often the one that owns: only its links to workers are in use until another takes over. */
-function pickBox(world: worlds.World, next: () => number): worlds.SoakBox {
-	const any = random.pick(next, world.boxes);
-	return next() < 1 / 2 ? any : (world.owner() ?? any);
+function pickBox(environment: environments.Environment, nextRandom: () => number): environments.SoakBox {
+	const anyBox = random.pick(nextRandom, environment.boxes);
+	return nextRandom() < 1 / 2 ? anyBox : (environment.owner() ?? anyBox);
 }
 
-function fromBox(
-	world: worlds.World,
-	box: worlds.SoakBox,
-	workers: worlds.SoakWorker[],
+function linksFromBox(
+	environment: environments.Environment,
+	box: environments.SoakBox,
+	workers: environments.SoakWorker[],
 ): { where: string; proxies: proxies.FaultProxy[] } {
-	const links = workers.flatMap((worker) => world.links.to(worker.address));
+	const links = workers.flatMap((worker) => environment.links.to(worker.address));
 	const own = links.filter((link) => link.box === box.name);
 	const ids = workers.map((worker) => worker.id).join(' ');
 	return { where: `${box.name} to ${ids}`, proxies: own.map((link) => link.proxy) };
--- a/dev/soak/links.ts
+++ b/dev/soak/links.ts
@@ -17,7 +17,7 @@
 interface Peer {
 	address: string;
 	/** Resolves once the others have links to it. */
-	made: Promise<void>;
+	linksReady: Promise<void>;
 }
 
 /** All links of the boxes, but those to the store. */
@@ -33,7 +33,7 @@
 	}
 
 	/** Makes a link to an address for each box. */
-	async reach(target: string, boxes = this.boxes): Promise<void> {
+	async addLinks(target: string, boxes = this.boxes): Promise<void> {
 		for (const box of boxes)
 			this.links.push({ box, target, proxy: await proxies.FaultProxy.create(target), modes: [] });
 	}
@@ -44,30 +44,32 @@
 	}
 
 	/** Links between two boxes, either way, between their present processes. */
-	between(a: string, b: string): Link[] {
-		const ways = [
+	linksBetween(a: string, b: string): Link[] {
+		const directions = [
 			{ from: a, to: this.peers.get(b)?.address },
 			{ from: b, to: this.peers.get(a)?.address },
 		];
-		return this.links.filter((link) => ways.some(({ from, to }) => link.box === from && link.target === to));
+		return this.links.filter((link) =>
+			directions.some(({ from, to }) => link.box === from && link.target === to),
+		);
 	}
 
 	/** What a box calls whom. */
-	bookOf(box: string): addressViews.AddressBook {
-		const own = (wanted: (link: Link) => boolean): Link | undefined =>
-			this.links.findLast((link) => link.box === box && wanted(link));
+	addressBookOf(box: string): addressViews.AddressBook {
+		const findLink = (matches: (link: Link) => boolean): Link | undefined =>
+			this.links.findLast((link) => link.box === box && matches(link));
 		return {
-			seen: (address) => own(({ target }) => target === address)?.proxy.address ?? address,
+			seen: (address) => findLink(({ target }) => target === address)?.proxy.address ?? address,
 			real: async (seen) => {
-				const link = own(({ proxy }) => proxy.address === seen);
-				if (link === undefined) await this.reachPeer(box, seen);
+				const link = findLink(({ proxy }) => proxy.address === seen);
+				if (link === undefined) await this.addPeerLinks(box, seen);
 				return link?.target ?? seen;
 			},
 		};
 	}
 
 	/** A box's process has ended: connections to it are refused. */
-	left(box: string): void {
+	noteProcessEnded(box: string): void {
 		const peer = this.peers.get(box);
 		this.peers.delete(box);
 		if (peer !== undefined) for (const { proxy } of this.to(peer.address)) proxy.close();
@@ -83,12 +85,12 @@
 	}
 
 	/** A box writes where its peers connect; others read it once they have links there. */
-	private reachPeer(box: string, address: string): Promise<void> {
+	private addPeerLinks(box: string, address: string): Promise<void> {
 		const known = this.peers.get(box);
-		if (known?.address === address) return known.made;
+		if (known?.address === address) return known.linksReady;
 		const others = this.boxes.filter((other) => other !== box);
-		const made = this.reach(address, others);
-		this.peers.set(box, { address, made });
-		return made;
+		const linksReady = this.addLinks(address, others);
+		this.peers.set(box, { address, linksReady });
+		return linksReady;
 	}
 }
--- a/dev/soak/main.ts
+++ b/dev/soak/main.ts
@@ -3,8 +3,8 @@
 import * as cmd from 'cmd-ts';
 import * as fs from 'node:fs';
 import * as soak from './soak.js';
-import * as workingOff from '../work-off.js';
-import type * as worlds from './world.js';
+import * as workQueue from '../work-off.js';
+import type * as environments from './world.js';
 
 /** A seed that once failed, and why; played again in CI. */
 interface KnownSeed {
@@ -12,24 +12,24 @@
 	seconds: number;
 	cause: string;
 	/** The set of faults with which it failed; absent: the first. */
-	faults?: worlds.FaultSet;
+	faults?: environments.FaultSet;
 }
 
 /** How a seed is played; absent: as it once failed, else as usual. */
-interface SeedWay {
+interface SeedSettings {
 	seconds?: number;
-	faults?: worlds.FaultSet;
+	faults?: environments.FaultSet;
 }
 
 /** How a seed is played that never failed. */
-const newWay: Required<SeedWay> = { seconds: 15, faults: 6 };
+const defaultSettings: Required<SeedSettings> = { seconds: 15, faults: 6 };
 
 /** Exit status of a soak that is ended by a signal. */
-const endedFromOutside = 2;
+const exitStatusOnSignal = 2;
 
 /** The list of tests that are known to fail; its lines on seeds begin so. */
-const redFile = 'KNOWN-RED.txt';
-const redSeedLine = /^soak seeds? ([\d, ]+)/gm;
+const knownFailuresFile = 'KNOWN-RED.txt';
+const knownFailingSeedsPattern = /^soak seeds? ([\d, ]+)/gm;
 
 /** Seeds that once failed. */
 function knownSeeds(): KnownSeed[] {
@@ -37,29 +37,29 @@
 }
 
 /** Of these seeds those that are not known to fail still. */
-function mendedOf(known: readonly KnownSeed[]): KnownSeed[] {
-	const red = redSeeds();
-	return known.filter(({ seed }) => !red.has(seed));
+function withoutKnownFailures(known: readonly KnownSeed[]): KnownSeed[] {
+	const failing = knownFailingSeeds();
+	return known.filter(({ seed }) => !failing.has(seed));
 }
 
 /** How a seed that once failed is played. */
-function wayOf({ seconds, faults = 1 }: KnownSeed): Required<SeedWay> {
+function settingsOf({ seconds, faults = 1 }: KnownSeed): Required<SeedSettings> {
 	return { seconds, faults };
 }
 
 /** Seeds that are known to fail, which are passed over. */
-function redSeeds(): Set<number> {
-	if (!fs.existsSync(redFile)) return new Set();
-	const lines = fs.readFileSync(redFile, 'utf8').matchAll(redSeedLine);
+function knownFailingSeeds(): Set<number> {
+	if (!fs.existsSync(knownFailuresFile)) return new Set();
+	const lines = fs.readFileSync(knownFailuresFile, 'utf8').matchAll(knownFailingSeedsPattern);
 	const seeds = new Set([...lines].flatMap(([, listed]) => (listed ?? '').split(',').map(Number)));
-	console.log(`passed over, as ${redFile} says: ${[...seeds].join(', ')}`);
+	console.log(`passed over, as ${knownFailuresFile} says: ${[...seeds].join(', ')}`);
 	return seeds;
 }
 
 /** Plays seeds one after the other; returns how many of them broke a promise. */
-async function soakAll(given: soak.SoakOptions[]): Promise<number> {
+async function runInSequence(seedOptions: soak.SoakOptions[]): Promise<number> {
 	let broken = 0;
-	for (const opts of given) broken += (await soak.play(opts)).length > 0 ? 1 : 0;
+	for (const opts of seedOptions) broken += (await soak.runSeed(opts)).length > 0 ? 1 : 0;
 	return broken;
 }
 
@@ -67,16 +67,16 @@
  * Plays several seeds at once, each in a process of its own, so that no soak's stand-ins hold up another's; returns how
  * many of them broke a promise.
  */
-async function soakAtOnce(given: soak.SoakOptions[], atOnce: number): Promise<number> {
+async function runConcurrently(seedOptions: soak.SoakOptions[], atOnce: number): Promise<number> {
 	let broken = 0;
-	await workingOff.workOff(given, atOnce, async (opts) => {
-		if (!(await playInProcess(opts))) broken += 1;
+	await workQueue.workOff(seedOptions, atOnce, async (opts) => {
+		if (!(await runInProcess(opts))) broken += 1;
 	});
 	return broken;
 }
 
 /** Plays one seed in a process of its own; whether it kept all promises. */
-function playInProcess(opts: soak.SoakOptions): Promise<boolean> {
+function runInProcess(opts: soak.SoakOptions): Promise<boolean> {
 	const { keep, faults, ...numbers } = opts;
 	const flags = Object.entries({ ...numbers, faults }).flatMap(([name, value]) => [
 		`--${name}`,
@@ -85,12 +85,12 @@
 	const args = [process.argv[1] ?? '', ...flags, ...(keep ? ['--keep'] : [])];
 	return new Promise((resolve) => {
 		const child = childProcess.spawn(process.execPath, args, { stdio: ['ignore', 'inherit', 'inherit'] });
-		const end = (): void => {
+		const killChild = (): void => {
 			child.kill();
 		};
-		process.once('exit', end);
+		process.once('exit', killChild);
 		child.once('exit', (code) => {
-			process.off('exit', end);
+			process.off('exit', killChild);
 			resolve(code === 0);
 		});
 	});
@@ -132,20 +132,23 @@
 		keep: cmd.flag({ long: 'keep', description: 'keep the logs of seeds that break nothing too' }),
 		logs: cmd.option({ type: cmd.string, long: 'logs', defaultValue: () => 'target/soak' }),
 	},
-	handler: async (given) => {
-		const { atOnce, seeds, known: playKnown, seconds, faults, ...sizes } = given;
-		const asked: SeedWay = { seconds, faults: faults && (Number(faults) as worlds.FaultSet) };
+	handler: async (parsedArgs) => {
+		const { atOnce, seeds, known: includeKnown, seconds, faults, ...sizes } = parsedArgs;
+		const requested: SeedSettings = { seconds, faults: faults && (Number(faults) as environments.FaultSet) };
 		const known = knownSeeds();
-		const fresh = Array.from({ length: seeds }, (_, number): soak.SoakOptions => {
+		const newSeeds = Array.from({ length: seeds }, (_, number): soak.SoakOptions => {
 			const seed = sizes.seed + number;
-			const kept = known.find((one) => one.seed === seed);
-			const usual = kept === undefined ? newWay : wayOf(kept);
-			const way = { seconds: asked.seconds ?? usual.seconds, faults: asked.faults ?? usual.faults };
-			return { ...sizes, seed, ...way };
+			const knownSeed = known.find((one) => one.seed === seed);
+			const defaults = knownSeed === undefined ? defaultSettings : settingsOf(knownSeed);
+			const settings = {
+				seconds: requested.seconds ?? defaults.seconds,
+				faults: requested.faults ?? defaults.faults,
+			};
+			return { ...sizes, seed, ...settings };
 		});
-		const again = playKnown ? mendedOf(known) : [];
-		const all = [...again.map((one) => ({ ...sizes, seed: one.seed, ...wayOf(one) })), ...fresh];
-		const broken = atOnce > 1 ? await soakAtOnce(all, atOnce) : await soakAll(all);
+		const repeated = includeKnown ? withoutKnownFailures(known) : [];
+		const all = [...repeated.map((one) => ({ ...sizes, seed: one.seed, ...settingsOf(one) })), ...newSeeds];
+		const broken = atOnce > 1 ? await runConcurrently(all, atOnce) : await runInSequence(all);
 		process.exitCode = broken === 0 ? 0 : 1;
 	},
 });
@@ -153,7 +156,7 @@
 // Without this the plays and their boxes would outlive a soak that is ended from outside.
 for (const signal of ['SIGTERM', 'SIGINT'] as const)
 	process.once(signal, () => {
-		process.exit(endedFromOutside);
+		process.exit(exitStatusOnSignal);
 	});
 
 await cmd.run(command, process.argv.slice(2));
--- a/dev/soak/report.ts
+++ b/dev/soak/report.ts
@@ -1,38 +1,42 @@
 /** What a soak prints: a summary of each seed, and where a promise broke what led to it, as CI keeps no files. */
 import type * as boxes from '../../stand-ins/box-process.js';
-import type * as judges from './judge.js';
-import type * as worlds from './world.js';
+import type * as checkers from './judge.js';
+import type * as environments from './world.js';
 
 /** Lines of the boxes about one broken promise, at most: the newest. */
-const mostLogged = 60;
+const maxLinesPerSubject = 60;
 
 /** Broken promises of which the boxes' lines are printed, at most. */
-const mostExplained = 5;
+const maxSubjects = 5;
 
 /** Prints a summary, and each broken promise. */
-export function summarize(
+export function printSummary(
 	seed: number,
 	faults: readonly string[],
-	judge: judges.Judge,
+	checker: checkers.InvariantChecker,
 	seconds: number,
 ): void {
-	const all = judge.all();
+	const all = checker.all();
 	const completed = all.filter((job) => job.completed).length;
 	process.stdout.write(
 		`seed ${seed}: ${faults.length} faults, ${all.length} jobs, ${completed} completed, ` +
-			`${judge.starts} starts, ${judge.violations.length} broken promises in ${seconds} s\n`,
+			`${checker.starts} starts, ${checker.violations.length} broken promises in ${seconds} s\n`,
 	);
-	for (const one of judge.violations) process.stdout.write(`  ${one.at} s ${one.promise}: ${one.detail}\n`);
+	for (const one of checker.violations) process.stdout.write(`  ${one.at} s ${one.promise}: ${one.detail}\n`);
 }
 
 /** Prints the faults, and what the boxes logged about whatever the first broken promises name. */
-export function explain(world: worlds.World, faults: readonly string[], broken: judges.Violation[]): void {
+export function explain(
+	environment: environments.Environment,
+	faults: readonly string[],
+	broken: checkers.Violation[],
+): void {
 	for (const fault of faults) process.stdout.write(`    fault at ${fault}\n`);
 	const subjects = new Set(broken.map(({ detail }) => subjectOf(detail)));
-	for (const subject of [...subjects].slice(0, mostExplained)) {
-		const logged = linesAbout(world, subject);
+	for (const subject of [...subjects].slice(0, maxSubjects)) {
+		const logged = linesAbout(environment, subject);
 		process.stdout.write(`    ${logged.length} lines about ${subject}, the newest:\n`);
-		for (const line of logged.slice(-mostLogged)) process.stdout.write(`    ${line}\n`);
+		for (const line of logged.slice(-maxLinesPerSubject)) process.stdout.write(`    ${line}\n`);
 	}
 }
 
@@ -42,9 +46,9 @@
 }
 
 /** Lines of all boxes that name it, in order of time. */
-function linesAbout(world: worlds.World, subject: string): string[] {
-	const stamped = world.boxes.flatMap((box) => box.lines.flat());
-	const found = stamped.filter((line) => JSON.stringify(line).includes(subject));
+function linesAbout(environment: environments.Environment, subject: string): string[] {
+	const allLines = environment.boxes.flatMap((box) => box.lines.flat());
+	const found = allLines.filter((line) => JSON.stringify(line).includes(subject));
 	return found.sort((a, b) => timeOf(a) - timeOf(b)).map((line) => JSON.stringify(line));
 }
 
--- a/dev/soak/soak.ts
+++ b/dev/soak/soak.ts
@@ -3,18 +3,18 @@
 import * as callers from './callers.js';
 import * as clocks from '../../src/core/clock.js';
 import * as crashing from './crashing.js';
-import * as farCallers from './far-callers.js';
+import * as delayedCallers from './far-callers.js';
 import * as faults from './faults.js';
-import * as judges from './judge.js';
-import * as patiences from './patience.js';
+import * as checkers from './judge.js';
+import * as lostJobs from './patience.js';
 import * as random from '../random.js';
 import * as reports from './report.js';
 import * as users from '../../stand-ins/users-platform/server.js';
-import * as worlds from './world.js';
+import * as environments from './world.js';
 import type * as workers from '../../stand-ins/fleet/workers.js';
 
 /** A run takes from so long to so long, in milliseconds, by the set of faults. */
-const runMs: Record<worlds.FaultSet, { shortest: number; longest: number }> = {
+const runMsBySet: Record<environments.FaultSet, { shortest: number; longest: number }> = {
 	1: { shortest: 50, longest: 900 },
 	// Leaves the workers as much to do, with the lasting ones.
 	2: { shortest: 50, longest: 500 },
@@ -27,20 +27,20 @@
 };
 
 /** With the later sets this part of the tasks outlasts a change of the owner: they take from so long to so long. */
-const lastingPart = 0.05;
-const lastingMs = { shortest: 2_000, longest: 6_000 };
+const longRunningFraction = 0.05;
+const longRunningMs = { shortest: 2_000, longest: 6_000 };
 
 /** How often it is looked whether jobs are lost, in milliseconds. */
-const lookGapMs = 200;
+const checkIntervalMs = 200;
 
 /** Far callers, in the set of planned stops. */
-const farCallersCount = 24;
+const delayedCallersCount = 24;
 
 /** Parts of runs that fail by themselves; a task fails three times in a row once in 30,000 tasks. */
-const failingPart = 0.03;
+const failingFraction = 0.03;
 
 /** Attempts that the stand-in's queues give a task. */
-const attempts = 3;
+const maxAttempts = 3;
 
 /** Sizes of a soak, and the folder for the logs of one that fails. */
 export interface SoakOptions {
@@ -52,84 +52,108 @@
 	logs: string;
 	/** Whether they are kept also where nothing broke. */
 	keep: boolean;
-	faults: worlds.FaultSet;
+	faults: environments.FaultSet;
 }
 
 /** Plays one seed; returns the broken promises. */
-export async function play(opts: SoakOptions): Promise<judges.Violation[]> {
+export async function runSeed(opts: SoakOptions): Promise<checkers.Violation[]> {
 	const startedAt = clocks.systemClock.now();
 	const seconds = (): number => Math.round((clocks.systemClock.now() - startedAt) / 10) / 100;
-	const next = random.seeded(opts.seed);
-	const judge = judges.Judge.create(seconds, worlds.hasCrashing(opts.faults));
-	const plan = planFor(opts.faults);
-	const world = await worlds.World.create({
+	const nextRandom = random.seeded(opts.seed);
+	const checker = checkers.InvariantChecker.create(seconds, environments.hasCrashingTasks(opts.faults));
+	const plan = plannerFor(opts.faults);
+	const environment = await environments.Environment.create({
 		...opts,
-		judge,
+		checker,
 		plan,
-		next: random.seeded(opts.seed + 2),
+		nextRandom: random.seeded(opts.seed + 2),
 	});
 	const until = clocks.systemClock.now() + opts.seconds * 1_000;
-	const patience = patiences.Patience.create({
-		judge,
+	const detector = lostJobs.LostJobDetector.create({
+		checker,
 		milliCores: opts.workers * users.workerMilliCores,
 		workMs: (task) => plan(task, 1).ms,
 	});
-	const isOver = (): boolean => patience.isOver;
-	const shared: callers.CallersOptions = { world, judge, next: random.seeded(opts.seed + 1), until, isOver };
-	const lines: string[] = [];
-	const log = (line: string): void => {
-		lines.push(`${seconds()} s: ${line}`);
+	const isWaitOver = (): boolean => detector.isWaitOver;
+	const callersOptions: callers.CallersOptions = {
+		environment,
+		checker,
+		nextRandom: random.seeded(opts.seed + 1),
+		until,
+		isWaitOver,
 	};
-	const calls = Array.from({ length: opts.callers }, () => callers.call(shared));
-	const injected = faults.inject(world, next, until, log).then(() => {
-		patience.begin();
+	const faultLines: string[] = [];
+	const logFault = (line: string): void => {
+		faultLines.push(`${seconds()} s: ${line}`);
+	};
+	const callersDone = Array.from({ length: opts.callers }, () => callers.call(callersOptions));
+	const injectionDone = faults.inject(environment, nextRandom, until, logFault).then(() => {
+		detector.noteFaultsOver();
 	});
-	const looks = clocks.every(clocks.systemClock, lookGapMs, () => {
-		patience.look();
+	const checkTimer = clocks.every(clocks.systemClock, checkIntervalMs, () => {
+		detector.check();
 	});
-	const farCalls = Array.from(
-		{ length: worlds.hasFarCallers(opts.faults) ? farCallersCount : 0 },
-		(_, number) => farCallers.call({ world, judge, next: random.seeded(opts.seed + 3 + number), until }),
+	const delayedCallersDone = Array.from(
+		{ length: environments.hasDelayedCallers(opts.faults) ? delayedCallersCount : 0 },
+		(_, number) =>
+			delayedCallers.call({
+				environment,
+				checker,
+				nextRandom: random.seeded(opts.seed + 3 + number),
+				until,
+			}),
 	);
-	await Promise.all([injected, callers.watchConfiguration(shared), ...calls, ...farCalls]);
-	looks.cancel();
-	judge.atEnd();
-	if (opts.keep || judge.violations.length > 0) keepLogs(opts, world, lines, judge.violations);
-	await world.close();
-	reports.summarize(opts.seed, lines, judge, seconds());
-	if (judge.violations.length > 0) reports.explain(world, lines, judge.violations);
-	return judge.violations;
+	await Promise.all([
+		injectionDone,
+		callers.watchConfiguration(callersOptions),
+		...callersDone,
+		...delayedCallersDone,
+	]);
+	checkTimer.cancel();
+	checker.checkAtEnd();
+	if (opts.keep || checker.violations.length > 0)
+		writeLogs(opts, environment, faultLines, checker.violations);
+	await environment.close();
+	reports.printSummary(opts.seed, faultLines, checker, seconds());
+	if (checker.violations.length > 0) reports.explain(environment, faultLines, checker.violations);
+	return checker.violations;
 }
 
 /** A run that ends by itself. */
 type FinitePlan = workers.RunPlan & { ms: number };
 
 /** How a run goes: the same for every soak with a set of faults. */
-function planFor(faultSet: worlds.FaultSet): (task: string, run: number) => FinitePlan {
+function plannerFor(faultSet: environments.FaultSet): (task: string, run: number) => FinitePlan {
 	return (task, run) => {
 		// Never the last attempt: a job that fails by itself is not lost.
-		const fails = random.seeded(random.hash(`${task} ${run}`))() < failingPart && run % attempts === 1;
-		const next = random.seeded(random.hash(task));
-		const isLasting = faultSet !== 1 && random.seeded(random.hash(`${task} lasts`))() < lastingPart;
-		const { shortest, longest } = isLasting ? lastingMs : runMs[faultSet];
+		const fails = random.seeded(random.hash(`${task} ${run}`))() < failingFraction && run % maxAttempts === 1;
+		const nextRandom = random.seeded(random.hash(task));
+		const isLongRunning =
+			faultSet !== 1 && random.seeded(random.hash(`${task} lasts`))() < longRunningFraction;
+		const { shortest, longest } = isLongRunning ? longRunningMs : runMsBySet[faultSet];
 		const plan: FinitePlan = {
-			ms: random.between(next, shortest, longest),
+			ms: random.between(nextRandom, shortest, longest),
 			how: fails ? 'failed' : 'done',
 		};
-		const crashMs = worlds.hasCrashing(faultSet) ? crashing.crashMsOf(task) : undefined;
+		const crashMs = environments.hasCrashingTasks(faultSet) ? crashing.crashMsOf(task) : undefined;
 		// It works on until it brings its worker down.
 		return crashMs === undefined ? plan : { ...plan, ms: 2 * crashMs, crashMs };
 	};
 }
 
 /** Writes what the boxes logged, the faults and the broken promises to a folder. */
-function keepLogs(opts: SoakOptions, world: worlds.World, lines: string[], broken: judges.Violation[]): void {
+function writeLogs(
+	opts: SoakOptions,
+	environment: environments.Environment,
+	faultLines: string[],
+	broken: checkers.Violation[],
+): void {
 	const folder = `${opts.logs}/seed-${opts.seed}`;
 	fs.mkdirSync(folder, { recursive: true });
-	fs.writeFileSync(`${folder}/faults.txt`, `${lines.join('\n')}\n`);
+	fs.writeFileSync(`${folder}/faults.txt`, `${faultLines.join('\n')}\n`);
 	fs.writeFileSync(`${folder}/broken.json`, JSON.stringify(broken, undefined, '\t'));
-	for (const box of world.boxes) {
-		const logged = box.lines.flat().map((line) => JSON.stringify(line));
-		fs.writeFileSync(`${folder}/${box.name}.jsonl`, `${logged.join('\n')}\n`);
+	for (const box of environment.boxes) {
+		const logLines = box.lines.flat().map((line) => JSON.stringify(line));
+		fs.writeFileSync(`${folder}/${box.name}.jsonl`, `${logLines.join('\n')}\n`);
 	}
 }
--- a/dev/soak/world.ts
+++ b/dev/soak/world.ts
@@ -7,7 +7,7 @@
 import * as proxies from '../../stand-ins/proxy/index.js';
 
 import * as users from '../../stand-ins/users-platform/server.js';
-import type * as judges from './judge.js';
+import type * as checkers from './judge.js';
 import type * as workers from '../../stand-ins/fleet/workers.js';
 
 /** Host of all queues. */
@@ -17,24 +17,24 @@
 export const firstQueue = '/jobs/';
 
 /** After trouble at a box ended, nothing with a time bound is asked of it for so long, in milliseconds. */
-const calmAfterMs = 3_000;
+const stableAfterMs = 3_000;
 
 /** The zone of all workers; from so long after its evacuation was stored on, nothing starts there, in milliseconds. */
 const workersZone = 'rennes';
-const evacuateMs = 5_000;
+const evacuationDeadlineMs = 5_000;
 
 /** Workers of the second set write their entries so often, in milliseconds: as the users' workers do. */
-const heartbeatMs = 1_500;
+const heartbeatIntervalMs = 1_500;
 
 /** A room that has shrunk counts after so long: a box is in touch again, and has heard a heartbeat. */
-const shrunkAfterMs = calmAfterMs + heartbeatMs;
+const reductionKnownAfterMs = stableAfterMs + heartbeatIntervalMs;
 
 /** The start of a worker's next life differs by so much at most, in milliseconds, and this part of them are smaller. */
-const mostClockStepMs = 5_000;
-const setBackPart = 0.3;
+const maxClockStepMs = 5_000;
+const setBackFraction = 0.3;
 
 /** An order that a worker leaves unanswered is carried out by then, in milliseconds; no room is promised to such orders. */
-const lateOrdersMs = 8_000;
+const lateCommandsMs = 8_000;
 
 /**
  * Which faults are injected. 1: the former set, which seeds that were found with it go on to play; workers keep one entry
@@ -48,12 +48,12 @@
 export type FaultSet = 1 | 2 | 3 | 4 | 5 | 6 | 7 | 8;
 
 /** Whether a set has tasks that crash their workers. */
-export function hasCrashing(faults: FaultSet): boolean {
+export function hasCrashingTasks(faults: FaultSet): boolean {
 	return faults >= 4 && faults !== 8;
 }
 
 /** Whether a set plays far callers. */
-export function hasFarCallers(faults: FaultSet): boolean {
+export function hasDelayedCallers(faults: FaultSet): boolean {
 	return faults >= 7;
 }
 
@@ -75,45 +75,49 @@
 	/** The newest of its processes that was stopped as planned; it may have ended since. */
 	stopping: boxes.BoxProcess | undefined;
 	/** Counts its processes. */
-	life: number;
+	processCount: number;
 	/** What all its processes logged. */
 	lines: boxes.LogLine[][];
 	/** Clock time until which trouble at it lasts. */
-	troubledUntil: number;
+	faultUntil: number;
 	/** Clock time until which a planned stop may last. */
-	stoppingUntil: number;
+	plannedStopUntil: number;
 }
 
 /** Injects one fault, for `forMs` milliseconds if it lasts; says where it was. */
-export type Fault = (world: World, next: () => number, forMs: number) => Promise<string> | string;
+export type Fault = (
+	environment: Environment,
+	nextRandom: () => number,
+	durationMs: number,
+) => Promise<string> | string;
 
 /** A worker, over all its lives. */
 export interface SoakWorker {
 	id: string;
 	/** Where all its lives listen. */
 	address: string;
-	lives: number;
+	incarnationCount: number;
 	/** Since when it holds less than it did, and how much; undefined: it does not. */
-	shrunk: { milliCores: number; at: number } | undefined;
+	reducedCapacity: { milliCores: number; at: number } | undefined;
 	/** When its newest life says that it started; undefined: it does not tell, and gets a new name with each life. */
 	born: number | undefined;
 	/** Clock time until which orders may be carried out late there. */
-	lateUntil: number;
+	lateCommandsUntil: number;
 }
 
 /** Sizes of a soak. */
-export interface WorldOptions {
+export interface EnvironmentOptions {
 	boxes: number;
 	workers: number;
-	judge: judges.Judge;
+	checker: checkers.InvariantChecker;
 	plan: (task: string, run: number) => workers.RunPlan;
 	faults: FaultSet;
 	/** Decides the ids of workers' lives. */
-	next: () => number;
+	nextRandom: () => number;
 }
 
 /** Everything that a soak started. */
-export class World {
+export class Environment {
 	readonly boxes: SoakBox[] = [];
 	readonly workers: SoakWorker[] = [];
 	/** From boxes to workers and to each other. */
@@ -126,36 +130,39 @@
 	/** Clock time from which the workers' zone is evacuated; undefined: it is not. */
 	evacuatedAt: number | undefined;
 	/** Clock time until which the store is in trouble for all. */
-	storeTroubledUntil = 0;
-	private closing = false;
+	storeFaultUntil = 0;
+	private isClosing = false;
 
 	private constructor(
 		readonly platform: users.UsersPlatform,
-		private readonly opts: WorldOptions,
+		private readonly opts: EnvironmentOptions,
 	) {
 		this.links = linking.Links.create(boxNames(opts.boxes));
 	}
 
-	static async create(opts: WorldOptions): Promise<World> {
-		const { judge, plan } = opts;
-		const beats = opts.faults === 1 ? {} : { heartbeatMs };
-		const world = new World(users.UsersPlatform.create({ plan, journal: judge, ...beats }), opts);
-		judge.running = () => world.running();
-		judge.roomOf = (id) => world.roomOf(id);
-		judge.mayStartAt = (id) => world.mayStartAt(id);
-		world.platform.fleet.onCrash = (life) => {
-			world.takeDown(life);
+	static async create(opts: EnvironmentOptions): Promise<Environment> {
+		const { checker, plan } = opts;
+		const heartbeatOptions = opts.faults === 1 ? {} : { heartbeatMs: heartbeatIntervalMs };
+		const environment = new Environment(
+			users.UsersPlatform.create({ plan, journal: checker, ...heartbeatOptions }),
+			opts,
+		);
+		checker.running = () => environment.running();
+		checker.capacityOf = (id) => environment.knownCapacityOf(id);
+		checker.mayStartAt = (id) => environment.mayStartAt(id);
+		environment.platform.fleet.onCrash = (incarnation) => {
+			environment.crashWorker(incarnation);
 		};
-		world.configure();
-		world.noteChange(firstQueue, true);
+		environment.storeConfiguration();
+		environment.noteChange(firstQueue, true);
 		for (let number = 1; number <= opts.workers; number += 1)
-			await world.addWorker(opts.faults === 1 ? `i-${number}` : world.newId());
+			await environment.addWorker(opts.faults === 1 ? `i-${number}` : environment.newId());
 		for (const name of boxNames(opts.boxes)) {
-			const store = await world.platform.startStore(world.links.bookOf(name));
-			world.boxes.push(newBox(name, await proxies.FaultProxy.create(store)));
+			const store = await environment.platform.startStore(environment.links.addressBookOf(name));
+			environment.boxes.push(newBox(name, await proxies.FaultProxy.create(store)));
 		}
-		await Promise.all(world.boxes.map((box) => world.startBox(box)));
-		return world;
+		await Promise.all(environment.boxes.map((box) => environment.startBox(box)));
+		return environment;
 	}
 
 	get faults(): FaultSet {
@@ -172,25 +179,28 @@
 
 	/** Starts a process for a box that has none. */
 	async startBox(box: SoakBox): Promise<void> {
-		const started = await boxes.BoxProcess.create(box.name, box.store.address);
-		box.life += 1;
-		box.process = started;
-		box.lines.push(started.lines);
-		const { life } = box;
-		started.process.once('exit', (code, signal) => {
-			this.links.left(box.name);
-			const isAsked = this.closing || signal === 'SIGKILL' || box.stoppingUntil > this.now();
-			if (box.life === life) box.process = undefined;
-			if (!isAsked)
-				this.opts.judge.report('process-ended', `${box.name}: status ${String(code)}, ${String(signal)}`);
+		const newProcess = await boxes.BoxProcess.create(box.name, box.store.address);
+		box.processCount += 1;
+		box.process = newProcess;
+		box.lines.push(newProcess.lines);
+		const { processCount: processNumber } = box;
+		newProcess.process.once('exit', (code, signal) => {
+			this.links.noteProcessEnded(box.name);
+			const isExpected = this.isClosing || signal === 'SIGKILL' || box.plannedStopUntil > this.now();
+			if (box.processCount === processNumber) box.process = undefined;
+			if (!isExpected)
+				this.opts.checker.reportViolation(
+					'process-ended',
+					`${box.name}: status ${String(code)}, ${String(signal)}`,
+				);
 		});
-		this.troubled(box, 0);
-		if (this.closing) await started.kill();
+		this.noteFault(box, 0);
+		if (this.isClosing) await newProcess.kill();
 	}
 
 	/** Trouble lasts at a box for so long from now. */
-	troubled(box: SoakBox, ms: number): void {
-		box.troubledUntil = Math.max(box.troubledUntil, this.now() + ms);
+	noteFault(box: SoakBox, ms: number): void {
+		box.faultUntil = Math.max(box.faultUntil, this.now() + ms);
 	}
 
 	/** The box that owned last, as far as the boxes' logs tell; undefined: none, or it has no process. */
@@ -202,64 +212,66 @@
 	}
 
 	/** Whether a box has been without trouble for a while, the store too. */
-	isCalm(box: SoakBox): boolean {
-		const until = Math.max(box.troubledUntil, this.storeTroubledUntil, box.stoppingUntil);
-		return box.process !== undefined && this.now() > until + calmAfterMs;
+	isStable(box: SoakBox): boolean {
+		const until = Math.max(box.faultUntil, this.storeFaultUntil, box.plannedStopUntil);
+		return box.process !== undefined && this.now() > until + stableAfterMs;
 	}
 
 	/** Another life of a worker begins at its address. */
 	replaceWorker(worker: SoakWorker): void {
-		const before = worker.id;
-		const isFormer = this.opts.faults === 1;
-		worker.lives += 1;
+		const previousId = worker.id;
+		const isFirstSet = this.opts.faults === 1;
+		worker.incarnationCount += 1;
 		// What it says of itself anew is what its machine has.
-		worker.shrunk = undefined;
-		worker.id = isFormer ? `${before.split('.')[0] ?? before}.${worker.lives}` : this.newId();
-		const entry = isFormer ? 'dropped' : 'lapsing';
-		this.platform.replaceWorker(before, worker.id, worker.address, entry);
+		worker.reducedCapacity = undefined;
+		worker.id = isFirstSet
+			? `${previousId.split('.')[0] ?? previousId}.${worker.incarnationCount}`
+			: this.newId();
+		const entry = isFirstSet ? 'dropped' : 'lapsing';
+		this.platform.replaceWorker(previousId, worker.id, worker.address, entry);
 	}
 
 	/** A worker goes down with what runs there, and is back after a while. */
-	takeDown(life: workers.FakeWorker, downMs = crashing.downMs): void {
-		const worker = this.workers.find((one) => one.id === life.name);
-		if (worker === undefined || life.dead) return;
-		const { lives } = worker;
-		this.platform.fleet.takeDown(life);
+	crashWorker(incarnation: workers.FakeWorker, downMs = crashing.downMs): void {
+		const worker = this.workers.find((one) => one.id === incarnation.name);
+		if (worker === undefined || incarnation.dead) return;
+		const { incarnationCount } = worker;
+		this.platform.fleet.takeDown(incarnation);
 		this.platform.silence(worker.id);
 		clocks.systemClock.after(downMs, () => {
 			// Another fault may have brought it back already.
-			if (!this.closing && worker.lives === lives) this.bringBack(worker);
+			if (!this.isClosing && worker.incarnationCount === incarnationCount) this.restoreWorker(worker);
 		});
 	}
 
-	private bringBack(worker: SoakWorker): void {
+	private restoreWorker(worker: SoakWorker): void {
 		if (worker.born === undefined) this.replaceWorker(worker);
 		else this.restartWorker(worker, worker.born);
 	}
 
 	/** A worker starts again under its name; its time of day may have been set back meanwhile. */
-	private restartWorker(worker: SoakWorker, before: number): void {
-		const stepMs = 1 + Math.floor(this.opts.next() * mostClockStepMs);
-		worker.lives += 1;
-		worker.shrunk = undefined;
-		worker.born = before + (this.opts.next() < setBackPart ? -stepMs : stepMs);
+	private restartWorker(worker: SoakWorker, previousStart: number): void {
+		const stepMs = 1 + Math.floor(this.opts.nextRandom() * maxClockStepMs);
+		worker.incarnationCount += 1;
+		worker.reducedCapacity = undefined;
+		worker.born = previousStart + (this.opts.nextRandom() < setBackFraction ? -stepMs : stepMs);
 		this.platform.restartWorker(worker.id, worker.address, worker.born);
 	}
 
 	/** A worker holds so much less for a while, as its entry says. */
-	async shrink(worker: SoakWorker, milliCores: number, forMs: number): Promise<void> {
-		worker.shrunk = { milliCores, at: this.now() };
+	async reduceCapacity(worker: SoakWorker, milliCores: number, durationMs: number): Promise<void> {
+		worker.reducedCapacity = { milliCores, at: this.now() };
 		this.platform.resize(worker.id, worker.address, milliCores);
-		await this.sleep(forMs);
-		worker.shrunk = undefined;
+		await this.sleep(durationMs);
+		worker.reducedCapacity = undefined;
 		this.platform.resize(worker.id, worker.address, users.workerMilliCores);
 	}
 
 	/** The workers' zone is evacuated for so long. */
-	async evacuate(forMs: number): Promise<void> {
+	async evacuate(durationMs: number): Promise<void> {
 		this.evacuatedAt = this.now();
 		this.platform.evacuate(workersZone);
-		await this.sleep(forMs);
+		await this.sleep(durationMs);
 		this.platform.takeBack(workersZone);
 		this.evacuatedAt = undefined;
 	}
@@ -267,40 +279,47 @@
 	/** Whether a start may begin at a worker now, as far as evacuations go; orders that are carried out late always may. */
 	private mayStartAt(id: string): boolean {
 		const now = this.now();
-		const lateUntil = this.workers.find((one) => one.id === id)?.lateUntil ?? 0;
-		return this.evacuatedAt === undefined || now - this.evacuatedAt <= evacuateMs || now <= lateUntil;
+		const lateCommandsUntil = this.workers.find((one) => one.id === id)?.lateCommandsUntil ?? 0;
+		return (
+			this.evacuatedAt === undefined ||
+			now - this.evacuatedAt <= evacuationDeadlineMs ||
+			now <= lateCommandsUntil
+		);
 	}
 
 	/** Orders that are under way to a worker may be carried out late. */
-	ordersLate(id: string, forMs: number): void {
+	noteLateCommands(id: string, durationMs: number): void {
 		const worker = this.workers.find((one) => one.id === id);
-		if (worker !== undefined) worker.lateUntil = this.now() + forMs + lateOrdersMs;
+		if (worker !== undefined) worker.lateCommandsUntil = this.now() + durationMs + lateCommandsMs;
 	}
 
 	/** What a worker holds, as far as its owner has to know, in thousandths of a core. */
-	private roomOf(id: string): number {
+	private knownCapacityOf(id: string): number {
 		const worker = this.workers.find((one) => one.id === id);
-		const { shrunk, lateUntil = 0 } = worker ?? {};
+		const { reducedCapacity, lateCommandsUntil = 0 } = worker ?? {};
 		const now = this.now();
-		const counts = shrunk !== undefined && now - shrunk.at > shrunkAfterMs && now > lateUntil;
-		return counts ? shrunk.milliCores : users.workerMilliCores;
+		const isReductionKnown =
+			reducedCapacity !== undefined &&
+			now - reducedCapacity.at > reductionKnownAfterMs &&
+			now > lateCommandsUntil;
+		return isReductionKnown ? reducedCapacity.milliCores : users.workerMilliCores;
 	}
 
 	/** Stores a new version of the configuration, with one more queue if one is given. */
-	configure(added?: string): void {
-		this.changeQueues(added === undefined ? this.prefixes : [...this.prefixes, added]);
+	storeConfiguration(added?: string): void {
+		this.storeQueues(added === undefined ? this.prefixes : [...this.prefixes, added]);
 		if (added !== undefined) this.noteChange(added, true);
 	}
 
 	/** Stores a new version of the configuration, with one queue less. */
 	dropQueue(prefix: string): void {
-		this.changeQueues(this.prefixes.filter((one) => one !== prefix));
+		this.storeQueues(this.prefixes.filter((one) => one !== prefix));
 		this.noteChange(prefix, false);
 	}
 
 	/** Ends every process that was started here, and every server. */
 	async close(): Promise<void> {
-		this.closing = true;
+		this.isClosing = true;
 		const running = this.boxes.flatMap((box) => box.process ?? []);
 		await Promise.all(running.map((one) => one.kill()));
 		for (const box of this.boxes) box.store.close();
@@ -308,7 +327,7 @@
 		this.platform.close();
 	}
 
-	private changeQueues(prefixes: string[]): void {
+	private storeQueues(prefixes: string[]): void {
 		this.prefixes = prefixes;
 		this.version += 1;
 		this.platform.configure(this.version, host, prefixes);
@@ -323,16 +342,23 @@
 	private async addWorker(id: string): Promise<void> {
 		const born = this.opts.faults >= 5 ? fleets.firstBornMs : undefined;
 		const listedAs = async (listening: string): Promise<string> => {
-			await this.links.reach(listening);
+			await this.links.addLinks(listening);
 			return listening;
 		};
 		const address = await this.platform.startWorker(id, listedAs, born);
-		this.workers.push({ id, address, lives: 1, shrunk: undefined, lateUntil: 0, born });
+		this.workers.push({
+			id,
+			address,
+			incarnationCount: 1,
+			reducedCapacity: undefined,
+			lateCommandsUntil: 0,
+			born,
+		});
 	}
 
 	/** A new life's id, which may sort before or after that of the one before it. */
 	private newId(): string {
-		const number = Math.floor(this.opts.next() * 0x1_0000_0000);
+		const number = Math.floor(this.opts.nextRandom() * 0x1_0000_0000);
 		return `i-${number.toString(16).padStart(8, '0')}`;
 	}
 
@@ -354,6 +380,6 @@
 
 /** A box without a process. */
 function newBox(name: string, store: proxies.FaultProxy): SoakBox {
-	const processes = { process: undefined, stopping: undefined, life: 0, lines: [] };
-	return { name, store, ...processes, troubledUntil: 0, stoppingUntil: 0 };
+	const noProcess = { process: undefined, stopping: undefined, processCount: 0, lines: [] };
+	return { name, store, ...noProcess, faultUntil: 0, plannedStopUntil: 0 };
 }
--- a/spec/crashes.ts
+++ b/spec/crashes.ts
@@ -110,7 +110,7 @@
 
 	const start = (next: CrashState): void => {
 		next.phase = 'running';
-		if (next.crashes >= crashing.crashesBeforeBound) next.late += 1;
+		if (next.crashes >= crashing.crashesBeforeStartLimit) next.late += 1;
 	};
 
 	const notice = (next: CrashState, isHanging: boolean): void => {
@@ -187,7 +187,7 @@
 		initial,
 		steps: (state) => (state.run >= mostStarts ? [] : steps(state)),
 		wrong: (state) =>
-			state.late > crashing.startsAfterBound
+			state.late > crashing.maxStartsAfterCrashes
 				? `${String(state.late)} starts after the third crash`
 				: undefined,
 	};
--- a/test/crashing-tasks.test.ts
+++ b/test/crashing-tasks.test.ts
@@ -101,7 +101,7 @@
 		await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
 		const sound = await submitSound(environment, succession);
 		await environment.clock.pass(soundTimeoutMs);
-		t.true(crashes.crashCountsOf(environment, 'bad.0.0.0').late <= crashing.startsAfterBound);
+		t.true(crashes.crashCountsOf(environment, 'bad.0.0.0').late <= crashing.maxStartsAfterCrashes);
 		t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
 		t.deepEqual(notInState(succession, sound, 'completed'), []);
 		succession.close();
@@ -128,7 +128,7 @@
 				await succession.replaceOwner();
 			}
 			t.true(
-				crashes.crashCountsOf(environment, 'bad.0.0.0').late <= crashing.startsAfterBound,
+				crashes.crashCountsOf(environment, 'bad.0.0.0').late <= crashing.maxStartsAfterCrashes,
 				`${String(crashMs)}, ${String(tenureMs)}`,
 			);
 			succession.close();
@@ -168,7 +168,7 @@
 	const sound = await submitSound(environment, succession);
 	await environment.clock.pass(soundTimeoutMs);
 	for (const id of bad)
-		t.true(crashes.crashCountsOf(environment, `${id}.0.0.0`).late <= crashing.startsAfterBound);
+		t.true(crashes.crashCountsOf(environment, `${id}.0.0.0`).late <= crashing.maxStartsAfterCrashes);
 	t.deepEqual(notInState(succession, bad, 'failed'), []);
 	t.deepEqual(notInState(succession, sound, 'completed'), []);
 	succession.close();
@@ -180,7 +180,7 @@
 	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step({ lasting: true })]));
 	const sound = await submitSound(environment, succession);
 	await environment.clock.pass(soundTimeoutMs);
-	t.true(crashes.crashCountsOf(environment, 'bad.0.0.0').late <= crashing.startsAfterBound);
+	t.true(crashes.crashCountsOf(environment, 'bad.0.0.0').late <= crashing.maxStartsAfterCrashes);
 	t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
 	t.deepEqual(notInState(succession, sound, 'completed'), []);
 	succession.close();
@@ -191,7 +191,7 @@
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('half', [fixtures.step({ count: 3, gang: true })]));
 	await environment.clock.pass(soundTimeoutMs);
-	t.true(crashes.crashCountsOf(environment, 'half.0.0.0').late <= crashing.startsAfterBound);
+	t.true(crashes.crashCountsOf(environment, 'half.0.0.0').late <= crashing.maxStartsAfterCrashes);
 	t.is(succession.owner.dispatcher.stateOf('half'), 'failed');
 	succession.close();
 });
--- a/test/restarted-workers.test.ts
+++ b/test/restarted-workers.test.ts
@@ -145,7 +145,7 @@
 		one.tasks.filter((task) => task.startsWith(`${id}.`)),
 	);
 	return tasks.some(
-		(task) => crashes.crashCountsOf(environment, task).crashes >= crashing.crashesBeforeGivingUp,
+		(task) => crashes.crashCountsOf(environment, task).crashes >= crashing.crashesBeforeAbandoning,
 	);
 }
 
@@ -194,7 +194,7 @@
 		}
 		await environment.clock.pass(60_000);
 		const history = crashes.crashCountsOf(environment, 'bad.0.0.0');
-		t.true(history.late <= crashing.startsAfterBound, `${String(history.crashes)} crashes`);
+		t.true(history.late <= crashing.maxStartsAfterCrashes, `${String(history.crashes)} crashes`);
 		t.is(trial.owner().dispatcher.stateOf('bad'), 'failed');
 		const unfinished = healthyJobs.filter((id) => trial.owner().dispatcher.stateOf(id) !== 'completed');
 		t.deepEqual(unfinished, []);
--- a/test/slow-links.test.ts
+++ b/test/slow-links.test.ts
@@ -29,7 +29,7 @@
 	const modeByBox = new Map(boxNames.map((name) => [name, createNarrowMode()]));
 	for (let number = 1; number <= workerCount; number += 1) {
 		const address = await platform.startWorker(`i-${String(number)}`, (at) => at);
-		await links.reach(address);
+		await links.addLinks(address);
 		for (const { box, proxy } of links.to(address)) proxy.set(modeByBox.get(box) ?? { kind: 'pass' });
 	}
 	platform.configure(3, realBoxes.host);
@@ -42,7 +42,7 @@
 		platform.close();
 	});
 	for (const name of boxNames) {
-		const store = await proxies.FaultProxy.create(await platform.startStore(links.bookOf(name)));
+		const store = await proxies.FaultProxy.create(await platform.startStore(links.addressBookOf(name)));
 		store.set(modeByBox.get(name) ?? { kind: 'pass' });
 		stores.push(store);
 		const box = await boxes.BoxProcess.create(name, store.address);
--- a/test/soak-cuts.test.ts
+++ b/test/soak-cuts.test.ts
@@ -1,10 +1,10 @@
 /** Which requests that end without an answer the soak holds against a planned stop. */
 import * as net from 'node:net';
 import test from 'ava';
-import * as clients from '../dev/soak/box-client.js';
-import * as judges from '../dev/soak/judge.js';
+import * as boxClients from '../dev/soak/box-client.js';
+import * as checkers from '../dev/soak/judge.js';
 import type * as boxes from '../stand-ins/box-process.js';
-import type * as worlds from '../dev/soak/world.js';
+import type * as environments from '../dev/soak/world.js';
 
 /** A process that reads a request and then ends the connection. */
 interface Cutter {
@@ -20,50 +20,50 @@
 
 /** Stands in for a process of which only its address is asked. */
 function processAt(callers: string): boxes.BoxProcess {
-	const only: unknown = { callers };
-	return only as boxes.BoxProcess;
+	const partial: unknown = { callers };
+	return partial as boxes.BoxProcess;
 }
 
 async function startCutter(): Promise<Cutter> {
 	const server = net.createServer();
 	await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
 	const callers = `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
-	let open: net.Socket | undefined;
-	const asked = new Promise((resolve) => {
+	let openSocket: net.Socket | undefined;
+	const requestRead = new Promise((resolve) => {
 		server.on('connection', (socket) => {
-			open = socket;
+			openSocket = socket;
 			socket.once('data', resolve);
 		});
 	});
 	return {
 		process: processAt(callers),
-		asked,
-		cut: () => open?.end(),
-		reset: () => open?.resetAndDestroy(),
+		asked: requestRead,
+		cut: () => openSocket?.end(),
+		reset: () => openSocket?.resetAndDestroy(),
 		close: () => server.close(),
 	};
 }
 
 /** A box whose newest process is this one. */
-function boxOf(process: boxes.BoxProcess): worlds.SoakBox {
-	const store = undefined as unknown as worlds.SoakBox['store'];
-	const calm = { troubledUntil: -Infinity, stoppingUntil: -Infinity };
-	return { name: 'entry-1', store, process, stopping: undefined, life: 2, lines: [], ...calm };
+function boxOf(process: boxes.BoxProcess): environments.SoakBox {
+	const store = undefined as unknown as environments.SoakBox['store'];
+	const noFault = { faultUntil: -Infinity, plannedStopUntil: -Infinity };
+	return { name: 'entry-1', store, process, stopping: undefined, processCount: 2, lines: [], ...noFault };
 }
 
 /** Sends a request, lets `meanwhile` happen, cuts it off; returns what is held against the box. */
 async function cutOff(
-	prepare: (box: worlds.SoakBox) => void,
-	meanwhile: (box: worlds.SoakBox) => void,
+	prepare: (box: environments.SoakBox) => void,
+	meanwhile: (box: environments.SoakBox) => void,
 	how: 'cut' | 'reset' = 'cut',
 ): Promise<string[]> {
 	const cutter = await startCutter();
 	const box = boxOf(cutter.process);
-	const judge = judges.Judge.create(() => 0, false);
-	const client = clients.BoxClient.create({
-		world: { boxes: [box], now: () => 0 },
-		judge,
-		next: () => 0,
+	const checker = checkers.InvariantChecker.create(() => 0, false);
+	const client = boxClients.BoxClient.create({
+		environment: { boxes: [box], now: () => 0 },
+		checker,
+		nextRandom: () => 0,
 	});
 	prepare(box);
 	const reply = client.send(box, 'GET', '/jobs/a');
@@ -73,15 +73,15 @@
 	await reply;
 	await client.close();
 	cutter.close();
-	return judge.violations.map((one) => one.promise);
+	return checker.violations.map((one) => one.promise);
 }
 
 const nothing = (): void => undefined;
 
 /** Its process is told to stop. */
-function stop(box: worlds.SoakBox): void {
+function stop(box: environments.SoakBox): void {
 	box.stopping = box.process;
-	box.stoppingUntil = Infinity;
+	box.plannedStopUntil = Infinity;
 }
 
 test('a request that a planned stop cuts off is held against it', async (t) => {
@@ -104,7 +104,7 @@
 test('a request that is cut off after the stopped process has ended and another has begun is held against it', async (t) => {
 	const replaced = await cutOff(stop, (box) => {
 		box.process = processAt('127.0.0.1:1');
-		box.stoppingUntil = -Infinity;
+		box.plannedStopUntil = -Infinity;
 	});
 	t.deepEqual(replaced, ['cut']);
 });
@@ -112,16 +112,16 @@
 test('a request that is cut off by a kill soon after an earlier process was stopped is not held against a planned stop', async (t) => {
 	const killed = await cutOff((box) => {
 		box.stopping = processAt('127.0.0.1:1');
-		box.stoppingUntil = Infinity;
+		box.plannedStopUntil = Infinity;
 	}, nothing);
 	t.deepEqual(killed, []);
 });
 
 test('a request was cut off unless its connection was refused, or reset before anything was written to it', (t) => {
-	t.true(clients.isCutOff('UND_ERR_SOCKET', true));
-	t.true(clients.isCutOff('UND_ERR_SOCKET', false));
-	t.true(clients.isCutOff('ECONNRESET', true));
-	t.true(clients.isCutOff('EPIPE', true));
-	t.false(clients.isCutOff('ECONNRESET', false));
-	t.false(clients.isCutOff('ECONNREFUSED', false));
+	t.true(boxClients.isCutOff('UND_ERR_SOCKET', true));
+	t.true(boxClients.isCutOff('UND_ERR_SOCKET', false));
+	t.true(boxClients.isCutOff('ECONNRESET', true));
+	t.true(boxClients.isCutOff('EPIPE', true));
+	t.false(boxClients.isCutOff('ECONNRESET', false));
+	t.false(boxClients.isCutOff('ECONNREFUSED', false));
 });
--- a/test/soak-patience.test.ts
+++ b/test/soak-patience.test.ts
@@ -1,67 +1,71 @@
 /** The soak's limit: a backlog that is worked off is no loss, a job that stands still or is passed over is one. */
 import test from 'ava';
-import * as judges from '../dev/soak/judge.js';
-import * as patiences from '../dev/soak/patience.js';
+import * as checkers from '../dev/soak/judge.js';
+import * as lostJobs from '../dev/soak/patience.js';
 
 const workerMilliCores = 32_000;
 const runMs = 1_000;
 
 /** Longer than any job may stand still, in seconds. */
-const longSeconds = 25;
+const beyondTimeoutSeconds = 25;
 
-interface Made {
-	judge: judges.Judge;
-	patience: patiences.Patience;
+interface TestSetup {
+	checker: checkers.InvariantChecker;
+	detector: lostJobs.LostJobDetector;
 	/** Lets so many seconds pass, with a look at each. */
-	pass: (seconds: number, each?: (second: number) => void) => void;
+	advance: (seconds: number, each?: (second: number) => void) => void;
 	/** A job of one task that is accepted. */
-	accept: (id: string, milliCores?: number) => judges.SoakJob;
+	accept: (id: string, milliCores?: number) => checkers.SoakJob;
 	/** A job's task starts, and ends as done; callers are told. */
-	complete: (job: judges.SoakJob) => void;
+	complete: (job: checkers.SoakJob) => void;
 }
 
-function make(): Made {
+function makeSetup(): TestSetup {
 	let now = 0;
-	const judge = judges.Judge.create(() => now, false);
-	judge.roomOf = () => workerMilliCores;
-	const running = new Map<string, { worker: string; task: string }>();
-	judge.running = () => [...running.values()];
-	const patience = patiences.Patience.create({ judge, milliCores: workerMilliCores, workMs: () => runMs });
-	const taskOf = (job: judges.SoakJob): string => `${job.id}.0.0.0`;
+	const checker = checkers.InvariantChecker.create(() => now, false);
+	checker.capacityOf = () => workerMilliCores;
+	const runningByTask = new Map<string, { worker: string; task: string }>();
+	checker.running = () => [...runningByTask.values()];
+	const detector = lostJobs.LostJobDetector.create({
+		checker,
+		milliCores: workerMilliCores,
+		workMs: () => runMs,
+	});
+	const taskOf = (job: checkers.SoakJob): string => `${job.id}.0.0.0`;
 	return {
-		judge,
-		patience,
-		pass(seconds, each) {
+		checker,
+		detector,
+		advance(seconds, each) {
 			for (let second = 1; second <= seconds; second += 1) {
 				now += 1;
 				each?.(second);
-				patience.look();
+				detector.check();
 			}
 		},
 		accept(id, milliCores = 1_000) {
 			const steps = [{ tasks: 1, milliCores, after: [] }];
-			const times = { sentAt: 0, acceptedAt: 0, movedAt: 0 };
+			const times = { sentAt: 0, acceptedAt: 0, lastProgressAt: 0 };
 			const job = {
 				id,
 				steps,
 				accepted: false,
-				unknown: false,
+				mayBeAccepted: false,
 				cancelled: false,
 				completed: false,
 				failed: false,
 				...times,
 			};
-			judge.sent(job);
+			checker.noteSubmission(job);
 			now += 0.01;
-			judge.accepted(job);
+			checker.accepted(job);
 			now += 0.01;
 			return job;
 		},
 		complete(job) {
 			const task = taskOf(job);
-			judge.started({ at: now, task, run: 1, worker: 'w1', checkpoint: '', epoch: 1 });
-			judge.ended({ seq: 1, task, run: 1, how: 'done', checkpoint: '' });
-			judge.toldCompleted(job);
+			checker.started({ at: now, task, run: 1, worker: 'w1', checkpoint: '', epoch: 1 });
+			checker.ended({ seq: 1, task, run: 1, how: 'done', checkpoint: '' });
+			checker.noteReportedCompleted(job);
 		},
 	};
 }
@@ -71,91 +75,91 @@
 	return number.toString(16).padStart(16, '0');
 }
 
-function lost(judge: judges.Judge): string[] {
-	return judge.violations.map(({ promise, detail }) => `${promise} ${detail.split(' ')[0] ?? ''}`);
+function lost(checker: checkers.InvariantChecker): string[] {
+	return checker.violations.map(({ promise, detail }) => `${promise} ${detail.split(' ')[0] ?? ''}`);
 }
 
 test('a backlog that is worked off in turn with the workers full is no loss, however long it takes', (t) => {
-	const { judge, patience, pass, accept, complete } = make();
+	const { checker, detector, advance, accept, complete } = makeSetup();
 	const backlog = Array.from({ length: 100 }, (_, number) => accept(idOf(number), workerMilliCores));
-	patience.begin();
-	judge.running = () =>
-		judge
+	detector.noteFaultsOver();
+	checker.running = () =>
+		checker
 			.open()
 			.slice(0, 1)
 			.map((job) => ({ worker: 'w1', task: `${job.id}.0.0.0` }));
-	pass(100, (second) => {
+	advance(100, (second) => {
 		const next = backlog[second - 1];
 		if (next !== undefined) complete(next);
 	});
-	t.deepEqual(lost(judge), []);
-	t.false(patience.isOver);
+	t.deepEqual(lost(checker), []);
+	t.false(detector.isWaitOver);
 });
 
 test('a job that stands still with workers free is lost, though others go on', (t) => {
-	const { judge, patience, pass, accept, complete } = make();
-	const still = accept(idOf(0), 2_000);
-	patience.begin();
-	pass(longSeconds, (second) => {
+	const { checker, detector, advance, accept, complete } = makeSetup();
+	const stalled = accept(idOf(0), 2_000);
+	detector.noteFaultsOver();
+	advance(beyondTimeoutSeconds, (second) => {
 		complete(accept(idOf(second), 1_000));
 	});
-	t.deepEqual(lost(judge), [`lost ${still.id}`]);
-	t.true(patience.isOver);
+	t.deepEqual(lost(checker), [`lost ${stalled.id}`]);
+	t.true(detector.isWaitOver);
 });
 
 test('a job that later ones of its shape overtake for long is lost, though the workers are full', (t) => {
-	const { judge, patience, pass, accept, complete } = make();
-	const passed = accept(idOf(0), workerMilliCores);
-	patience.begin();
-	pass(longSeconds, (second) => {
+	const { checker, detector, advance, accept, complete } = makeSetup();
+	const overtaken = accept(idOf(0), workerMilliCores);
+	detector.noteFaultsOver();
+	advance(beyondTimeoutSeconds, (second) => {
 		const later = accept(idOf(second), workerMilliCores);
-		judge.running = () => [{ worker: 'w1', task: `${later.id}.0.0.0` }];
+		checker.running = () => [{ worker: 'w1', task: `${later.id}.0.0.0` }];
 		complete(later);
 	});
-	t.deepEqual(lost(judge), [`lost ${passed.id}`]);
-	t.regex(judge.violations[0]?.detail ?? '', /passed over/);
+	t.deepEqual(lost(checker), [`lost ${overtaken.id}`]);
+	t.regex(checker.violations[0]?.detail ?? '', /passed over/);
 });
 
 test('a job that waits for its turn is not passed over by a few that find a gap', (t) => {
-	const { judge, patience, pass, accept, complete } = make();
+	const { checker, detector, advance, accept, complete } = makeSetup();
 	const backlog = Array.from({ length: 60 }, (_, number) => accept(idOf(number), workerMilliCores));
 	const waiting = accept(idOf(60), workerMilliCores);
-	patience.begin();
-	pass(60, (second) => {
+	detector.noteFaultsOver();
+	advance(60, (second) => {
 		const next = backlog[second - 1];
-		judge.running = () => [{ worker: 'w1', task: `${next?.id ?? ''}.0.0.0` }];
+		checker.running = () => [{ worker: 'w1', task: `${next?.id ?? ''}.0.0.0` }];
 		if (next !== undefined) complete(next);
 		if (second % 5 === 2) complete(accept(idOf(100 + second), workerMilliCores));
 	});
-	t.deepEqual(lost(judge), []);
-	t.deepEqual(judge.open(), [waiting]);
+	t.deepEqual(lost(checker), []);
+	t.deepEqual(checker.open(), [waiting]);
 });
 
 test('all open jobs are lost once nothing starts or ends any more, or the time is over', (t) => {
-	const still = make();
-	const hung = still.accept(idOf(0));
-	still.judge.running = () => [{ worker: 'w1', task: `${hung.id}.0.0.0` }];
-	still.patience.begin();
-	still.pass(longSeconds);
-	t.deepEqual(lost(still.judge), [`lost ${hung.id}`]);
-	const busy = make();
+	const idle = makeSetup();
+	const hung = idle.accept(idOf(0));
+	idle.checker.running = () => [{ worker: 'w1', task: `${hung.id}.0.0.0` }];
+	idle.detector.noteFaultsOver();
+	idle.advance(beyondTimeoutSeconds);
+	t.deepEqual(lost(idle.checker), [`lost ${hung.id}`]);
+	const busy = makeSetup();
 	const retried = busy.accept(idOf(0));
-	busy.patience.begin();
-	busy.pass(30, (second) => {
+	busy.detector.noteFaultsOver();
+	busy.advance(30, (second) => {
 		const task = `${retried.id}.0.0.0`;
-		busy.judge.ended({ seq: second, task, run: second, how: 'failed', checkpoint: '' });
+		busy.checker.ended({ seq: second, task, run: second, how: 'failed', checkpoint: '' });
 	});
-	t.deepEqual(lost(busy.judge), [`lost ${retried.id}`]);
+	t.deepEqual(lost(busy.checker), [`lost ${retried.id}`]);
 });
 
 test('nothing is lost before the last fault is over', (t) => {
-	const { judge, patience, pass, accept } = make();
+	const { checker, detector, advance, accept } = makeSetup();
 	accept(idOf(0));
-	pass(longSeconds);
-	t.deepEqual(lost(judge), []);
-	patience.begin();
-	pass(10);
-	t.deepEqual(lost(judge), []);
-	pass(longSeconds);
-	t.is(lost(judge).length, 1);
+	advance(beyondTimeoutSeconds);
+	t.deepEqual(lost(checker), []);
+	detector.noteFaultsOver();
+	advance(10);
+	t.deepEqual(lost(checker), []);
+	advance(beyondTimeoutSeconds);
+	t.is(lost(checker).length, 1);
 });
