--- a/dev/soak/box-client.ts
+++ b/dev/soak/box-client.ts
@@ -1,8 +1,8 @@
 /** HTTP as callers speak it to boxes; connections stay open as long as a box's process lives. */
 import * as undici from 'undici';
 import * as random from '../random.js';
-import * as environments from './world.js';
-import type * as checkers from './judge.js';
+import * as environments from './environment.js';
+import type * as checkers from './invariant-checker.js';
 
 /** A caller waits so long for an answer, in milliseconds. */
 const answerTimeoutMs = 3_000;
--- a/dev/soak/box-faults.ts
+++ b/dev/soak/box-faults.ts
@@ -1,6 +1,6 @@
 /** Faults of the boxes' processes. */
 import * as random from '../random.js';
-import type * as environments from './world.js';
+import type * as environments from './environment.js';
 
 /** Where a fault was that was not injected after all. */
 export const notInjected = 'none';
--- a/dev/soak/callers.ts
+++ b/dev/soak/callers.ts
@@ -2,8 +2,8 @@
 import * as crypto from 'node:crypto';
 import * as boxClients from './box-client.js';
 import * as random from '../random.js';
-import type * as checkers from './judge.js';
-import * as environments from './world.js';
+import type * as checkers from './invariant-checker.js';
+import * as environments from './environment.js';
 
 /** Between two jobs of a caller, and two questions for one, in milliseconds. */
 const submissionIntervalMs = 250;
--- a/dev/soak/far-callers.ts
+++ b/dev/soak/delayed-callers.ts
@@ -6,8 +6,8 @@
 import * as listening from '../../src/cli/box/listening.js';
 import * as random from '../random.js';
 import type * as boxes from '../../stand-ins/box-process.js';
-import type * as checkers from './judge.js';
-import * as environments from './world.js';
+import type * as checkers from './invariant-checker.js';
+import * as environments from './environment.js';
 
 /** From a caller to a box, one way, in milliseconds: of one that is near, and of one that is far. */
 const delaysMs = [0, 20, 40];
--- a/dev/soak/world.ts
+++ b/dev/soak/environment.ts
@@ -7,7 +7,7 @@
 import * as proxies from '../../stand-ins/proxy/index.js';
 
 import * as users from '../../stand-ins/users-platform/server.js';
-import type * as checkers from './judge.js';
+import type * as checkers from './invariant-checker.js';
 import type * as workers from '../../stand-ins/fleet/workers.js';
 
 /** Host of all queues. */
--- a/dev/soak/faults.ts
+++ b/dev/soak/faults.ts
@@ -4,7 +4,7 @@
 import * as random from '../random.js';
 import * as workerFaults from './worker-faults.js';
 import type * as workers from '../../stand-ins/fleet/workers.js';
-import * as environments from './world.js';
+import * as environments from './environment.js';
 
 /** Between two faults, in milliseconds: several are under way at most times. */
 const minIntervalMs = 150;
--- a/dev/soak/link-faults.ts
+++ b/dev/soak/link-faults.ts
@@ -2,7 +2,7 @@
 import * as boxFaults from './box-faults.js';
 import * as random from '../random.js';
 import type * as proxies from '../../stand-ins/proxy/index.js';
-import type * as environments from './world.js';
+import type * as environments from './environment.js';
 
 /** A slow link delays what goes over it by so long, in milliseconds. */
 const minDelayMs = 20;
--- a/dev/soak/patience.ts
+++ b/dev/soak/lost-jobs.ts
@@ -1,5 +1,5 @@
 /** How long accepted jobs may take once the last fault is over. A backlog may, as long as it is worked off in turn. */
-import type * as checkers from './judge.js';
+import type * as checkers from './invariant-checker.js';
 
 /** Until a box has taken over from one that is gone: its lease (`src/core/owner/settings.ts`) and a second to be named and to read, in milliseconds. */
 const takeoverMs = 2_000 + 1_000;
--- a/dev/soak/main.ts
+++ b/dev/soak/main.ts
@@ -4,7 +4,7 @@
 import * as fs from 'node:fs';
 import * as soak from './soak.js';
 import * as workQueue from '../work-off.js';
-import type * as environments from './world.js';
+import type * as environments from './environment.js';
 
 /** A seed that once failed, and why; played again in CI. */
 interface KnownSeed {
--- a/dev/soak/report.ts
+++ b/dev/soak/report.ts
@@ -1,7 +1,7 @@
 /** What a soak prints: a summary of each seed, and where a promise broke what led to it, as CI keeps no files. */
 import type * as boxes from '../../stand-ins/box-process.js';
-import type * as checkers from './judge.js';
-import type * as environments from './world.js';
+import type * as checkers from './invariant-checker.js';
+import type * as environments from './environment.js';
 
 /** Lines of the boxes about one broken promise, at most: the newest. */
 const maxLinesPerSubject = 60;
--- a/dev/soak/soak.ts
+++ b/dev/soak/soak.ts
@@ -3,14 +3,14 @@
 import * as callers from './callers.js';
 import * as clocks from '../../src/core/clock.js';
 import * as crashing from './crashing.js';
-import * as delayedCallers from './far-callers.js';
+import * as delayedCallers from './delayed-callers.js';
 import * as faults from './faults.js';
-import * as checkers from './judge.js';
-import * as lostJobs from './patience.js';
+import * as checkers from './invariant-checker.js';
+import * as lostJobs from './lost-jobs.js';
 import * as random from '../random.js';
 import * as reports from './report.js';
 import * as users from '../../stand-ins/users-platform/server.js';
-import * as environments from './world.js';
+import * as environments from './environment.js';
 import type * as workers from '../../stand-ins/fleet/workers.js';
 
 /** A run takes from so long to so long, in milliseconds, by the set of faults. */
--- a/dev/soak/worker-faults.ts
+++ b/dev/soak/worker-faults.ts
@@ -1,7 +1,7 @@
 /** Faults of workers and of what the store lists of them. */
 import * as boxFaults from './box-faults.js';
 import * as random from '../random.js';
-import type * as environments from './world.js';
+import type * as environments from './environment.js';
 
 /** At one time so many workers crash at most: half of the usual six. */
 const maxCrashed = 3;
--- a/spec/lease.ts
+++ b/spec/lease.ts
@@ -5,7 +5,7 @@
  * the margin and `clockRate` of the settings (docs/PROOFS.md). The wait before a silent worker's tasks are taken as
  * stopped is the program's own function.
  */
-import * as silence from '../src/core/scheduler/silence.js';
+import * as silence from '../src/core/scheduler/reachability.js';
 import * as types from '../src/core/scheduler/types.js';
 import type * as explore from './explore.js';
 
--- a/src/core/config/index.ts
+++ b/src/core/config/index.ts
@@ -2,4 +2,4 @@
 export * from './keys.js';
 export { changeRecord, configKey, decodeRecord, emptyRecord } from './store.js';
 export type { ConfigChange, StoredChange } from './store.js';
-export * from './task.js';
+export * from './follower.js';
--- a/src/core/scheduler/batch.ts
+++ b/src/core/scheduler/batch.ts
@@ -1,7 +1,7 @@
 /** What is decided together and stored as one entry, with the replies that wait for it. */
 import * as shards from '../shard/index.js';
 import type * as clocks from '../clock.js';
-import type * as placers from './placing.js';
+import type * as placers from './placer.js';
 import type * as uncommitted from './uncommitted.js';
 import type * as requestQueue from './request-queue.js';
 
--- a/src/core/scheduler/decider.ts
+++ b/src/core/scheduler/decider.ts
@@ -1,15 +1,15 @@
 /** Decides for one shard: requests, reports, silence and free places become the changes of one entry. */
 import * as batches from './batch.js';
-import * as placementInput from './boxes.js';
-import * as retentionSchedules from './forgetting.js';
-import * as workerReports from './reports.js';
+import * as placementInput from './placement-input.js';
+import * as retentionSchedules from './retention-schedule.js';
+import * as workerReports from './worker-reports.js';
 import * as requests from './requests.js';
-import * as reachability from './silence.js';
+import * as reachability from './reachability.js';
 import type * as claimAnswers from './claim-answers.js';
 import type * as horizons from './horizon.js';
 import type * as ownerDeps from './owner-deps.js';
 import type * as placement from '../placement/index.js';
-import type * as placers from './placing.js';
+import type * as placers from './placer.js';
 import type * as shards from '../shard/index.js';
 import type * as types from './types.js';
 import type * as uncommitted from './uncommitted.js';
--- a/src/core/scheduler/boxes.ts
+++ b/src/core/scheduler/placement-input.ts
@@ -1,6 +1,6 @@
 /** Workers and tasks as placement wants them, from the state and the views. Pure. */
 import * as placement from '../placement/index.js';
-import * as reachability from './silence.js';
+import * as reachability from './reachability.js';
 import type * as shards from '../shard/index.js';
 import type * as types from './types.js';
 
--- a/src/core/scheduler/placing.ts
+++ b/src/core/scheduler/placer.ts
@@ -1,5 +1,5 @@
 /** An owner's rounds of placing: which waiting tasks go where, and what is slowed or stopped to make that possible. */
-import * as placementInput from './boxes.js';
+import * as placementInput from './placement-input.js';
 import * as placement from '../placement/index.js';
 import type * as shards from '../shard/index.js';
 
--- a/src/core/scheduler/taking.ts
+++ b/src/core/scheduler/takeover.ts
@@ -1,9 +1,9 @@
 /** Takes a shard over: reads its log, and stores the entry that opens the next epoch. */
-import * as changeEvents from './effects.js';
+import * as changeEvents from './change-events.js';
 import * as results from '../result.js';
 import * as shards from '../shard/index.js';
 import type * as ownerDeps from './owner-deps.js';
-import type * as reachability from './silence.js';
+import type * as reachability from './reachability.js';
 
 /** A shard that is this process's from now on. */
 export interface TakenShard {
--- a/src/core/scheduler/contacts.ts
+++ b/src/core/scheduler/worker-exchanges.ts
@@ -1,6 +1,6 @@
 /** A shard's workers as its owner reaches them: one link and one view a worker, messages composed and answers taken in. */
-import * as exchangeLoops from './link.js';
-import * as reachability from './silence.js';
+import * as exchangeLoops from './exchange-loop.js';
+import * as reachability from './reachability.js';
 import * as types from './types.js';
 import type * as clocks from '../clock.js';
 import type * as commands from './commands.js';
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -11,7 +11,7 @@
 import * as requests from '../src/core/scheduler/requests.js';
 import * as retention from '../src/core/scheduler/retention.js';
 import * as shards from '../src/core/shard/index.js';
-import * as silence from '../src/core/scheduler/silence.js';
+import * as silence from '../src/core/scheduler/reachability.js';
 import * as tasks from '../src/core/task/index.js';
 import * as types from '../src/core/scheduler/types.js';
 import * as wire from '../src/core/wire/index.js';
--- a/test/soak-cuts.test.ts
+++ b/test/soak-cuts.test.ts
@@ -2,9 +2,9 @@
 import * as net from 'node:net';
 import test from 'ava';
 import * as boxClients from '../dev/soak/box-client.js';
-import * as checkers from '../dev/soak/judge.js';
+import * as checkers from '../dev/soak/invariant-checker.js';
 import type * as boxes from '../stand-ins/box-process.js';
-import type * as environments from '../dev/soak/world.js';
+import type * as environments from '../dev/soak/environment.js';
 
 /** A process that reads a request and then ends the connection. */
 interface Cutter {
--- a/test/soak-patience.test.ts
+++ b/test/soak-lost-jobs.test.ts
@@ -1,7 +1,7 @@
 /** The soak's limit: a backlog that is worked off is no loss, a job that stands still or is passed over is one. */
 import test from 'ava';
-import * as checkers from '../dev/soak/judge.js';
-import * as lostJobs from '../dev/soak/patience.js';
+import * as checkers from '../dev/soak/invariant-checker.js';
+import * as lostJobs from '../dev/soak/lost-jobs.js';
 
 const workerMilliCores = 32_000;
 const runMs = 1_000;
