--- a/src/core/placement/fit.ts
+++ b/src/core/placement/fit.ts
@@ -1,10 +1,10 @@
-/** Whether and how well a task fits a worker. */
+/** Computes whether a task fits on a worker, and how full the worker would be. */
 import type * as types from './types.js';
 
-/** Slack for sums of fractions of cores. */
+/** Tolerance for rounding errors in sums of fractional cores. */
 const epsilon = 1e-6;
 
-/** The sum of what residents hold. */
+/** The sum of the worker's allocations. */
 export function used(box: types.Box): types.Amount {
 	const sum = { cores: 0, memoryMb: 0, accelerators: 0 };
 	for (const resident of box.residents) add(sum, resident.amount);
@@ -18,7 +18,7 @@
 	sum.accelerators += amount.accelerators;
 }
 
-/** Whether `amount` and `more` together stay within `limit`. */
+/** Whether `amount` and `additional` together stay within `limit`. */
 export function within(amount: types.Amount, more: types.Amount, limit: types.Amount): boolean {
 	return (
 		amount.cores + more.cores <= limit.cores + epsilon &&
@@ -27,7 +27,7 @@
 	);
 }
 
-/** The part of a worker that one job's tasks may hold together. */
+/** The part of a worker that one job's tasks may use together. */
 function shareLimit(box: types.Box, share: number): types.Amount {
 	return {
 		cores: box.capacity.cores * share,
@@ -36,13 +36,13 @@
 	};
 }
 
-/** Whether the task could ever run on the worker, were it empty. */
+/** Whether the task would fit on the worker if the worker were empty. */
 export function couldHold(capacity: types.Amount, needs: types.Amount, maxShareOfBox: number): boolean {
 	const box = { id: '', rack: '', capacity, residents: [] };
 	return within({ cores: 0, memoryMb: 0, accelerators: 0 }, needs, shareLimit(box, maxShareOfBox));
 }
 
-/** Whether the task fits beside the residents, within the worker and within its job's share of it. */
+/** Whether the task fits beside the worker's allocations, within its capacity and within the job's share of it. */
 export function fits(task: types.Waiting, box: types.Box): boolean {
 	if (!within(used(box), task.needs, box.capacity)) return false;
 	const ofJob = { cores: 0, memoryMb: 0, accelerators: 0 };
@@ -52,7 +52,7 @@
 	return within(ofJob, task.needs, shareLimit(box, task.maxShareOfBox));
 }
 
-/** The largest part of any resource in use, 0 to 1, were `more` added. */
+/** Utilization of the most used resource, 0 to 1, with `additional` allocated as well. */
 export function load(box: types.Box, more: types.Amount): number {
 	const sum = used(box);
 	add(sum, more);
--- a/src/core/placement/index.ts
+++ b/src/core/placement/index.ts
@@ -1,4 +1,4 @@
-/** Placement: which worker takes which task. */
+/** Placement: chooses a worker for each task. */
 export { add, couldHold, fits, load, used, within } from './fit.js';
 export * from './policy.js';
 export * from './pressure.js';
--- a/src/core/placement/pressure.ts
+++ b/src/core/placement/pressure.ts
@@ -1,19 +1,21 @@
-/** What to do where measured use outgrows a worker: throttle batch for cores, evict batch for memory. Pure. */
+/**
+ * Handles workers whose measured use exceeds their capacity: throttles batch tasks for cores, evicts them for memory. Pure.
+ */
 import * as fit from './fit.js';
 import type * as types from './types.js';
 
-/** Least part of its cores that a throttled task keeps. */
+/** Smallest part of its cores that a throttled task keeps. */
 const leastShare = 0.1;
 
-/** Decisions for one worker. */
+/** Throttles and evictions for one worker; `throttles` maps a task to the part of its cores that it may use. */
 export interface Relief {
 	throttles: Map<string, number>;
 	evictions: { task: string; reason: string }[];
 }
 
 /**
- * Throttles batch tasks evenly until the sum of cores fits; where that is not enough, and where memory overflows,
- * evicts batch tasks, the least progress lost first.
+ * Throttles all batch tasks by the same factor until the sum of cores fits. Evicts batch tasks where throttling is not
+ * enough or memory exceeds the capacity: non-urgent tasks first, then those that lose the least progress.
  */
 export function relieve(box: types.Box, lossOf: (task: string) => number): Relief {
 	const relief: Relief = { throttles: new Map(), evictions: [] };
--- a/src/core/placement/round.ts
+++ b/src/core/placement/round.ts
@@ -1,17 +1,20 @@
-/** One round of placement: waiting tasks in order of urgency, each to the best worker that fits. */
+/** One round of placement: takes pending tasks in order of urgency and places each on the best worker that fits. */
 import * as fit from './fit.js';
 import type * as types from './types.js';
 
 /** Settings of a round. */
 export interface RoundOptions {
 	score: types.Score;
-	/** Places given in one round at most; the rest waits for the next. */
+	/** Upper bound of placements in one round; the remaining tasks wait for the next round. */
 	maxPlaces: number;
-	/** Tasks already told to give way whose places are not free yet. */
+	/** Tasks that are being evicted and still hold their placements. */
 	evicting: ReadonlySet<string>;
 }
 
-/** Urgent work first, then services, then batch; within a class the longest waiting. */
+/**
+ * Orders urgent tasks before services, and services before batch tasks; within a class, the longest waiting task comes
+ * first.
+ */
 export function queueOrder(a: types.Waiting, b: types.Waiting): number {
 	return rank(a) - rank(b) || a.since - b.since || (a.task < b.task ? -1 : 1);
 }
@@ -21,7 +24,10 @@
 	return task.kind === 'service' ? 1 : 2;
 }
 
-/** Decides places for `waiting`. Boxes get the new residents added, so that one round never overfills. */
+/**
+ * Places the tasks of `pending`. Adds each placement to its worker's allocations, so that one round never exceeds a worker's
+ * capacity.
+ */
 export function placeRound(waiting: types.Waiting[], boxes: types.Box[], opts: RoundOptions): types.Round {
 	const round: types.Round = { places: [], waiting: new Map(), evictions: [] };
 	const byId = new Map(boxes.map((box) => [box.id, box]));
@@ -30,7 +36,7 @@
 		if (round.places.length >= opts.maxPlaces) {
 			round.waiting.set(
 				task.task,
-				`waits for the next round: ${opts.maxPlaces} places were given in this one`,
+				`waits for the next round: this one reached its limit of ${opts.maxPlaces} placements`,
 			);
 			continue;
 		}
@@ -42,12 +48,12 @@
 			continue;
 		}
 		const coming = task.urgent && makeRoom(task, [...later.values()], round);
-		round.waiting.set(task.task, coming ? 'waits for batch tasks to give way' : whyNot(task, boxes));
+		round.waiting.set(task.task, coming ? 'waits for batch tasks to be evicted' : whyNot(task, boxes));
 	}
 	return round;
 }
 
-/** The worker as it will be once the tasks told to give way are gone. */
+/** The worker as it will be when the tasks being evicted have left. */
 function afterEvictions(box: types.Box, evicting: ReadonlySet<string>): types.Box {
 	return { ...box, residents: box.residents.filter((resident) => !evicting.has(resident.task)) };
 }
@@ -77,8 +83,9 @@
 }
 
 /**
- * Has the fewest other batch tasks of one worker give way so that `task` fits there later, and keeps that room for
- * it among `later`, so that two urgent tasks never count on the same room. False if no worker can be cleared.
+ * Plans the eviction of non-urgent batch tasks from the one worker where the fewest have to leave for `task` to fit. Adds
+ * `task` to that worker in `workersAfterEvictions`, so that no other urgent task relies on the same capacity. Returns false
+ * if evictions on no single worker suffice.
  */
 function makeRoom(task: types.Waiting, later: types.Box[], round: types.Round): boolean {
 	let best: { box: types.Box; victims: types.Resident[] } | undefined;
@@ -91,7 +98,7 @@
 	if (best === undefined) return false;
 	const { box, victims } = best;
 	box.residents = [...box.residents.filter((resident) => !victims.includes(resident)), toResident(task)];
-	const reason = `gives way to urgent ${task.task}`;
+	const reason = `evicted for urgent task ${task.task}`;
 	round.evictions.push(...victims.map((victim) => ({ task: victim.task, reason })));
 	return true;
 }
@@ -114,9 +121,9 @@
 	const open = boxes.filter((box) => box.closed === undefined);
 	if (open.length === 0) {
 		const reasons = [...new Set(boxes.map((box) => box.closed))].join(', ');
-		return boxes.length === 0 ? 'no workers are listed' : `no worker takes work: ${reasons}`;
+		return boxes.length === 0 ? 'no workers are listed' : `no worker accepts work: ${reasons}`;
 	}
 	const able = open.filter((box) => fit.couldHold(box.capacity, task.needs, task.maxShareOfBox));
 	if (able.length === 0) return `none of ${open.length} workers is large enough`;
-	return `waits for room on one of ${able.length} workers: needs ${task.needs.cores} cores and ${task.needs.memoryMb} MiB`;
+	return `waits for free capacity on one of ${able.length} workers: needs ${task.needs.cores} cores and ${task.needs.memoryMb} MiB`;
 }
--- a/src/core/placement/types.ts
+++ b/src/core/placement/types.ts
@@ -1,34 +1,34 @@
-/** What placement is given and what it decides. Pure: no clock, no random numbers, no input but these. */
+/** Input and result of placement, which is pure: no clock, no random numbers, no other input. */
 import type * as tasks from '../task/index.js';
 
-/** An amount of a worker. */
+/** Quantities of a worker's resources. */
 export interface Amount {
 	cores: number;
 	memoryMb: number;
 	accelerators: number;
 }
 
-/** A task that holds a place on a worker. */
+/** Resources that a task holds on a worker. */
 export interface Resident {
 	task: string;
 	job: string;
 	kind: 'service' | 'batch';
 	urgent: boolean;
-	/** Declared need, raised to the measured peak where that is larger. */
+	/** Declared needs, raised to the measured peak where that is larger. */
 	amount: Amount;
 }
 
-/** A worker as placement sees it. */
+/** A worker and its allocations. */
 export interface Box {
 	id: string;
 	rack: string;
 	capacity: Amount;
 	residents: Resident[];
-	/** Why it takes no new work, if it takes none. */
+	/** Why the worker accepts no new tasks; absent if it accepts them. */
 	closed?: string;
 }
 
-/** A task that waits for a place. */
+/** A task to be placed. */
 export interface Waiting {
 	task: string;
 	job: string;
@@ -36,28 +36,28 @@
 	urgent: boolean;
 	needs: tasks.Needs;
 	maxShareOfBox: number;
-	/** Workers on which it failed; taken only when nothing else fits. */
+	/** Workers on which the task has failed; they are chosen only if no other worker fits. */
 	failedOn: readonly string[];
-	/** Wall milliseconds of submission. */
+	/** Time of submission, in milliseconds of wall-clock time. */
 	since: number;
 }
 
-/** Rates a worker that fits; the lowest score is chosen. */
+/** Scores a worker on which the task fits; the lowest score is chosen. */
 export type Score = (task: Waiting, box: Box) => number;
 
-/** A place found. */
+/** A task and the worker chosen for it. */
 export interface Place {
 	task: string;
 	box: string;
-	/** For `explain`. */
+	/** Reason shown by `explain`. */
 	why: string;
 }
 
-/** What a round came to. */
+/** Result of a placement round. */
 export interface Round {
 	places: Place[];
-	/** Tasks left waiting, with the reason. */
+	/** Why each task that was not placed is waiting, by task. */
 	waiting: Map<string, string>;
-	/** Batch tasks to evict so that urgent work fits. */
+	/** Batch tasks to evict in favour of urgent tasks. */
 	evictions: { task: string; reason: string }[];
 }
--- a/src/core/shard/index.ts
+++ b/src/core/shard/index.ts
@@ -1,4 +1,4 @@
-/** Shards: committed state, and the log that it is replayed from. */
+/** Shards: their committed state, and the log from which it is replayed. */
 export * from './log.js';
 export * from './names.js';
 export * from './size.js';
--- a/src/core/shard/log.ts
+++ b/src/core/shard/log.ts
@@ -1,10 +1,10 @@
 /**
- * A shard's log in the platform's service: a ring of slots and one snapshot.
+ * A shard's log in the platform's store: a ring of slots and one snapshot.
  *
- * Entry n lives in slot n mod ringSlots. It is written by compare-and-swap on the version that the slot had with
- * entry n - ringSlots (or absence), which only a process that has read the log up to there knows. Nothing is ever
- * deleted: with deleted entries a paused owner could create one of them anew and take it for a commit.
- * An entry is only overwritten after a snapshot that includes it.
+ * Entry n is stored in slot n mod ringSlots by compare-and-swap. The expected version is the one that the slot had with
+ * entry n - ringSlots, or 0 if the slot is empty: only a process that has read the log up to there knows it. Entries are
+ * never deleted: a paused owner could otherwise create a deleted entry again and take that for a commit. An entry is
+ * overwritten only after a snapshot that includes it.
  */
 import * as crypto from 'node:crypto';
 import * as clocks from '../clock.js';
@@ -15,19 +15,22 @@
 import type * as platform from '../platform/index.js';
 import type * as types from './types.js';
 
-/** Slots of the ring. */
+/** Number of slots in the ring. */
 export const ringSlots = 64;
 
-/** Entries between snapshots. */
+/** Number of entries after which a snapshot is due. */
 export const snapshotEvery = 32;
 
-/** Wait before an unanswered append is sent again, in milliseconds. */
+/** Delay before an append without an answer is sent again, in milliseconds. */
 const retryMs = 250;
 
-/** What became of an append. `superseded`: another owner's entry stands in the slot. */
+/**
+ * Outcome of an append or a snapshot. `superseded`: the key holds another owner's value. `abandoned`: an append was given up
+ * and may or may not be stored; a snapshot was not stored or its outcome is unknown, and it is stored again later.
+ */
 export type AppendOutcome = 'committed' | 'superseded' | 'abandoned';
 
-/** Key prefix of a shard. */
+/** Prefix of a shard's keys in the store. */
 export function shardPrefix(shard: string): string {
 	return `woodcross/shard/${shard}/`;
 }
@@ -40,7 +43,7 @@
 	return `${shardPrefix(shard)}snapshot`;
 }
 
-/** State as kept in a snapshot. */
+/** Encodes the state for a snapshot. */
 export function encodeState(state: types.ShardState): Buffer {
 	return wire.encodeValue({
 		n: state.n,
@@ -55,7 +58,7 @@
 	});
 }
 
-/** State from a snapshot. */
+/** Decodes the state of a snapshot. */
 export function decodeState(bytes: Uint8Array): types.ShardState {
 	const raw = wire.decodeValue(bytes);
 	results.invariant(raw.ok, 'a stored snapshot decodes');
@@ -82,18 +85,18 @@
 /** Settings of a log. */
 export interface LogOptions {
 	shard: string;
-	/** The process that writes: box and boot. */
+	/** The process that writes, identified by its box and boot. */
 	owner: string;
 	store: platform.Store;
 	clock: clocks.Clock;
 	events: events.EventLog;
-	/** Bytes written to the platform, for the metrics. */
+	/** Called with the number of bytes of each write to the store, for the metrics. */
 	onWrite?: (bytes: number) => void;
 }
 
-/** One process's hold on a shard's log. */
+/** A shard's log as one process reads and writes it. */
 export class ShardLog {
-	/** Clock time at which the newest committed entry was first sent; the renewal horizon counts from here. */
+	/** Clock time at which the newest committed entry was first sent; the renewal horizon starts here. */
 	lastCommitSentAt = -Infinity;
 	private readonly versions = new Map<number, number>();
 	private snapshotVersion = 0;
@@ -105,7 +108,7 @@
 		readonly state: types.ShardState,
 	) {}
 
-	/** Reads a shard's log whole: one call to the platform. */
+	/** Reads a shard's whole log in one call to the store. */
 	static async read(opts: LogOptions): Promise<results.Result<ShardLog, platform.StoreFailure>> {
 		const list = await opts.store.list(shardPrefix(opts.shard));
 		if (!list.ok) return list;
@@ -115,18 +118,18 @@
 		log.snapshotVersion = snapshot?.version ?? 0;
 		log.snapshotN = log.state.n;
 		const whole = log.replay(list.value.items.filter((item) => item.key !== snapshotKey(opts.shard)));
-		return whole ? results.ok(log) : results.fail({ effect: 'none', reason: 'the log was read with a gap' });
+		return whole ? results.ok(log) : results.fail({ effect: 'none', reason: 'entries of the log are missing' });
 	}
 
-	/** Stops the retries of an append under way; its outcome then counts as unknown. */
+	/** Stops retrying the append in flight; its outcome is then unknown. */
 	abandon(): void {
 		this.abandoned = true;
 	}
 
 	/**
-	 * Stores the next entry. Unanswered tries are repeated until the slot shows what became of them:
-	 * the swap that fails brings back the slot's content, which tells our entry from another owner's.
-	 * The changes are not applied to the state here: the owner already has.
+	 * Stores the next entry. Repeats an append without an answer until the slot shows the outcome: a failed swap returns the
+	 * slot's content, and its nonce tells this entry from another owner's. Does not apply the changes to the state; the
+	 * owner has done so already.
 	 */
 	async append(epoch: number, changes: types.Change[]): Promise<AppendOutcome> {
 		const entry: types.Entry = {
@@ -147,17 +150,16 @@
 		return outcome;
 	}
 
-	/** Whether a snapshot is due. */
 	get snapshotDue(): boolean {
 		return this.state.n - this.snapshotN >= snapshotEvery;
 	}
 
-	/** Whether the ring has no slot left that the snapshot covers; no append may follow before a snapshot. */
+	/** Whether the snapshot covers no slot of the ring any more; the next append has to wait for a snapshot. */
 	get full(): boolean {
 		return this.state.n - this.snapshotN >= ringSlots;
 	}
 
-	/** Stores the state; the caller makes sure that it holds only committed entries. */
+	/** Stores the state as a snapshot. The caller ensures that the state holds committed entries only. */
 	async snapshot(): Promise<AppendOutcome> {
 		const bytes = encodeState(this.state);
 		const n = this.state.n;
@@ -171,7 +173,10 @@
 		return 'committed';
 	}
 
-	/** A snapshot of ours whose answer was lost stands there: take over its version, and store again when next due. */
+	/**
+	 * Handles a failed swap of the snapshot. If the stored snapshot is this owner's own (its answer was lost), adopts its
+	 * version, so that the next snapshot can be stored when it is due.
+	 */
 	private adoptSnapshot(current: platform.Stored | undefined): AppendOutcome {
 		if (current === undefined) return 'superseded';
 		const stored = decodeState(current.value);
@@ -208,7 +213,10 @@
 		return 'abandoned';
 	}
 
-	/** False if entries are missing: the service did not read the prefix at one revision. */
+	/**
+	 * Replays the entries that follow the snapshot. Returns false if entries are missing, which happens if the store has not
+	 * read the prefix at a single revision.
+	 */
 	private replay(slots: platform.Stored[]): boolean {
 		const entries: types.Entry[] = [];
 		for (const item of slots) {
--- a/src/core/shard/size.ts
+++ b/src/core/shard/size.ts
@@ -1,22 +1,22 @@
 /**
- * How large a shard's snapshot is, estimated from what was measured (docs/CAPACITY.md), so that it stays within
- * the platform's largest value: a shard that could not store its snapshot could decide nothing more.
+ * Estimates the size of a shard's snapshot (docs/CAPACITY.md), so that it stays below the largest value that the platform
+ * stores: a shard that can't store its snapshot can commit no more decisions.
  */
 import type * as types from './types.js';
 
-/** Bytes of a task in a snapshot. */
+/** Size of a task in a snapshot, in bytes. */
 const taskBytes = 260;
 
-/** Bytes of a claim in a snapshot. */
+/** Size of a claim in a snapshot, in bytes. */
 const claimBytes = 260;
 
-/** Bytes of snapshot that may be in use; the platform's values hold a megabyte. */
+/** Limit of a snapshot's estimated size, in bytes; a value in the platform's store holds a megabyte. */
 export const maxStateBytes = 900_000;
 
-/** Bytes from which ended jobs are dropped before their time. */
+/** Estimated size above which ended jobs are dropped before their retention time ends, in bytes. */
 export const tightStateBytes = maxStateBytes / 2;
 
-/** Estimated bytes of the snapshot with `more` tasks added. */
+/** Estimated size of the snapshot with `additionalTasks` more tasks, in bytes. */
 export function stateBytes(state: types.ShardState, more = 0): number {
 	return (state.tasks.size + more) * taskBytes + state.claims.size * claimBytes;
 }
--- a/src/core/shard/state.ts
+++ b/src/core/shard/state.ts
@@ -1,9 +1,9 @@
-/** Applies committed changes to a shard's state. The same code replays the log after a takeover. */
+/** Applies committed changes to a shard's state; also replays the log after a takeover. */
 import * as results from '../result.js';
 import * as tasks from '../task/index.js';
 import type * as types from './types.js';
 
-/** Evidence kept a task. */
+/** Number of failures kept for each task. */
 const maxFailuresKept = 20;
 
 /** The state before the first entry. */
@@ -21,14 +21,14 @@
 	};
 }
 
-/** Applies one entry, in place. */
+/** Applies an entry to `state` in place. */
 export function applyEntry(state: types.ShardState, entry: types.Entry): void {
-	results.invariant(entry.n === state.n + 1, `entry ${entry.n} after entry ${state.n}`);
+	results.invariant(entry.n === state.n + 1, `entry ${entry.n} does not follow entry ${state.n}`);
 	for (const change of entry.changes) applyChange(state, change, entry.at);
 	state.n = entry.n;
 }
 
-/** Applies one change, in place. */
+/** Applies a change to `state` in place; `at` is the entry's wall-clock time. */
 export function applyChange(state: types.ShardState, change: types.Change, at: number): void {
 	switch (change.type) {
 		case 'shard.taken':
@@ -81,18 +81,18 @@
 	}
 }
 
-/** Ids of a job's tasks, in order. */
+/** Ids of the tasks of a job part, in order. */
 export function taskIds(part: tasks.JobPart): string[] {
 	return Array.from({ length: part.tasks }, (_, index) => `${part.id}/${index}`);
 }
 
-/** Ids of the tasks of the job of that name; none if it is not known. */
+/** Ids of a job's tasks; none if the job is unknown. */
 export function taskIdsOf(state: types.ShardState, job: string): string[] {
 	const part = state.jobs.get(job)?.part;
 	return part === undefined ? [] : taskIds(part);
 }
 
-/** How a job stands, from its tasks. */
+/** The state of a job, derived from its tasks. */
 export function jobState(state: types.ShardState, job: types.JobRecord): types.JobState {
 	const all = taskIds(job.part).map((id) => state.tasks.get(id)?.state);
 	const open = all.some((one) => one !== undefined && !tasks.taskChart.isFinal(one));
@@ -192,7 +192,7 @@
 
 function step(state: types.ShardState, task: types.TaskRecord, event: tasks.TaskEvent, at: number): void {
 	const next = tasks.taskChart.next(task.state, event);
-	results.invariant(next !== undefined, `task ${task.id} in ${task.state} got ${event}`);
+	results.invariant(next !== undefined, `task ${task.id} in state ${task.state} does not accept event ${event}`);
 	task.state = next;
 	if (!tasks.taskChart.isFinal(next)) return;
 	const job = state.jobs.get(task.job);
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -1,7 +1,7 @@
-/** A shard's committed state and the changes that its log is made of. */
+/** A shard's committed state, and the changes that its log consists of. */
 import type * as tasks from '../task/index.js';
 
-/** A failed attempt, kept as evidence. */
+/** A failed attempt of a task. */
 export interface FailedAttempt {
 	attempt: number;
 	worker: string;
@@ -9,68 +9,66 @@
 	reason: string;
 }
 
-/** A place that an earlier attempt of a service replica may still hold on a worker that can't be reached. */
+/** A placement that an earlier attempt of a service replica may still hold on an unreachable worker. */
 export interface HeldPlace {
 	worker: string;
 	incarnation: string;
 	attempt: number;
 }
 
-/** One task. */
 export interface TaskRecord {
 	id: string;
 	job: string;
 	state: tasks.TaskState;
-	/** Number of the newest attempt; 0 before the first. */
+	/** Number of the newest attempt; 0 before the first attempt. */
 	attempt: number;
-	/** Where the newest attempt is placed, while it is. */
+	/** Worker of the newest attempt; absent before the first attempt and once the attempt has ended. */
 	worker?: string;
-	/** Boot of that worker. */
+	/** Incarnation of that worker. */
 	incarnation?: string;
-	/** Where the next attempt goes on. */
+	/** Checkpoint from which the next attempt continues. */
 	checkpoint?: string;
-	/** Why the newest attempt is, or was, where it is. */
+	/** Reason for the newest placement. */
 	why?: string;
-	/** Why the last attempt ended. */
+	/** How the last attempt ended. */
 	ended?: string;
 	failures: FailedAttempt[];
 	held: HeldPlace[];
 }
 
-/** How a job stands: derived from its tasks, kept for those that ended. */
+/** State of a job, derived from its tasks, also after they have ended. */
 export type JobState = 'active' | 'cancelling' | 'finished' | 'failed' | 'cancelled';
 
-/** One job part. */
 export interface JobRecord {
 	part: tasks.JobPart;
-	/** Wall milliseconds, for people. */
+	/** Wall-clock time in milliseconds, shown to operators. */
 	submittedAt: number;
 	cancelled: boolean;
-	/** Wall milliseconds at which its last task ended. */
+	/** Wall-clock time in milliseconds at which the last task ended; absent while tasks are unfinished. */
 	endedAt?: number;
 }
 
-/** Why a worker gets no new work. */
+/** Why a worker gets no new tasks: several jobs failed on this incarnation of it. */
 export interface Quarantine {
 	incarnation: string;
-	/** The jobs that failed there. */
+	/** The jobs that failed on the worker. */
 	evidence: string[];
 }
 
-/** What became of a claimed request. */
+/** Outcome of a claimed request. */
 export type ClaimOutcome = 'running' | 'done' | 'not-run' | 'may-have-run';
 
-/** A caller's Idempotency-Key. */
+/** A claim of a caller's Idempotency-Key. */
 export interface ClaimRecord {
 	key: string;
 	bodyHash: string;
 	holder: string;
 	outcome: ClaimOutcome;
-	/** Wall milliseconds of the last change. */
+	/** Wall-clock time of the last change, in milliseconds. */
 	at: number;
 }
 
-/** One committed decision. */
+/** A committed change. */
 export type Change =
 	| { type: 'shard.taken'; owner: string; epoch: number }
 	| { type: 'shard.released' }
@@ -92,14 +90,14 @@
 	| { type: 'claim.ended'; key: string; holder: string; outcome: ClaimOutcome }
 	| { type: 'claims.expired'; before: number };
 
-/** One entry of the log: all that was decided while the entry before it was being stored. */
+/** An entry of the log: all decisions made while the previous entry was being stored. */
 export interface Entry {
 	n: number;
 	epoch: number;
 	owner: string;
-	/** Tells the owner its own entry from another's when an answer was lost. */
+	/** Tells an owner whether a stored entry is its own after an answer was lost. */
 	nonce: string;
-	/** Wall milliseconds, for people and retention. */
+	/** Wall-clock time in milliseconds, for operators and retention. */
 	at: number;
 	changes: Change[];
 }
@@ -109,10 +107,10 @@
 	n: number;
 	epoch: number;
 	owner: string;
-	/** The last owner said that it sends nothing more under its epoch. */
+	/** Whether the last owner has declared that it sends nothing more under its epoch. */
 	released: boolean;
 	jobs: Map<string, JobRecord>;
-	/** Jobs that another shard takes care of. */
+	/** Jobs that were forwarded, with the shard that each was forwarded to. */
 	forwarded: Map<string, string>;
 	tasks: Map<string, TaskRecord>;
 	quarantined: Map<string, Quarantine>;
--- a/src/core/task/chart.ts
+++ b/src/core/task/chart.ts
@@ -1,7 +1,6 @@
 /**
- * Interprets state charts kept as JSON in XState's format (`charts/*.json`).
- * Only flat charts without actions are used, so a table look-up is the whole interpreter;
- * test/chart.test.ts checks that XState reads every step of the file the same way.
+ * Interprets state charts stored as JSON in XState's format (`charts/*.json`). The charts are flat and have no actions, so a
+ * table look-up interprets them completely. test/chart.test.ts checks that XState makes the same transitions.
  */
 import * as zod from 'zod';
 import * as assets from '../assets.js';
@@ -20,16 +19,16 @@
 /** A chart as read from its file. */
 export type ChartFile = zod.infer<typeof chartFile>;
 
-/** A chart whose states and events are known to the compiler. */
+/** A chart with its states and events as types. */
 export interface Chart<S extends string, E extends string> {
 	initial: S;
-	/** The next state, or undefined if the state does not take the event. */
+	/** The next state; undefined if the state does not accept the event. */
 	next(state: S, event: E): S | undefined;
-	/** Whether nothing follows the state. */
+	/** Whether the state is final. */
 	isFinal(state: S): boolean;
 }
 
-/** Reads and checks a chart file. */
+/** Reads and validates a chart file. */
 export function readChartFile(relative: string): ChartFile {
 	return chartFile.parse(assets.readJsonAsset(relative));
 }
--- a/src/core/task/index.ts
+++ b/src/core/task/index.ts
@@ -1,4 +1,4 @@
-/** Jobs and tasks: declarations, and the chart that a task's committed state follows. */
+/** Jobs and tasks: declarations, and the state chart of a task's committed state. */
 import * as charts from './chart.js';
 
 export { loadChart, readChartFile } from './chart.js';
@@ -6,7 +6,10 @@
 export { jobPart, jobSpec, needs } from './spec.js';
 export type { JobPart, JobSpec, Needs } from './spec.js';
 
-/** Committed states of a task. What the worker reports in between (starting, running) is not committed. */
+/**
+ * Committed states of a task. `placed` covers the states that workers report in between (starting, running): they are not
+ * committed.
+ */
 export type TaskState = 'pending' | 'placed' | 'stopping' | 'finished' | 'failed' | 'cancelled';
 
 /** Events of the task chart. */
--- a/src/core/task/spec.ts
+++ b/src/core/task/spec.ts
@@ -1,4 +1,4 @@
-/** What operators declare: jobs, checked by zod whether they come from a file or over the wire. */
+/** Schemas of the jobs that operators declare, used for files and for messages alike. */
 import * as zod from 'zod';
 
 const z = zod.z;
@@ -8,7 +8,7 @@
 	.string()
 	.regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'expected lower-case letters, digits and "-", at most 63');
 
-/** What one task asks of its worker. */
+/** Resources that one task needs on its worker. */
 export const needs = z.strictObject({
 	/** Processor cores; fractions allowed. */
 	cores: z.number().positive().max(1024),
@@ -18,43 +18,41 @@
 	accelerators: z.number().int().min(0).max(64).default(0),
 });
 
-/** What the worker is to run; opaque to the scheduler, handed on as it is. */
+/** What the worker is to run; the scheduler passes it on without interpreting it. */
 const run = z.record(z.string(), z.union([z.string(), z.number(), z.boolean()]));
 
-/** One job as an operator declares it. */
+/** A job as an operator declares it. */
 export const jobSpec = z.strictObject({
 	team: name,
 	name,
-	/** `service`: long-running replicas; `batch`: tasks that end. */
+	/** `service`: long-running replicas; `batch`: tasks that finish. */
 	kind: z.enum(['service', 'batch']),
 	/** Replicas of a service, or tasks of a batch job. */
 	tasks: z.number().int().min(1).max(3_000),
 	needs,
-	/** Availability zones allowed; a service gets a part in each, a batch job runs in one. Default: any. */
+	/** Availability zones allowed: a service gets a part in each, a batch job runs in one. Default: any zone. */
 	zones: z.array(name).min(1).optional(),
-	/** Urgent batch work goes first and may evict other batch work. */
+	/** Urgent batch tasks are placed first and may evict other batch tasks. */
 	urgent: z.boolean().default(false),
-	/** Largest part of one worker's cores and memory that the job's tasks may hold together. */
+	/** Largest part of one worker's cores and memory that the job's tasks may use together. */
 	maxShareOfBox: z.number().gt(0).max(1).default(1),
-	/** Distinct workers a task may fail on before the job fails for good. */
+	/** Number of distinct workers on which a task may fail before it fails permanently. */
 	maxFailures: z.number().int().min(1).max(20).default(3),
 	run: run.default({}),
 });
 
-/** A part of a job: what one shard takes care of. */
+/** The part of a job that one shard is responsible for. */
 export const jobPart = z.object({
 	/** `team/name` for a batch job, `team/name@zone` for a service's part in a zone. */
 	id: z.string().max(200),
 	spec: jobSpec,
-	/** Tasks of this part; the whole job's `tasks` are split over the parts. */
+	/** Number of tasks in this part; the job's `tasks` are split over its parts. */
 	tasks: z.number().int().min(1),
 });
 
-/** One task's needs. */
 export type Needs = zod.infer<typeof needs>;
 
-/** A checked job declaration. */
+/** A validated job declaration. */
 export type JobSpec = zod.infer<typeof jobSpec>;
 
-/** A part of a job. */
 export type JobPart = zod.infer<typeof jobPart>;
