--- a/src/core/scheduler/batch.ts
+++ b/src/core/scheduler/batch.ts
@@ -1,11 +1,11 @@
-/** What is decided together and stored as one entry, with the replies that wait for it. */
+/** Decisions that are stored as one entry, and the replies that wait until it is stored. */
 import * as shards from '../shard/index.js';
 import type * as clocks from '../clock.js';
 import type * as placing from './placing.js';
 import type * as uncommitted from './uncommitted.js';
 import type * as waiting from './request-queue.js';
 
-/** What decisions have an effect on at once. */
+/** What decisions affect before they are stored. */
 export interface BatchDeps {
 	clock: clocks.Clock;
 	state: shards.ShardState;
@@ -13,13 +13,13 @@
 	placing: placing.Placing;
 }
 
-/** A reply, and who waits for it. */
+/** A reply and the request that waits for it. */
 export interface PendingReply {
 	waiter: waiting.Waiter;
 	reply: waiting.Reply;
 }
 
-/** One entry's decisions. */
+/** The decisions of one entry. */
 export class Batch {
 	readonly changes: shards.Change[] = [];
 	readonly replies: PendingReply[] = [];
@@ -30,7 +30,10 @@
 		return new Batch(deps);
 	}
 
-	/** Applies changes at once, so that the next decision of the batch sees them; orders wait for the commit. */
+	/**
+	 * Applies changes to the state at once, so that the next decision of the batch sees them. Workers get their commands
+	 * only once the entry is committed.
+	 */
 	adopt(changes: shards.Change[]): void {
 		const { clock, state, uncommitted, placing } = this.deps;
 		const at = clock.wall();
--- a/src/core/scheduler/boxes.ts
+++ b/src/core/scheduler/boxes.ts
@@ -1,17 +1,17 @@
-/** Workers and tasks as placement wants them, from the state and the views. Pure. */
+/** Builds the input of placement, workers and pending tasks, from the state and the worker views. Pure. */
 import * as placement from '../placement/index.js';
 import * as silence from './silence.js';
 import type * as shards from '../shard/index.js';
 import type * as types from './types.js';
 
-/** What the owner knows that decides whether a worker takes new work. */
+/** What decides whether a worker accepts new tasks, beside its view and the state. `now` is the owner's monotonic time. */
 export interface BoxContext {
 	takeover: silence.Takeover;
 	waits: silence.WaitOptions;
 	now: number;
 }
 
-/** The workers of the shard, with everything that holds a place on them. */
+/** The workers of the shard, with all allocations on them. */
 export function boxesOf(
 	state: shards.ShardState,
 	views: ReadonlyMap<string, types.WorkerView>,
@@ -30,13 +30,15 @@
 	return [...boxes.values()];
 }
 
-/** Whether a task may hold a place on a worker. */
+/** Whether a task may hold a placement on a worker. */
 export function mayHoldPlace(state: shards.ShardState, worker: string): boolean {
 	const all = [...state.tasks.values()];
 	return all.some((task) => task.worker === worker || task.held.some((place) => place.worker === worker));
 }
 
-/** Attempts that run on a worker although the log places nothing there: they fill it until they have stopped. */
+/**
+ * Adds runs that a worker reports although the state places nothing there: they use its capacity until they have stopped.
+ */
 function addStrays(
 	state: shards.ShardState,
 	boxes: Map<string, placement.Box>,
@@ -58,7 +60,7 @@
 	}
 }
 
-/** Tasks that wait for a place. */
+/** Tasks to be placed. */
 export function waitingOf(state: shards.ShardState): placement.Waiting[] {
 	const waiting: placement.Waiting[] = [];
 	for (const task of state.tasks.values()) {
--- a/src/core/scheduler/claim-answers.ts
+++ b/src/core/scheduler/claim-answers.ts
@@ -1,7 +1,7 @@
-/** Answers of claimed requests, in memory, for callers who ask again under the same key. */
+/** Keeps answers of claimed requests in memory, for callers that repeat a request with the same Idempotency-Key. */
 import type * as requests from './requests.js';
 
-/** Answers held, at most. */
+/** Upper bound of kept answers; beyond it the oldest is dropped. */
 const maxAnswers = 1_000;
 
 /** The newest answers of one shard. */
@@ -9,19 +9,19 @@
 	private readonly answers = new Map<string, requests.ClaimAnswer>();
 
 	private constructor() {
-		// Built by `create`, like every class here.
+		// Instances come from `create`, as with every class here.
 	}
 
 	static create(): ClaimAnswers {
 		return new ClaimAnswers();
 	}
 
-	/** The answers by key. */
+	/** The answers by Idempotency-Key. */
 	get byKey(): ReadonlyMap<string, requests.ClaimAnswer> {
 		return this.answers;
 	}
 
-	/** Holds the answer that a request brings, if it brings one. */
+	/** Keeps the answer that a `claim.end` request carries, if it carries one. */
 	hold(req: requests.ShardReq): void {
 		if (req.type !== 'claim.end' || req.answer === undefined) return;
 		this.answers.set(req.key, req.answer);
--- a/src/core/scheduler/commands.ts
+++ b/src/core/scheduler/commands.ts
@@ -1,26 +1,26 @@
-/** What to tell a worker, from the committed state and its newest report. Pure. */
+/** Composes what a worker is sent, from the committed state and the worker's newest report. Pure. */
 import * as shards from '../shard/index.js';
 import * as types from './types.js';
 import type * as workers from '../worker/index.js';
 
-/** What the owner wants of running tasks beyond the log; forgotten when the owner changes. */
+/** Evictions and throttles of running tasks. They are not in the log, so a new owner does not know them. */
 export interface Wishes {
-	/** Tasks told to checkpoint and give way, with the reason. */
+	/** Why a task is to checkpoint and stop, by task. */
 	evictions: ReadonlyMap<string, string>;
-	/** Part of the declared cores that a task may use. */
+	/** Part of its declared cores that a task may use, by task. */
 	throttles: ReadonlyMap<string, number>;
 }
 
-/** One message's content. */
+/** Content of a message to a worker. */
 export interface Orders {
 	renew: { task: string; attempt: number }[];
 	commands: workers.Command[];
 }
 
 /**
- * Orders for one worker. Tasks in `uncommitted` are left alone: nothing is told before it is committed.
- * With `mayRenew` false (past the horizon) no lease is renewed, nothing is started, and batch work is told to
- * checkpoint and stop, so that little is lost when its lease ends.
+ * Composes the content of a message to one worker. Skips tasks in `uncommitted`: workers learn nothing before it is
+ * committed. With `mayRenew` false (past the horizon), renews no leases, starts nothing, and has batch tasks checkpoint and
+ * stop, so that little is lost when their leases end. `notAfter` goes into the starts.
  */
 export function ordersFor(
 	state: shards.ShardState,
@@ -42,7 +42,7 @@
 	return orders;
 }
 
-/** Workers that have something to do because of changes that were committed. */
+/** Workers that have new commands because of committed changes. */
 export function workersToTell(state: shards.ShardState, changes: readonly shards.Change[]): Set<string> {
 	const told = new Set<string>();
 	for (const change of changes) {
@@ -95,7 +95,7 @@
 	if (share !== last) orders.commands.push({ type: 'throttle', ...ref, share });
 }
 
-/** Attempts on the worker that the log does not place there: stopped, or forgotten once they have ended. */
+/** Stops attempts that the state does not place on this worker, or acknowledges their exits once they have ended. */
 function strayOrders(
 	orders: Orders,
 	state: shards.ShardState,
--- a/src/core/scheduler/contacts.ts
+++ b/src/core/scheduler/contacts.ts
@@ -1,4 +1,6 @@
-/** A shard's workers as its owner reaches them: one link and one view a worker, messages composed and answers taken in. */
+/**
+ * Exchanges messages with a shard's workers: keeps one loop and one view per worker, composes messages and takes in answers.
+ */
 import * as links from './link.js';
 import * as silence from './silence.js';
 import * as types from './types.js';
@@ -8,7 +10,7 @@
 import type * as results from '../result.js';
 import type * as workers from '../worker/index.js';
 
-/** What the contacts need of the owner. */
+/** What the exchanges need from the owner. */
 export interface ContactDeps {
 	shard: string;
 	clock: clocks.Clock;
@@ -17,17 +19,17 @@
 	opts: types.OwnerOptions;
 	metrics: { exchanges: number; starts: number };
 	epoch: () => number;
-	/** What to tell a worker; `until` is the end of leases given now, on the worker's clock. */
+	/** Content of the next message to a worker. `until` is the end of the leases that it grants, on the worker's clock. */
 	orders: (view: types.WorkerView, until: number) => commands.Orders;
-	/** Whether a task may hold a place on the worker. */
+	/** Whether a task may hold a placement on the worker. */
 	mayHoldPlace: (worker: string) => boolean;
-	/** A report came that may call for a decision before the next tick. */
+	/** Called after a report that may need a decision before the next tick. */
 	onNews: () => void;
-	/** A worker has seen a newer epoch than this owner's. */
+	/** Called if a worker has seen a newer epoch than this owner's. */
 	onNewerEpoch: () => void;
 }
 
-/** The links and views of one shard. */
+/** The exchange loops and views of one shard's workers. */
 export class WorkerContacts {
 	readonly views = new Map<string, types.WorkerView>();
 	private readonly links = new Map<string, links.WorkerLink>();
@@ -39,7 +41,7 @@
 		return new WorkerContacts(deps);
 	}
 
-	/** The platform's newest list of the shard's workers. */
+	/** Takes in the platform's newest list of the shard's workers. */
 	setWorkers(listed: types.ListedWorker[]): void {
 		const ids = new Set(listed.map((one) => one.id));
 		for (const view of this.views.values()) {
@@ -56,12 +58,12 @@
 		}
 	}
 
-	/** Sends a worker its orders as soon as no message to it is in flight. */
+	/** Sends a message to a worker as soon as none is in flight. */
 	kick(worker: string): void {
 		this.links.get(worker)?.kick();
 	}
 
-	/** Sends nothing more; resolves once no message is in flight. */
+	/** Stops sending; resolves once no message is in flight. */
 	async stop(): Promise<void> {
 		const stopping = [...this.links.values()].map((link) => link.stop());
 		this.links.clear();
@@ -70,7 +72,7 @@
 
 	private addWorker(listed: types.ListedWorker, known: types.WorkerView | undefined): void {
 		void this.links.get(listed.id)?.stop();
-		// The same box under another address keeps what is known of its leases.
+		// A worker under a new address keeps its view, which bounds the leases on it.
 		const view = known ?? types.newView(listed);
 		view.listed = listed;
 		view.present = true;
@@ -88,7 +90,10 @@
 		this.links.set(listed.id, link);
 	}
 
-	/** The list alone proves nothing: a worker that left it stays in view while tasks may hold places on it. */
+	/**
+	 * Handles a worker that has left the list. Absence from the list proves nothing about its tasks, so its view and loop
+	 * stay while tasks may hold placements on it.
+	 */
 	private dropListed(view: types.WorkerView): void {
 		view.present = false;
 		const { id } = view.listed;
@@ -131,7 +136,7 @@
 		const now = clock.now();
 		const first = !view.fenced || view.incarnation !== answer.incarnation;
 		const worker = view.listed.id;
-		// Leases that an owner before gave end by then: none of its messages is accepted any more.
+		// The worker accepts no more messages of earlier owners, so every lease that they granted ends by then.
 		if (first) view.leaseEndsBy = Math.max(view.leaseEndsBy, now + silence.leaseSpan(opts));
 		if (first || view.unreachable) {
 			this.deps.events.emit('worker.reached', { shard, worker, incarnation: answer.incarnation });
@@ -149,7 +154,7 @@
 		if (first) this.kick(worker);
 	}
 
-	/** The worker has seen a newer epoch, or has another incarnation than the message was for. */
+	/** Handles a refusal: the worker has seen a newer epoch, or its incarnation differs from the message's. */
 	private refused(view: types.WorkerView, answer: workers.ExchangeRes): void {
 		if (answer.epoch > this.deps.epoch()) {
 			this.deps.onNewerEpoch();
@@ -169,7 +174,7 @@
 			if (one.usage !== undefined) notePeak(view, one.task, one.usage);
 		}
 		for (const task of view.peaks.keys()) if (!view.reports.has(task)) view.peaks.delete(task);
-		// A start up to the answered exchange has arrived or never will.
+		// The start of an exchange up to the answered one has arrived or never will.
 		for (const [key, seq] of view.startSeq) if (seq <= view.answeredSeq) view.startSeq.delete(key);
 	}
 
--- a/src/core/scheduler/decider.ts
+++ b/src/core/scheduler/decider.ts
@@ -1,4 +1,4 @@
-/** Decides for one shard: requests, reports, silence and free places become the changes of one entry. */
+/** Decides for one shard: turns requests, reports, unreachable workers and free capacity into the changes of one entry. */
 import * as batches from './batch.js';
 import * as boxes from './boxes.js';
 import * as forgetting from './forgetting.js';
@@ -15,7 +15,7 @@
 import type * as uncommitted from './uncommitted.js';
 import type * as waiting from './request-queue.js';
 
-/** What decisions are made from, and what they have an effect on. */
+/** What decisions depend on, and what they affect. */
 export interface DeciderDeps {
 	owner: Pick<owners.OwnerDeps, 'shard' | 'clock' | 'events' | 'opts' | 'nextShard' | 'holderGone'>;
 	state: shards.ShardState;
@@ -27,7 +27,7 @@
 	uncommitted: uncommitted.Uncommitted;
 }
 
-/** The decisions of one shard. */
+/** Makes the decisions of one shard. */
 export class Decider {
 	/** Whether the platform's list of workers has been read. */
 	listRead = false;
@@ -42,7 +42,7 @@
 		return new Decider(deps);
 	}
 
-	/** Decides these requests, and whatever else there is to decide. */
+	/** Decides the given requests, and everything else that is due. */
 	decide(waiters: waiting.Waiter[]): batches.Batch {
 		const { owner, state, views, horizon, placing } = this.deps;
 		const batch = batches.Batch.create({ ...this.deps, clock: owner.clock });
@@ -57,7 +57,7 @@
 		return batch;
 	}
 
-	/** The workers as placement sees them now. */
+	/** The workers as placement sees them. */
 	boxes(): placement.Box[] {
 		const { owner, state, takeover, views } = this.deps;
 		return boxes.boxesOf(state, views, { takeover, waits: owner.opts, now: owner.clock.now() });
--- a/src/core/scheduler/effects.ts
+++ b/src/core/scheduler/effects.ts
@@ -1,8 +1,8 @@
-/** Committed changes as numbered events. */
+/** Logs committed changes as events. */
 import type * as events from '../events/index.js';
 import * as shards from '../shard/index.js';
 
-/** Logs what a committed entry decided. */
+/** Logs a committed change. */
 export function logChange(
 	log: events.EventLog,
 	shard: string,
--- a/src/core/scheduler/forgetting.ts
+++ b/src/core/scheduler/forgetting.ts
@@ -1,18 +1,18 @@
-/** When a shard forgets ended jobs and old claims: now and then, and at once where its snapshot grows large. */
+/** Decides when a shard drops ended jobs and old claims: periodically, and at once when its snapshot grows large. */
 import * as retention from './retention.js';
 import * as shards from '../shard/index.js';
 import type * as clocks from '../clock.js';
 
-/** How often it is looked for what has been kept long enough, in milliseconds. */
+/** Interval between checks for jobs and claims to drop, in milliseconds. */
 const lookMs = 60_000;
 
-/** How long things are kept, in milliseconds. */
+/** How long ended jobs and claims are kept, in milliseconds. */
 export interface KeepOptions {
 	keepEndedMs: number;
 	keepClaimsMs: number;
 }
 
-/** The forgetting of one shard. */
+/** Schedules the retention of one shard. */
 export class Forgetting {
 	private lookedAt = -Infinity;
 
@@ -25,7 +25,10 @@
 		return new Forgetting(clock, opts);
 	}
 
-	/** Drops what has been kept long enough, ended jobs also when the snapshot grows large, the oldest first. */
+	/**
+	 * Drops ended jobs and claims whose retention time is over. While the snapshot is large, drops all ended jobs, the
+	 * oldest first.
+	 */
 	round(state: shards.ShardState): shards.Change[] {
 		const now = this.clock.now();
 		const tight = shards.stateBytes(state) > shards.tightStateBytes;
--- a/src/core/scheduler/horizon.ts
+++ b/src/core/scheduler/horizon.ts
@@ -1,11 +1,14 @@
-/** The age of a shard's newest committed entry: it bounds the renewal of leases, and calls for a beat in good time. */
+/**
+ * The renewal horizon: the age of a shard's newest committed entry limits how long leases are renewed. A beat, an entry
+ * without changes, is committed in time to stay within the horizon.
+ */
 import * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 
-/** Beats in a horizon, at least: one that can't be stored leaves time for further tries. */
+/** Minimum number of beats within a horizon, so that a beat that can't be stored leaves time for more attempts. */
 const beatsPerHorizon = 3;
 
-/** What the horizon needs of its owner. */
+/** What the horizon needs from its owner. */
 export interface HorizonDeps {
 	shard: string;
 	clock: clocks.Clock;
@@ -26,7 +29,10 @@
 		return new Horizon(deps);
 	}
 
-	/** Leases are renewed only within the horizon of the last committed entry, counted from its send. */
+	/**
+	 * Whether leases may be renewed: only within the horizon of the last committed entry, counted from when it was sent.
+	 * Logs an event when the horizon passes.
+	 */
 	mayRenew(): boolean {
 		const { shard, clock, events: log, horizonMs, lastCommitSentAt } = this.deps;
 		const age = this.age();
@@ -36,12 +42,12 @@
 		return may;
 	}
 
-	/** The next decision is to be stored even if nothing changes: that shows whose epoch is in force. */
+	/** Has the next decision stored even if nothing changes, which shows whose epoch is in force. */
 	wantBeat(): void {
 		this.beatWanted = true;
 	}
 
-	/** A decision was made: what was wanted has been seen to. */
+	/** Notes that a decision was made, which fulfils a requested beat. */
 	decided(): void {
 		this.beatWanted = false;
 	}
--- a/src/core/scheduler/index.ts
+++ b/src/core/scheduler/index.ts
@@ -1,4 +1,4 @@
-/** The scheduler: owners of shards, and the process around them. */
+/** The scheduler: owners of shards, and the process that runs them. */
 export * from './owner.js';
 export type * from './owner-deps.js';
 export { Scheduler } from './process.js';
--- a/src/core/scheduler/link.ts
+++ b/src/core/scheduler/link.ts
@@ -1,20 +1,20 @@
-/** The task that keeps one worker's exchanges going: one at a time, on every heartbeat and whenever kicked. */
+/** Exchanges messages with one worker, one at a time: at every heartbeat, and whenever triggered. */
 import type * as clocks from '../clock.js';
 import type * as results from '../result.js';
 import type * as workers from '../worker/index.js';
 
-/** What a link needs. */
+/** What an exchange loop needs. */
 export interface LinkOptions {
 	address: string;
 	heartbeatMs: number;
 	clock: clocks.Clock;
 	exchange: workers.Exchange;
-	/** The next message, made right before it is sent. */
+	/** Composes the next message right before it is sent. */
 	compose: () => workers.ExchangeReq;
 	onAnswer: (req: workers.ExchangeReq, res: results.Result<workers.ExchangeRes, string>) => void;
 }
 
-/** One worker's link. */
+/** The exchanges with one worker. */
 export class WorkerLink {
 	private timer: clocks.Timer | undefined;
 	private busy: Promise<void> | undefined;
@@ -23,7 +23,7 @@
 
 	private constructor(private readonly opts: LinkOptions) {}
 
-	/** Starts with a message at once. */
+	/** Creates the loop and sends a message at once. */
 	static create(opts: LinkOptions): WorkerLink {
 		const link = new WorkerLink(opts);
 		link.kick();
@@ -41,7 +41,7 @@
 		this.busy = this.turn();
 	}
 
-	/** Sends nothing more; resolves once no message is in flight. */
+	/** Stops sending; resolves once no message is in flight. */
 	async stop(): Promise<void> {
 		this.stopped = true;
 		this.timer?.cancel();
--- a/src/core/scheduler/owner-deps.ts
+++ b/src/core/scheduler/owner-deps.ts
@@ -1,4 +1,4 @@
-/** What the owner of a shard is made with. */
+/** Dependencies of a shard's owner. */
 import type * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 import type * as placement from '../placement/index.js';
@@ -10,23 +10,23 @@
 /** What an owner needs. */
 export interface OwnerDeps {
 	shard: string;
-	/** Box and boot of this process. */
+	/** Identifies this process by its box and boot. */
 	owner: string;
 	store: platform.Store;
 	clock: clocks.Clock;
 	events: events.EventLog;
 	exchange: workers.Exchange;
 	opts: types.OwnerOptions;
-	/** Rates workers for placement. */
+	/** Scores workers for placement. */
 	score: placement.Score;
 	nextShard: (part: shards.JobRecord['part']) => string | undefined;
 	holderGone: (holder: string) => boolean;
-	/** Called once when the shard turns out to be someone else's. */
+	/** Called once if another process owns the shard. */
 	onLost: () => void;
 	metrics: OwnerMetrics;
 }
 
-/** Counters of all owners of a process. */
+/** Counters shared by all owners of a process. */
 export interface OwnerMetrics {
 	appends: number;
 	decisions: number;
--- a/src/core/scheduler/owner.ts
+++ b/src/core/scheduler/owner.ts
@@ -1,7 +1,7 @@
 /**
- * The task that owns one shard: it takes requests and workers' reports, decides, stores the decisions as one entry,
- * and only then replies and gives orders. One append is in flight at a time; whatever arrives meanwhile rides in the
- * next one (group commit). docs/decisions/0002-shard-log.md weighs it against one write a decision.
+ * Owns one shard. Takes requests and workers' reports, decides, stores the decisions as one entry, and only then replies and
+ * sends commands. One append is in flight at a time; whatever arrives meanwhile goes into the next one (group commit).
+ * docs/decisions/0002-shard-log.md compares this with one write per decision.
  */
 import * as clocks from '../clock.js';
 import * as errors from '../errors/index.js';
@@ -31,10 +31,10 @@
 
 type OwnerEvent = 'release' | 'released' | 'supersede';
 
-/** The stages of an owner, `charts/owner.json`. */
+/** The states of an owner, `charts/owner.json`. */
 const ownerChart = tasks.loadChart<OwnerStage, OwnerEvent>('charts/owner.json');
 
-/** One owned shard. */
+/** The owner of one shard. */
 export class ShardOwner {
 	private readonly contacts: contacts.WorkerContacts;
 	private readonly queue: waiting.RequestQueue;
@@ -95,7 +95,7 @@
 		this.loop = this.run();
 	}
 
-	/** Reads the shard's log and takes it over under the next epoch. */
+	/** Reads the shard's log and takes the shard over under the next epoch. */
 	static async take(deps: owners.OwnerDeps): Promise<results.Result<ShardOwner, string>> {
 		const taken = await taking.takeShard(deps);
 		return taken.ok ? results.ok(new ShardOwner(deps, taken.value.log, taken.value.takeover)) : taken;
@@ -105,14 +105,14 @@
 		return this.log.state.epoch;
 	}
 
-	/** The platform's newest list of this shard's workers. */
+	/** Takes in the platform's newest list of this shard's workers. */
 	setWorkers(listed: types.ListedWorker[]): void {
 		this.decider.listRead = true;
 		this.contacts.setWorkers(listed);
 		this.turns.signal();
 	}
 
-	/** Answers a request; waits for its entry where it needs one. */
+	/** Answers a request, once its entry is stored if it needs one. */
 	request(req: requests.ShardReq): Promise<results.Result<unknown, errors.Failure>> {
 		if (this.stage !== 'owning') return Promise.resolve(results.fail(this.notOwner()));
 		this.answers.hold(req);
@@ -143,11 +143,11 @@
 		return report.explainTask(this.deps.shard, record, this.contacts.views, waitsFor, this.uncommitted.names);
 	}
 
-	/** Planned stop: gives no more orders, says so in the log, and resolves. */
+	/** Planned stop: stops sending commands, then stores the release in the log. */
 	async release(): Promise<void> {
 		if (!this.step('release')) return;
 		this.turns.signal();
-		// An append may be under way while the platform is out; the stop does not wait for it for ever.
+		// An append may be in flight while the platform is unavailable; the stop waits for it no longer than `requestTimeoutMs`.
 		this.deps.clock.after(this.deps.opts.requestWaitMs, () => {
 			this.log.abandon();
 		});
@@ -160,7 +160,7 @@
 		this.step('released');
 	}
 
-	/** Takes a step of the chart; false if the stage does not allow it. */
+	/** Advances the state chart; returns false if the current stage does not allow the event. */
 	private step(event: OwnerEvent): boolean {
 		const next = ownerChart.next(this.stage, event);
 		if (next === undefined) return false;
@@ -168,7 +168,7 @@
 		return true;
 	}
 
-	/** The stage, which may have changed during an `await` where the compiler thinks it can't. */
+	/** Returns the stage. It may change during an `await`, which the compiler's narrowing of `stage` does not see. */
 	private stageNow(): OwnerStage {
 		return this.stage;
 	}
--- a/src/core/scheduler/placing.ts
+++ b/src/core/scheduler/placing.ts
@@ -1,32 +1,32 @@
-/** An owner's rounds of placing: which waiting tasks go where, and what is slowed or stopped to make that possible. */
+/** Places an owner's pending tasks in rounds, and throttles or evicts tasks to make that possible. */
 import * as boxes from './boxes.js';
 import * as placement from '../placement/index.js';
 import type * as shards from '../shard/index.js';
 
-/** Places given in one round at most: keeps an entry well under the platform's value limit. */
+/** Upper bound of placements in one round, which keeps an entry well below the platform's value limit. */
 const maxPlacesPerRound = 1_000;
 
-/** What placing needs of its owner. */
+/** What the placer needs from its owner. */
 export interface PlacingDeps {
-	/** Rates workers for placement. */
+	/** Scores workers for placement. */
 	score: placement.Score;
-	/** The life of a worker that was last heard of; undefined: none was. */
+	/** The incarnation that a worker last reported; undefined if it has not reported yet. */
 	incarnationOf: (worker: string) => string | undefined;
-	/** A worker has a task to stop: it is to be told soon. */
+	/** Called when a worker has a task to evict, so that it gets the command soon. */
 	onEvicted: (worker: string) => void;
 }
 
-/** What workers are to be told beyond starts and cancellations. */
+/** Evictions and throttles of running tasks. */
 export interface Wishes {
-	/** Why a task is to be stopped, by task. */
+	/** Reason for each eviction, by task. */
 	evictions: ReadonlyMap<string, string>;
-	/** Share of its speed at which a task is to work, by task. */
+	/** Part of its declared cores that a task may use, by task. */
 	throttles: ReadonlyMap<string, number>;
 }
 
-/** The placing of one shard's tasks. */
+/** Places the tasks of one shard. */
 export class Placing {
-	/** What each waiting task waits for, as of the last round. */
+	/** What each pending task waits for, as of the last round. */
 	waitsFor = new Map<string, string>();
 	private readonly evictions = new Map<string, string>();
 	private throttles = new Map<string, number>();
@@ -37,17 +37,17 @@
 		return new Placing(deps);
 	}
 
-	/** What workers are to be told now. */
+	/** The evictions and throttles in force. */
 	get wishes(): Wishes {
 		return { evictions: this.evictions, throttles: this.throttles };
 	}
 
-	/** Something was decided about a task: a wish to stop it is done with. */
+	/** Drops a task's eviction once a change to the task has been decided. */
 	settled(task: string): void {
 		this.evictions.delete(task);
 	}
 
-	/** Relieves full workers, and places what waits. */
+	/** Relieves overfull workers, and places pending tasks. */
 	round(state: shards.ShardState, all: placement.Box[]): shards.Change[] {
 		this.relieve(state, all);
 		const pending = boxes.waitingOf(state);
@@ -75,7 +75,8 @@
 
 	private relieve(state: shards.ShardState, all: placement.Box[]): void {
 		const throttles = new Map<string, number>();
-		// Attempts started before: a stand-in for work lost until workers report the age of a checkpoint.
+		// The number of attempts stands in for the progress that an eviction loses: workers do not report the age of
+		// checkpoints.
 		const progressOf = (task: string): number => state.tasks.get(task)?.attempt ?? 0;
 		for (const box of all) {
 			const relief = placement.relieve(box, progressOf);
--- a/src/core/scheduler/process.ts
+++ b/src/core/scheduler/process.ts
@@ -1,4 +1,4 @@
-/** `woodcross-scheduler`: owns the shards of its zone that fall to it, and answers peers about them. */
+/** The `woodcross-scheduler` process: owns the shards of its zone that are assigned to it, and answers peers about them. */
 import * as boxes from '../boxes/index.js';
 import * as clocks from '../clock.js';
 import * as errors from '../errors/index.js';
@@ -15,10 +15,9 @@
 import type * as types from './types.js';
 import type * as wire from '../wire/index.js';
 
-/** How often the shards to own are looked at, in milliseconds. */
+/** Interval between checks for shards to take over, in milliseconds. */
 const electMs = 250;
 
-/** The scheduler process. */
 export class Scheduler {
 	private readonly node: node.Node;
 	private readonly owned = new Map<string, owners.ShardOwner>();
@@ -63,7 +62,7 @@
 		this.electing = clocks.every(this.node.clock, electMs, () => this.elect());
 	}
 
-	/** Planned stop: hands every shard over, then leaves. */
+	/** Planned stop: releases every shard, then leaves the membership. */
 	async stop(): Promise<void> {
 		this.node.stopping = true;
 		this.node.events.emit('process.stopping', { shards: this.owned.size });
@@ -75,7 +74,10 @@
 		await this.client.close();
 	}
 
-	/** Takes over the shards that fall to this process, once the set of schedulers has held still. */
+	/**
+	 * Takes over the shards for which this process is the preferred owner, once the set of schedulers has been unchanged for
+	 * `takeover-ms`.
+	 */
 	private async elect(): Promise<void> {
 		const { clock, members } = this.node;
 		if (!members.reachable || this.node.stopping) return;
@@ -126,7 +128,10 @@
 		return order[order.indexOf(shard) + 1];
 	}
 
-	/** A claim's holder is `boot#request`; a boot that is not among the members while the platform answers is gone. */
+	/**
+	 * Whether the process that holds a claim is gone. A holder is `boot#request`; its process is gone if its boot is not
+	 * among the members while the platform is reachable and the members have been unchanged for `takeover-ms`.
+	 */
 	private holderGone(holder: string): boolean {
 		const boot = holder.slice(0, holder.lastIndexOf('#'));
 		const { members, clock } = this.node;
--- a/src/core/scheduler/report.ts
+++ b/src/core/scheduler/report.ts
@@ -1,21 +1,21 @@
-/** What operators are told of a shard: status and explanation. */
+/** Status and explanations for operators. */
 import * as shards from '../shard/index.js';
 import type * as placement from '../placement/index.js';
 import type * as types from './types.js';
 
-/** One job part in `status`. */
+/** A job part in `status`. */
 export interface JobStatus {
 	id: string;
 	kind: 'service' | 'batch';
 	state: shards.JobState;
-	/** Tasks by what they do now. */
+	/** Number of tasks by live state. */
 	counts: Record<string, number>;
 	submittedAt: number;
-	/** True while the newest decision about it is not stored yet. */
+	/** Whether a decision about the job or one of its tasks is not stored yet. */
 	uncommitted: boolean;
 }
 
-/** One worker in `status`. */
+/** A worker in `status`. */
 export interface WorkerStatus {
 	id: string;
 	state: string;
@@ -33,7 +33,7 @@
 	workers: WorkerStatus[];
 }
 
-/** Where a task stands and why. */
+/** A task's state and the reasons for it, shown by `explain`. */
 export interface TaskExplanation {
 	task: string;
 	shard: string;
@@ -41,7 +41,7 @@
 	attempt: number;
 	worker: string;
 	why: string;
-	/** What it waits for, if it waits. */
+	/** What the task waits for; empty if it is not pending. */
 	waitsFor: string;
 	lastEnd: string;
 	failures: shards.FailedAttempt[];
@@ -49,7 +49,10 @@
 	uncommitted: boolean;
 }
 
-/** What the worker last said of the attempt that the log places there, or the committed state. */
+/**
+ * The state that the worker last reported for the attempt placed on it (`starting` until it reports that attempt), or the
+ * committed state if the task is not placed.
+ */
 export function liveState(task: shards.TaskRecord, views: ReadonlyMap<string, types.WorkerView>): string {
 	if (task.state !== 'placed' || task.worker === undefined) return task.state;
 	const report = views.get(task.worker)?.reports.get(task.id);
@@ -57,7 +60,7 @@
 	return report.state;
 }
 
-/** The jobs of a shard, with their tasks counted by live state. */
+/** The job parts of a shard, with their tasks counted by live state. */
 export function jobStatuses(
 	state: shards.ShardState,
 	views: ReadonlyMap<string, types.WorkerView>,
@@ -85,7 +88,7 @@
 	return statuses;
 }
 
-/** The workers of a shard; `now`: on the owner's monotonic clock. */
+/** The workers of a shard; `now` is the owner's monotonic time. */
 export function workerStatuses(
 	boxes: placement.Box[],
 	views: ReadonlyMap<string, types.WorkerView>,
@@ -99,7 +102,6 @@
 	}));
 }
 
-/** Explains one task. */
 export function explainTask(
 	shard: string,
 	task: shards.TaskRecord,
--- a/src/core/scheduler/reports.ts
+++ b/src/core/scheduler/reports.ts
@@ -1,9 +1,9 @@
-/** What a worker's newest report means for the committed state. Pure. */
+/** Derives committed changes from a worker's newest report. Pure. */
 import * as types from './types.js';
 import type * as shards from '../shard/index.js';
 import type * as workers from '../worker/index.js';
 
-/** Changes that follow from what `view` reports of `tasks`, those that hold a place on the worker. */
+/** Changes that follow from what the worker reports about `tasks`, the tasks that hold a placement on it. */
 export function reportChanges(
 	state: shards.ShardState,
 	view: types.WorkerView,
@@ -53,8 +53,8 @@
 }
 
 /**
- * A task to be stopped that the worker doesn't have: stopped, provided that no start of it can still arrive.
- * The fence refuses everything sent before the answered exchange; a start sent later may be on its way.
+ * Handles a placed task that the worker does not report. A task to be stopped counts as stopped if no start of it can still
+ * arrive: the fence refuses everything sent before the answered exchange, but a start sent later may be in flight.
  */
 function absentChange(task: shards.TaskRecord, view: types.WorkerView): shards.Change[] {
 	if (task.state !== 'stopping') return [];
@@ -86,8 +86,8 @@
 }
 
 /**
- * A task fails for good once it failed on `maxFailures` distinct workers that are not in quarantine,
- * or twice as often as that where there are too few workers to tell.
+ * Whether a task fails permanently: it failed on `maxFailures` distinct workers that are not in quarantine, or twice as many
+ * times where there are too few workers to tell.
  */
 function failsForGood(state: shards.ShardState, task: shards.TaskRecord): boolean {
 	const limit = state.jobs.get(task.job)?.part.spec.maxFailures ?? 1;
@@ -97,7 +97,7 @@
 	return places.size >= limit || counted.length + 1 >= limit * 2;
 }
 
-/** Workers on which several distinct jobs failed since their boot, and those that came back since. */
+/** Quarantines workers on which several distinct jobs failed since their boot; releases those that have booted again. */
 export function quarantineChanges(
 	state: shards.ShardState,
 	views: ReadonlyMap<string, types.WorkerView>,
@@ -125,7 +125,7 @@
 	return changes;
 }
 
-/** Tasks that hold a place, by worker. */
+/** Tasks that hold a placement, by worker. */
 export function tasksByWorker(state: shards.ShardState): Map<string, shards.TaskRecord[]> {
 	const byWorker = new Map<string, shards.TaskRecord[]>();
 	for (const task of state.tasks.values()) {
--- a/src/core/scheduler/request-queue.ts
+++ b/src/core/scheduler/request-queue.ts
@@ -1,24 +1,27 @@
-/** Requests that wait for their decision and its entry; each is answered once, with what is true when its time is over. */
+/**
+ * Requests that wait until their decision is stored. Each is answered once; on a timeout the answer says whether the request
+ * can have taken effect.
+ */
 import * as errors from '../errors/index.js';
 import * as results from '../result.js';
 import type * as clocks from '../clock.js';
 import type * as requests from './requests.js';
 
-/** What a request comes to. */
+/** The answer to a request. */
 export type Reply = results.Result<unknown, errors.Failure>;
 
-/** One request that waits. */
+/** A request without an answer. */
 export interface Waiter {
 	req: requests.ShardReq;
 	resolve: (reply: Reply) => void;
-	/** `queued`: not decided yet; `deciding`: its entry is being stored; `answered`: its asker has heard. */
+	/** `queued`: not decided yet; `deciding`: its entry is being stored; `answered`: the answer has been sent. */
 	stage: 'queued' | 'deciding' | 'answered';
 }
 
-/** Time told to askers whose request could not be stored, in milliseconds. */
+/** Retry delay for callers whose request could not be stored, in milliseconds. */
 const retryAfterMs = 2_000;
 
-/** The requests of one shard. */
+/** The pending requests of one shard. */
 export class RequestQueue {
 	private waiting: Waiter[] = [];
 
@@ -28,7 +31,7 @@
 		private readonly waitMs: number,
 	) {}
 
-	/** `waitMs`: how long a request waits at most. */
+	/** `waitMs`: the longest time that a request waits, in milliseconds. */
 	static create(shard: string, clock: clocks.Clock, waitMs: number): RequestQueue {
 		return new RequestQueue(shard, clock, waitMs);
 	}
@@ -45,7 +48,7 @@
 		});
 	}
 
-	/** Hands over the requests to decide now. */
+	/** Removes the queued requests from the queue and returns them to be decided. */
 	take(): Waiter[] {
 		const taken = this.waiting.filter((waiter) => waiter.stage === 'queued');
 		this.waiting = [];
@@ -53,19 +56,19 @@
 		return taken;
 	}
 
-	/** Answers a request, unless it has been answered. */
+	/** Answers a request unless it has been answered. */
 	settle(waiter: Waiter, reply: Reply): void {
 		if (waiter.stage === 'answered') return;
 		waiter.stage = 'answered';
 		waiter.resolve(reply);
 	}
 
-	/** Its entry may or may not be stored. */
+	/** Answers a request whose entry may or may not be stored. */
 	leaveOpen(waiter: Waiter): void {
 		this.settle(waiter, results.fail(this.undecided(waiter.req)));
 	}
 
-	/** Answers everything that is not decided yet alike. */
+	/** Answers all queued requests with the same error. */
 	refuseAll(err: errors.Failure): void {
 		for (const waiter of this.take()) this.settle(waiter, results.fail(err));
 	}
@@ -76,7 +79,8 @@
 	}
 
 	private undecided(req: requests.ShardReq): errors.Failure {
-		// The request behind an undecided claim has not been sent; the asker takes back what may still be granted.
+		// The request behind an undecided claim has not been sent; the process that asked withdraws what may still be
+		// granted.
 		if (req.type === 'claim.begin')
 			return errors.failure('ClaimUnavailable', req.key, { retryAfterMs, run: 'not-run' });
 		return errors.failure('OutcomeUnknown', `${req.type} on shard ${this.shard}`, { retryAfterMs });
--- a/src/core/scheduler/requests.ts
+++ b/src/core/scheduler/requests.ts
@@ -1,4 +1,4 @@
-/** Requests to a shard, decided against its state. Pure: changes and reply, or a reply alone. */
+/** Decides requests to a shard from its state. Pure: returns the changes to commit and the reply. */
 import * as errors from '../errors/index.js';
 import * as placement from '../placement/index.js';
 import * as results from '../result.js';
@@ -12,39 +12,39 @@
 	{ type: 'shard.submit' | 'shard.cancel' | 'claim.begin' | 'claim.end' }
 >;
 
-/** Reply to a submit: taken care of here, or by the shard named. */
+/** Reply to a submit: the job is accepted here or belongs to the shard named. */
 export type SubmitReply = { at: 'here'; created: boolean } | { at: 'elsewhere'; shard: string };
 
-/** Reply to a claim: go ahead, or what became of the request that holds the key. */
+/** Reply to a claim: granted, or the outcome of the request that holds the key. */
 export type ClaimReply =
 	{ claim: 'granted' } | { claim: 'taken'; outcome: shards.ClaimOutcome; answer?: ClaimAnswer };
 
-/** An answer held in memory for a caller who asks again. */
+/** An answer kept in memory for callers that repeat a request. */
 export interface ClaimAnswer {
 	status: number;
 	contentType: string;
 	body: Uint8Array;
 }
 
-/** A decision: what to commit first, and what to say then. */
+/** The changes to commit, and the reply to send after the commit. */
 export interface Decision {
 	changes: shards.Change[];
 	reply: results.Result<unknown, errors.Failure>;
 }
 
-/** What the decision may look at beside the state. */
+/** What a decision depends on beside the state. */
 export interface RequestContext {
 	views: ReadonlyMap<string, types.WorkerView>;
-	/** Whether the platform's box list has been read; before that nobody can say what fits. */
+	/** Whether the platform's list of workers has been read; until then it is unknown which jobs fit. */
 	listRead: boolean;
-	/** The shard to try next for a job that can't fit here. */
+	/** The shard to try next for a job that does not fit here; undefined after the last one. */
 	nextShard: (part: shards.JobRecord['part']) => string | undefined;
 	answers: ReadonlyMap<string, ClaimAnswer>;
 	/** Whether the process that holds a claim is known to be gone. */
 	holderGone: (holder: string) => boolean;
 }
 
-/** Time told to those who find a shard full, in milliseconds: some claims and ended jobs have gone by then. */
+/** Retry delay for callers that find a shard full, in milliseconds: some claims and ended jobs have expired by then. */
 const fullRetryMs = 60_000;
 
 const reply = (value: unknown): Decision => ({ changes: [], reply: results.ok(value) });
@@ -65,7 +65,7 @@
 	}
 }
 
-/** A submit is idempotent by the part's id: the same declaration again finds the job it made. */
+/** A submit is idempotent by the id of the job part: a repeated declaration finds the job that it created. */
 function decideSubmit(
 	state: shards.ShardState,
 	part: shards.JobRecord['part'],
@@ -75,14 +75,14 @@
 	if (known !== undefined) {
 		const same = JSON.stringify(known.part) === JSON.stringify(part);
 		if (!same)
-			return refuse(errors.failure('JobConflict', `job ${part.id} differs from the one declared before`));
+			return refuse(errors.failure('JobConflict', `job ${part.id} is already declared differently`));
 		return reply({ at: 'here', created: false } satisfies SubmitReply);
 	}
 	const forwarded = state.forwarded.get(part.id);
 	if (forwarded !== undefined) return reply({ at: 'elsewhere', shard: forwarded } satisfies SubmitReply);
 	if (!ctx.listRead) {
 		return refuse(
-			errors.failure('ShardUnavailable', 'the list of workers is not read yet', { retryAfterMs: 1000 }),
+			errors.failure('ShardUnavailable', 'the list of workers has not been read yet', { retryAfterMs: 1000 }),
 		);
 	}
 	const full = shards.stateBytes(state, part.tasks) > shards.maxStateBytes;
@@ -111,7 +111,7 @@
 	const { cores, memoryMb, accelerators } = part.spec.needs;
 	const asked = `${cores} cores, ${memoryMb} MiB and ${accelerators} accelerators`;
 	const largest = Math.max(0, ...[...views.values()].map((view) => view.listed.capacity.cores));
-	return `${part.id} asks for ${asked} a task; the largest of ${views.size} workers in the last shard tried has ${largest} cores`;
+	return `${part.id} needs ${asked} per task; the largest of ${views.size} workers in the last shard tried has ${largest} cores`;
 }
 
 function decideCancel(state: shards.ShardState, id: string): Decision {
@@ -134,14 +134,14 @@
 	const known = state.claims.get(key);
 	if (known === undefined && shards.stateBytes(state) > shards.maxStateBytes) {
 		const extra = { retryAfterMs: fullRetryMs, run: 'not-run' } as const;
-		return refuse(errors.failure('ClaimUnavailable', 'too many keys are remembered', extra));
+		return refuse(errors.failure('ClaimUnavailable', 'the shard has no space for another Idempotency-Key', extra));
 	}
 	if (known === undefined || known.outcome === 'not-run') {
 		const begun: shards.Change = { type: 'claim.begun', key, bodyHash, holder };
 		return { changes: [begun], reply: results.ok({ claim: 'granted' } satisfies ClaimReply) };
 	}
 	if (known.bodyHash !== bodyHash) return refuse(errors.failure('KeyReused', key, { run: 'not-run' }));
-	// The same request asking again: its first answer was lost between the processes.
+	// The same request repeated: the first answer was lost between the processes.
 	if (known.holder === holder) return reply({ claim: 'granted' } satisfies ClaimReply);
 	if (known.outcome === 'running' && ctx.holderGone(known.holder)) {
 		const ended: shards.Change = { type: 'claim.ended', key, holder: known.holder, outcome: 'may-have-run' };
--- a/src/core/scheduler/retention.ts
+++ b/src/core/scheduler/retention.ts
@@ -1,9 +1,9 @@
-/** Which ended jobs and old claims a shard forgets. Pure. */
+/** Selects the ended jobs and old claims that a shard drops. Pure. */
 import * as shards from '../shard/index.js';
 
 /**
- * Jobs that ended before `before` (wall milliseconds), oldest first.
- * A job some of whose places are still held is kept: its record is what tells that they are.
+ * Changes that drop the jobs that ended before `before` (wall-clock milliseconds), oldest first. Jobs with held placements
+ * stay: only the job's record shows that they are held.
  */
 export function droppedJobs(state: shards.ShardState, before: number): shards.Change[] {
 	const ended: { id: string; endedAt: number }[] = [];
@@ -16,7 +16,7 @@
 	return ended.map(({ id }) => ({ type: 'job.dropped', job: id }));
 }
 
-/** Lets go of the claims from before `before` (wall milliseconds), if there are any. */
+/** A change that drops the claims last changed before `before` (wall-clock milliseconds), if there are any. */
 export function expiredClaims(state: shards.ShardState, before: number): shards.Change[] {
 	const expired = [...state.claims.values()].some((claim) => claim.at < before);
 	return expired ? [{ type: 'claims.expired', before }] : [];
--- a/src/core/scheduler/settings.ts
+++ b/src/core/scheduler/settings.ts
@@ -6,7 +6,6 @@
 
 const ms = common.milliseconds;
 
-/** The rows. */
 export const schedulerSettings = {
 	...common.commonSettings,
 	'heartbeat-ms': settings.setting({
@@ -77,13 +76,13 @@
 	}),
 } as const satisfies settings.SettingTable;
 
-/** Checked settings of the scheduler. */
+/** Validated settings of the scheduler. */
 export type SchedulerSettings = settings.Settings<typeof schedulerSettings>;
 
-/** Clocks are assumed to run within this part of each other. */
+/** Clock rates are assumed to differ by at most this fraction. */
 const clockRate = 0.001;
 
-/** The owner's options that follow from the settings. */
+/** Derives an owner's options from the settings. */
 export function ownerOptions(given: SchedulerSettings): types.OwnerOptions {
 	const shards = given.zones.length * given['shards-per-zone'];
 	return {
--- a/src/core/scheduler/silence.ts
+++ b/src/core/scheduler/silence.ts
@@ -1,16 +1,16 @@
-/** What a worker's silence proves, and when. Pure. */
+/** What follows from a worker being unreachable, and when. Pure. */
 import type * as types from './types.js';
 import type * as shards from '../shard/index.js';
 
-/** When and how this owner took the shard over; times are its monotonic clock. */
+/** When and how this owner took the shard over; times are on its monotonic clock. */
 export interface Takeover {
-	/** When the takeover entry was acknowledged. */
+	/** Time at which the takeover entry was acknowledged. */
 	at: number;
-	/** Whether the owner before had said that it sends nothing more. */
+	/** Whether the previous owner had declared that it sends nothing more. */
 	released: boolean;
 }
 
-/** The parts of the settings that the waits are made of, in milliseconds, and the clocks' rate as a part of one. */
+/** The settings that timeouts are computed from, in milliseconds; `maxClockDrift` is a fraction. */
 export interface WaitOptions {
 	leaseMs: number;
 	horizonMs: number;
@@ -19,16 +19,16 @@
 	unreachableMs: number;
 }
 
-/** A lease given now, in the worker's time, ends within this many milliseconds of the owner's time. */
+/** The longest time on the owner's clock, in milliseconds, that a lease granted now on the worker's clock can last. */
 export function leaseSpan(opts: WaitOptions): number {
 	return opts.leaseMs * (1 + opts.clockRate);
 }
 
 /**
- * When a silent worker's batch tasks are proved stopped, on the owner's clock.
- * Leases given by this owner end by `leaseEndsBy`. Leases given by owners before it end a lease after the horizon of
- * the last entry that one of them can have committed, which is older than the takeover; once the worker has accepted
- * this epoch they can't reach it, and `leaseEndsBy` covers them.
+ * Time on the owner's clock at which an unresponsive worker's batch tasks are proven stopped. Leases granted by this owner
+ * end by `leaseEndsBy`. Earlier owners renew leases only within the horizon of their last committed entry, which is older
+ * than the takeover; the leases end one lease time after that horizon. Once the worker has accepted this epoch, earlier
+ * owners can't reach it, and `leaseEndsBy` covers their leases.
  */
 export function provedStoppedAt(view: types.WorkerView, takeover: Takeover, opts: WaitOptions): number {
 	const horizon = takeover.released ? 0 : opts.horizonMs * (1 + opts.clockRate);
@@ -36,7 +36,7 @@
 	return Math.max(view.leaseEndsBy, before) + opts.marginMs;
 }
 
-/** Whether a worker has been silent for too long to count on. */
+/** Whether a worker has been unresponsive for longer than `unreachableMs`. */
 export function isUnreachable(
 	view: types.WorkerView,
 	takeover: Takeover,
@@ -46,7 +46,7 @@
 	return now - Math.max(view.answeredAt, takeover.at) > opts.unreachableMs;
 }
 
-/** Changes that follow from a worker's silence at time `now`. */
+/** Changes that follow at time `now` if the worker is unreachable. */
 export function silenceChanges(
 	state: shards.ShardState,
 	view: types.WorkerView,
@@ -62,8 +62,9 @@
 		const service = state.jobs.get(task.job)?.part.spec.kind === 'service';
 		if (service || proved) changes.push(lost(task, view, service));
 	}
-	// Off the list and past every lease: nobody will ever confirm its held places. Should it come back, what still
-	// runs there is counted against it by its own report (see boxesOf) and stopped.
+	// A worker that is off the list and past every lease will never confirm its held placements, so they are cleared. If it
+	// returns, its report adds what still runs there to its allocations (see `placementWorkers`), and those runs are
+	// stopped.
 	if (proved && !view.present) changes.push(...clearedPlaces(state, view));
 	return changes;
 }
@@ -77,7 +78,9 @@
 	);
 }
 
-/** A service replica may exist twice for a while, so it is replaced at once; its place stays held. */
+/**
+ * The loss of a task. A service replica may exist twice for a while, so it is replaced at once and its placement stays held.
+ */
 function lost(task: shards.TaskRecord, view: types.WorkerView, service: boolean): shards.Change {
 	const report = view.reports.get(task.id);
 	const checkpoint = report?.attempt === task.attempt ? report.checkpoint : undefined;
--- a/src/core/scheduler/taking.ts
+++ b/src/core/scheduler/taking.ts
@@ -1,17 +1,17 @@
-/** Takes a shard over: reads its log, and stores the entry that opens the next epoch. */
+/** Takes a shard over: reads its log and stores the entry that starts the next epoch. */
 import * as effects from './effects.js';
 import * as results from '../result.js';
 import * as shards from '../shard/index.js';
 import type * as owners from './owner-deps.js';
 import type * as silence from './silence.js';
 
-/** A shard that is this process's from now on. */
+/** A shard that this process has taken over. */
 export interface TakenShard {
 	log: shards.ShardLog;
 	takeover: silence.Takeover;
 }
 
-/** Reads the shard's log and takes it over under the next epoch. */
+/** Reads the shard's log and takes the shard over under the next epoch. */
 export async function takeShard(deps: owners.OwnerDeps): Promise<results.Result<TakenShard, string>> {
 	const read = await readLog(deps);
 	if (!read.ok) return results.fail(read.err.reason);
@@ -30,7 +30,7 @@
 	return shards.ShardLog.read({ shard, owner, store, clock, events, onWrite });
 }
 
-/** Stores the takeover, and applies it to the log's state. */
+/** Stores the takeover and applies it to the log's state. Stores a snapshot first if the ring is full. */
 async function openEpoch(
 	deps: owners.OwnerDeps,
 	log: shards.ShardLog,
--- a/src/core/scheduler/turns.ts
+++ b/src/core/scheduler/turns.ts
@@ -1,10 +1,12 @@
-/** When an owner decides: soon after something happened, now and then without, and within the platform's write rate. */
+/**
+ * Determines when an owner decides: soon after a signal, at every tick without one, and within the platform's write rate.
+ */
 import * as clocks from '../clock.js';
 
-/** How often silence and placement are looked at without being asked, in milliseconds. */
+/** Interval at which unreachable workers and placement are checked without a signal, in milliseconds. */
 export const tickMs = 200;
 
-/** The turns of one owner. */
+/** The decision times of one owner. */
 export class Turns {
 	private dirty = false;
 	private lastAppendAt = -Infinity;
@@ -15,23 +17,23 @@
 		private readonly appendGapMs: number,
 	) {}
 
-	/** `appendGapMs`: least milliseconds between two appends. */
+	/** `minAppendIntervalMs`: minimum time between two appends, in milliseconds. */
 	static create(clock: clocks.Clock, appendGapMs: number): Turns {
 		return new Turns(clock, appendGapMs);
 	}
 
-	/** Something is to be decided: now if the owner waits, else as soon as the append in flight is settled. */
+	/** Requests a decision: at once if the owner is waiting, otherwise after the append in flight. */
 	signal(): void {
 		this.dirty = true;
 		this.wake();
 	}
 
-	/** An append begins. */
+	/** Notes that an append begins. */
 	noteAppend(): void {
 		this.lastAppendAt = this.clock.now();
 	}
 
-	/** Waits for something to do, and then for the shard's turn at the platform's write rate. */
+	/** Waits for a signal or tick, then for the shard's turn at the platform's write rate. */
 	async next(): Promise<void> {
 		await this.signalOrTick();
 		this.dirty = false;
--- a/src/core/scheduler/types.ts
+++ b/src/core/scheduler/types.ts
@@ -1,8 +1,8 @@
-/** What a shard's owner knows beside the committed state, and its settings. */
+/** What a shard's owner knows beside the committed state, and its options. */
 import type * as placement from '../placement/index.js';
 import type * as workers from '../worker/index.js';
 
-/** Settings of an owner; each is a flag of `woodcross-scheduler`. */
+/** Options of an owner; most come from flags of `woodcross-scheduler`. */
 export interface OwnerOptions {
 	/** Milliseconds between heartbeats to a worker. */
 	heartbeatMs: number;
@@ -12,15 +12,15 @@
 	horizonMs: number;
 	/** Margin added to every wait that stands in for a proof, in milliseconds. */
 	marginMs: number;
-	/** Largest difference of two clocks' rates, as a part of one. */
+	/** Largest difference between the rates of two clocks, as a fraction. */
 	clockRate: number;
 	/** Milliseconds without an answer after which a worker counts as unreachable. */
 	unreachableMs: number;
-	/** Least milliseconds between two appends of a shard: its part of the platform's write rate. */
+	/** Minimum interval between two appends of a shard, in milliseconds: the shard's part of the platform's write rate. */
 	appendGapMs: number;
-	/** Milliseconds a request waits for its entry before it is answered as not stored. */
+	/** Milliseconds that a request waits for its entry before it is answered as not stored. */
 	requestWaitMs: number;
-	/** Distinct jobs failing on a worker that put it in quarantine. */
+	/** Number of distinct jobs failing on a worker that puts it in quarantine. */
 	quarantineJobs: number;
 	/** Milliseconds for which ended jobs are kept for `status`. */
 	keepEndedMs: number;
@@ -28,7 +28,7 @@
 	keepClaimsMs: number;
 }
 
-/** A worker of the platform's list. */
+/** A worker in the platform's list. */
 export interface ListedWorker {
 	id: string;
 	address: string;
@@ -37,41 +37,40 @@
 	leaving: boolean;
 }
 
-/** What the owner knows of a worker, beside the log. Times are the owner's monotonic clock unless said otherwise. */
+/** What the owner knows about a worker beside the log. Times are on the owner's monotonic clock unless stated otherwise. */
 export interface WorkerView {
 	listed: ListedWorker;
-	/** Whether it is still in the platform's list. */
+	/** Whether the worker is still in the platform's list. */
 	present: boolean;
-	/** Whether it has been told of as unreachable since its last answer. */
+	/** Whether the worker has been logged as unreachable since its last answer. */
 	unreachable: boolean;
-	/** Whether it has answered since the last decisions. */
+	/** Whether the worker has answered since the last decisions. */
 	fresh: boolean;
-	/** Whether it has accepted a message of this epoch: older epochs can't reach it any more. */
+	/** Whether the worker has accepted a message of this epoch, which means that it refuses messages of older epochs. */
 	fenced: boolean;
 	incarnation?: string;
-	/** When the newest answer arrived. */
+	/** Time at which the newest answer arrived. */
 	answeredAt: number;
 	/** The worker's own clock in that answer. */
 	workerNow: number;
 	/** Sequence number of the newest accepted exchange. */
 	answeredSeq: number;
-	/** No lease that this owner gave ends later than this. */
+	/** Every lease that this owner granted ends by this time; once fenced, earlier owners' leases do too. */
 	leaseEndsBy: number;
 	reports: Map<string, workers.TaskReport>;
-	/** Sequence number of the newest exchange that carried a start of `task#attempt`. */
+	/** Sequence number of the newest exchange that carried a start, by `task#attempt`. */
 	startSeq: Map<string, number>;
-	/** Highest use measured, by task. */
+	/** Highest measured use, by task. */
 	peaks: Map<string, { cores: number; memoryMb: number }>;
-	/** Throttle share last asked of the worker, by `task#attempt`. */
+	/** Throttle share last sent and accepted, by `task#attempt`. */
 	throttled: Map<string, number>;
 }
 
-/** Key of an attempt. */
 export function attemptKey(task: string, attempt: number): string {
 	return `${task}#${attempt}`;
 }
 
-/** A view of a worker that has not answered yet. */
+/** Creates the view of a worker that has not answered yet. */
 export function newView(listed: ListedWorker): WorkerView {
 	return {
 		listed,
--- a/src/core/shard/log.ts
+++ b/src/core/shard/log.ts
@@ -118,7 +118,9 @@
 		log.snapshotVersion = snapshot?.version ?? 0;
 		log.snapshotN = log.state.n;
 		const whole = log.replay(list.value.items.filter((item) => item.key !== snapshotKey(opts.shard)));
-		return whole ? results.ok(log) : results.fail({ effect: 'none', reason: 'entries of the log are missing' });
+		return whole
+			? results.ok(log)
+			: results.fail({ effect: 'none', reason: 'entries of the log are missing' });
 	}
 
 	/** Stops retrying the append in flight; its outcome is then unknown. */
--- a/src/core/shard/state.ts
+++ b/src/core/shard/state.ts
@@ -192,7 +192,10 @@
 
 function step(state: types.ShardState, task: types.TaskRecord, event: tasks.TaskEvent, at: number): void {
 	const next = tasks.taskChart.next(task.state, event);
-	results.invariant(next !== undefined, `task ${task.id} in state ${task.state} does not accept event ${event}`);
+	results.invariant(
+		next !== undefined,
+		`task ${task.id} in state ${task.state} does not accept event ${event}`,
+	);
 	task.state = next;
 	if (!tasks.taskChart.isFinal(next)) return;
 	const job = state.jobs.get(task.job);
