--- a/src/core/scheduler/commands.ts
+++ b/src/core/scheduler/commands.ts
@@ -20,7 +20,8 @@
 /**
  * Composes the content of a message to one worker. Skips tasks in `uncommitted`: workers learn nothing before it is
  * committed. With `mayRenew` false (past the horizon), renews no leases, starts nothing, and has batch tasks checkpoint and
- * stop, so that little is lost when their leases end. `notAfter` goes into the starts.
+ * stop, so that little is lost when their leases end. Workers refuse the starts past `notAfter`, which is on their own
+ * clock.
  */
 export function ordersFor(
 	state: shards.ShardState,
--- a/src/core/scheduler/contacts.ts
+++ b/src/core/scheduler/contacts.ts
@@ -174,7 +174,7 @@
 			if (one.usage !== undefined) notePeak(view, one.task, one.usage);
 		}
 		for (const task of view.peaks.keys()) if (!view.reports.has(task)) view.peaks.delete(task);
-		// The start of an exchange up to the answered one has arrived or never will.
+		// A start that was sent in an exchange up to the answered one has arrived or never will.
 		for (const [key, seq] of view.startSeq) if (seq <= view.answeredSeq) view.startSeq.delete(key);
 	}
 
--- a/src/core/scheduler/requests.ts
+++ b/src/core/scheduler/requests.ts
@@ -74,8 +74,7 @@
 	const known = state.jobs.get(part.id);
 	if (known !== undefined) {
 		const same = JSON.stringify(known.part) === JSON.stringify(part);
-		if (!same)
-			return refuse(errors.failure('JobConflict', `job ${part.id} is already declared differently`));
+		if (!same) return refuse(errors.failure('JobConflict', `job ${part.id} is already declared differently`));
 		return reply({ at: 'here', created: false } satisfies SubmitReply);
 	}
 	const forwarded = state.forwarded.get(part.id);
@@ -134,7 +133,9 @@
 	const known = state.claims.get(key);
 	if (known === undefined && shards.stateBytes(state) > shards.maxStateBytes) {
 		const extra = { retryAfterMs: fullRetryMs, run: 'not-run' } as const;
-		return refuse(errors.failure('ClaimUnavailable', 'the shard has no space for another Idempotency-Key', extra));
+		return refuse(
+			errors.failure('ClaimUnavailable', 'the shard has no space for another Idempotency-Key', extra),
+		);
 	}
 	if (known === undefined || known.outcome === 'not-run') {
 		const begun: shards.Change = { type: 'claim.begun', key, bodyHash, holder };
