--- a/src/core/placement/fit.ts
+++ b/src/core/placement/fit.ts
@@ -1,10 +1,10 @@
-/** Whether and how well a task fits a worker. */
+/** Computes whether a task fits on a worker, and how full the worker would be. */
 import type * as types from './types.js';
 
-/** Slack for sums of fractions of cores. */
+/** Tolerance for rounding errors in sums of fractional cores. */
 const epsilon = 1e-6;
 
-/** The sum of what residents hold. */
+/** The sum of the worker's allocations. */
 export function allocated(worker: types.Worker): types.Resources {
 	const sum = { cores: 0, memoryMb: 0, accelerators: 0 };
 	for (const allocation of worker.allocations) addResources(sum, allocation.resources);
@@ -18,7 +18,7 @@
 	sum.accelerators += amount.accelerators;
 }
 
-/** Whether `amount` and `more` together stay within `limit`. */
+/** Whether `amount` and `additional` together stay within `limit`. */
 export function fitsWithin(
 	amount: types.Resources,
 	additional: types.Resources,
@@ -31,7 +31,7 @@
 	);
 }
 
-/** The part of a worker that one job's tasks may hold together. */
+/** The part of a worker that one job's tasks may use together. */
 function jobLimit(worker: types.Worker, share: number): types.Resources {
 	return {
 		cores: worker.capacity.cores * share,
@@ -40,7 +40,7 @@
 	};
 }
 
-/** Whether the task could ever run on the worker, were it empty. */
+/** Whether the task would fit on the worker if the worker were empty. */
 export function fitsWhenEmpty(
 	capacity: types.Resources,
 	needs: types.Resources,
@@ -50,7 +50,7 @@
 	return fitsWithin({ cores: 0, memoryMb: 0, accelerators: 0 }, needs, jobLimit(worker, maxShareOfBox));
 }
 
-/** Whether the task fits beside the residents, within the worker and within its job's share of it. */
+/** Whether the task fits beside the worker's allocations, within its capacity and within the job's share of it. */
 export function fits(task: types.PendingTask, worker: types.Worker): boolean {
 	if (!fitsWithin(allocated(worker), task.needs, worker.capacity)) return false;
 	const allocatedToJob = { cores: 0, memoryMb: 0, accelerators: 0 };
@@ -60,7 +60,7 @@
 	return fitsWithin(allocatedToJob, task.needs, jobLimit(worker, task.maxShareOfBox));
 }
 
-/** The largest part of any resource in use, 0 to 1, were `more` added. */
+/** Utilization of the most used resource, 0 to 1, with `additional` allocated as well. */
 export function maxUtilization(worker: types.Worker, additional: types.Resources): number {
 	const sum = allocated(worker);
 	addResources(sum, additional);
--- a/src/core/placement/index.ts
+++ b/src/core/placement/index.ts
@@ -1,4 +1,4 @@
-/** Placement: which worker takes which task. */
+/** Placement: chooses a worker for each task. */
 export { addResources, fitsWhenEmpty, fits, maxUtilization, allocated, fitsWithin } from './fit.js';
 export * from './policy.js';
 export * from './pressure.js';
--- a/src/core/placement/round.ts
+++ b/src/core/placement/round.ts
@@ -1,17 +1,20 @@
-/** One round of placement: waiting tasks in order of urgency, each to the best worker that fits. */
+/** One round of placement: takes pending tasks in order of urgency and places each on the best worker that fits. */
 import * as fit from './fit.js';
 import type * as types from './types.js';
 
 /** Settings of a round. */
 export interface RoundOptions {
 	score: types.Score;
-	/** Places given in one round at most; the rest waits for the next. */
+	/** Upper bound of placements in one round; the remaining tasks wait for the next round. */
 	maxPlacements: number;
-	/** Tasks already told to give way whose places are not free yet. */
+	/** Tasks that are being evicted and still hold their placements. */
 	evicting: ReadonlySet<string>;
 }
 
-/** Urgent work first, then services, then batch; within a class the longest waiting. */
+/**
+ * Orders urgent tasks before services, and services before batch tasks; within a class, the longest waiting task comes
+ * first.
+ */
 export function queueOrder(a: types.PendingTask, b: types.PendingTask): number {
 	return urgencyRank(a) - urgencyRank(b) || a.waitingSince - b.waitingSince || (a.task < b.task ? -1 : 1);
 }
@@ -21,7 +24,10 @@
 	return task.kind === 'service' ? 1 : 2;
 }
 
-/** Decides places for `waiting`. Boxes get the new residents added, so that one round never overfills. */
+/**
+ * Places the tasks of `pending`. Adds each placement to its worker's allocations, so that one round never exceeds a worker's
+ * capacity.
+ */
 export function placeRound(
 	pending: types.PendingTask[],
 	workers: types.Worker[],
@@ -36,7 +42,7 @@
 		if (round.placements.length >= opts.maxPlacements) {
 			round.waiting.set(
 				task.task,
-				`waits for the next round: ${opts.maxPlacements} places were given in this one`,
+				`waits for the next round: this one reached its limit of ${opts.maxPlacements} placements`,
 			);
 			continue;
 		}
@@ -50,13 +56,13 @@
 		const hasPlannedEvictions = task.urgent && planEvictions(task, [...workerAfterEvictions.values()], round);
 		round.waiting.set(
 			task.task,
-			hasPlannedEvictions ? 'waits for batch tasks to give way' : waitReason(task, workers),
+			hasPlannedEvictions ? 'waits for batch tasks to be evicted' : waitReason(task, workers),
 		);
 	}
 	return round;
 }
 
-/** The worker as it will be once the tasks told to give way are gone. */
+/** The worker as it will be when the tasks being evicted have left. */
 function withoutEvicted(worker: types.Worker, evicting: ReadonlySet<string>): types.Worker {
 	return {
 		...worker,
@@ -93,8 +99,9 @@
 }
 
 /**
- * Has the fewest other batch tasks of one worker give way so that `task` fits there later, and keeps that room for
- * it among `later`, so that two urgent tasks never count on the same room. False if no worker can be cleared.
+ * Plans the eviction of non-urgent batch tasks from the one worker where the fewest have to leave for `task` to fit. Adds
+ * `task` to that worker in `workersAfterEvictions`, so that no other urgent task relies on the same capacity. Returns false
+ * if evictions on no single worker suffice.
  */
 function planEvictions(
 	task: types.PendingTask,
@@ -114,7 +121,7 @@
 		...worker.allocations.filter((allocation) => !victims.includes(allocation)),
 		toAllocation(task),
 	];
-	const reason = `gives way to urgent ${task.task}`;
+	const reason = `evicted for urgent task ${task.task}`;
 	round.evictions.push(...victims.map((victim) => ({ task: victim.task, reason })));
 	return true;
 }
@@ -137,11 +144,11 @@
 	const openWorkers = workers.filter((worker) => worker.closed === undefined);
 	if (openWorkers.length === 0) {
 		const reasons = [...new Set(workers.map((worker) => worker.closed))].join(', ');
-		return workers.length === 0 ? 'no workers are listed' : `no worker takes work: ${reasons}`;
+		return workers.length === 0 ? 'no workers are listed' : `no worker accepts work: ${reasons}`;
 	}
 	const largeEnough = openWorkers.filter((worker) =>
 		fit.fitsWhenEmpty(worker.capacity, task.needs, task.maxShareOfBox),
 	);
 	if (largeEnough.length === 0) return `none of ${openWorkers.length} workers is large enough`;
-	return `waits for room on one of ${largeEnough.length} workers: needs ${task.needs.cores} cores and ${task.needs.memoryMb} MiB`;
+	return `waits for free capacity on one of ${largeEnough.length} workers: needs ${task.needs.cores} cores and ${task.needs.memoryMb} MiB`;
 }
--- a/src/core/placement/types.ts
+++ b/src/core/placement/types.ts
@@ -1,34 +1,34 @@
-/** What placement is given and what it decides. Pure: no clock, no random numbers, no input but these. */
+/** Input and result of placement, which is pure: no clock, no random numbers, no other input. */
 import type * as tasks from '../task/index.js';
 
-/** An amount of a worker. */
+/** Quantities of a worker's resources. */
 export interface Resources {
 	cores: number;
 	memoryMb: number;
 	accelerators: number;
 }
 
-/** A task that holds a place on a worker. */
+/** Resources that a task holds on a worker. */
 export interface Allocation {
 	task: string;
 	job: string;
 	kind: 'service' | 'batch';
 	urgent: boolean;
-	/** Declared need, raised to the measured peak where that is larger. */
+	/** Declared needs, raised to the measured peak where that is larger. */
 	resources: Resources;
 }
 
-/** A worker as placement sees it. */
+/** A worker and its allocations. */
 export interface Worker {
 	id: string;
 	rack: string;
 	capacity: Resources;
 	allocations: Allocation[];
-	/** Why it takes no new work, if it takes none. */
+	/** Why the worker accepts no new tasks; absent if it accepts them. */
 	closed?: string;
 }
 
-/** A task that waits for a place. */
+/** A task to be placed. */
 export interface PendingTask {
 	task: string;
 	job: string;
@@ -36,28 +36,28 @@
 	urgent: boolean;
 	needs: tasks.Needs;
 	maxShareOfBox: number;
-	/** Workers on which it failed; taken only when nothing else fits. */
+	/** Workers on which the task has failed; they are chosen only if no other worker fits. */
 	failedOn: readonly string[];
-	/** Wall milliseconds of submission. */
+	/** Time of submission, in milliseconds of wall-clock time. */
 	waitingSince: number;
 }
 
-/** Rates a worker that fits; the lowest score is chosen. */
+/** Scores a worker on which the task fits; the lowest score is chosen. */
 export type Score = (task: PendingTask, worker: Worker) => number;
 
-/** A place found. */
+/** A task and the worker chosen for it. */
 export interface Placement {
 	task: string;
 	box: string;
-	/** For `explain`. */
+	/** Reason shown by `explain`. */
 	why: string;
 }
 
-/** What a round came to. */
+/** Result of a placement round. */
 export interface RoundResult {
 	placements: Placement[];
-	/** Tasks left waiting, with the reason. */
+	/** Why each task that was not placed is waiting, by task. */
 	waiting: Map<string, string>;
-	/** Batch tasks to evict so that urgent work fits. */
+	/** Batch tasks to evict in favour of urgent tasks. */
 	evictions: { task: string; reason: string }[];
 }
--- a/src/core/scheduler/batch.ts
+++ b/src/core/scheduler/batch.ts
@@ -1,11 +1,11 @@
-/** What is decided together and stored as one entry, with the replies that wait for it. */
+/** Decisions that are stored as one entry, and the replies that wait until it is stored. */
 import * as shards from '../shard/index.js';
 import type * as clocks from '../clock.js';
 import type * as placers from './placer.js';
 import type * as uncommitted from './uncommitted.js';
 import type * as requestQueue from './request-queue.js';
 
-/** What decisions have an effect on at once. */
+/** What decisions affect before they are stored. */
 export interface BatchDeps {
 	clock: clocks.Clock;
 	state: shards.ShardState;
@@ -13,13 +13,13 @@
 	placer: placers.Placer;
 }
 
-/** A reply, and who waits for it. */
+/** A reply and the request that waits for it. */
 export interface PendingReply {
 	request: requestQueue.PendingRequest;
 	reply: requestQueue.Reply;
 }
 
-/** One entry's decisions. */
+/** The decisions of one entry. */
 export class Batch {
 	readonly changes: shards.Change[] = [];
 	readonly replies: PendingReply[] = [];
@@ -30,7 +30,10 @@
 		return new Batch(deps);
 	}
 
-	/** Applies changes at once, so that the next decision of the batch sees them; orders wait for the commit. */
+	/**
+	 * Applies changes to the state at once, so that the next decision of the batch sees them. Workers get their commands
+	 * only once the entry is committed.
+	 */
 	apply(changes: shards.Change[]): void {
 		const { clock, state, uncommitted, placer } = this.deps;
 		const at = clock.wall();
