--- a/src/core/entry/backends.ts
+++ b/src/core/entry/backends.ts
@@ -1,11 +1,11 @@
-/** The backend servers an entry box knows, with their connections, shares and recent behaviour. */
+/** Backend servers known to an entry box, with their connections, slot shares, recent latencies and failures. */
 import * as undici from 'undici';
 import * as shares from './shares.js';
 import type * as boxes from '../boxes/index.js';
 import type * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 
-/** One backend server. */
+/** A backend server as this entry box sees it. */
 export interface Backend {
 	box: boxes.BackendBox;
 	zone: string;
@@ -15,27 +15,27 @@
 	inFlight: number;
 	/** Moving average of answer times, in milliseconds. */
 	latencyMs: number;
-	/** Failures in a row. */
+	/** Consecutive failures. */
 	failures: number;
-	/** Not tried before this time, on the monotonic clock. */
+	/** No request is sent to it before this time, on the monotonic clock; `-Infinity`: at once. */
 	downUntil: number;
-	/** Known to be leaving, from the list, from its own answers, or from a peer. */
+	/** Whether it is known to be leaving, from the list, from its own answers or from a peer. */
 	leaving: boolean;
-	/** Gone from the list; closed once idle. */
+	/** Whether it is missing from its zone's newest list; it is closed once no request is in flight. */
 	gone: boolean;
 }
 
-/** Milliseconds a connection may take to stand. */
+/** Timeout for opening a connection, in milliseconds. */
 const connectMs = 1_000;
 
 /** Weight of the newest answer time in the moving average. */
 const latencyWeight = 0.1;
 
-/** Pause after a failure in milliseconds: doubles with each in a row up to the largest. */
+/** Backoff after a failure, in milliseconds: doubles with each consecutive failure, up to `maxBackoffMs`. */
 const pauseMs = 100;
 const largestPauseMs = 5_000;
 
-/** The set of backend servers. */
+/** The known backend servers, by id. */
 export class Backends {
 	private readonly byId = new Map<string, Backend>();
 
@@ -52,7 +52,10 @@
 		return [...this.byId.values()];
 	}
 
-	/** Takes over a zone's newest list. The list lags: what is known to be leaving stays so until it is gone. */
+	/**
+	 * Applies a zone's newest list. The list lags, so a backend server known to be leaving stays marked until it is gone
+	 * from it.
+	 */
 	setZone(zone: string, listed: readonly boxes.BackendBox[]): void {
 		const ids = new Set(listed.map((box) => box.id));
 		for (const backend of this.byId.values()) {
@@ -61,7 +64,7 @@
 		for (const box of listed) this.set(zone, box);
 	}
 
-	/** Marks a backend server as leaving; true if that is news. */
+	/** Marks a backend server as leaving; false if it is unknown or already marked. */
 	markLeaving(id: string): boolean {
 		const backend = this.byId.get(id);
 		if (backend === undefined || backend.leaving) return false;
@@ -70,13 +73,13 @@
 		return true;
 	}
 
-	/** Whether it may get a request now. */
+	/** Whether a request may be sent to it now. */
 	open(backend: Backend): boolean {
 		const free = backend.inFlight < backend.share.value;
 		return free && !backend.leaving && !backend.gone && backend.downUntil <= this.clock.now();
 	}
 
-	/** Notes how a request ended. */
+	/** Records the outcome of a request that was sent to it. */
 	note(backend: Backend, ended: 'answered' | 'refused' | 'failed', tookMs: number): void {
 		backend.inFlight -= 1;
 		if (ended === 'answered') {
@@ -88,7 +91,7 @@
 			const pause = Math.min(largestPauseMs, pauseMs * 2 ** Math.min(10, backend.failures - 1));
 			backend.downUntil = this.clock.now() + pause;
 		}
-		// Its slots are taken by others: leave it alone for about as long as one answer takes.
+		// Other entry boxes use its slots: skip it until one is likely to be free, for half its average latency.
 		if (ended === 'refused') backend.downUntil = this.clock.now() + Math.max(1, backend.latencyMs / 2);
 		if (backend.gone && backend.inFlight === 0) this.drop(backend);
 	}
--- a/src/core/entry/caller.ts
+++ b/src/core/entry/caller.ts
@@ -1,16 +1,16 @@
-/** The callers' side of a request: reading it whole, and writing the answer or the problem. */
+/** The caller's side of a request: reads it whole, and writes the answer or the problem. */
 import type * as http from 'node:http';
 import * as errors from '../errors/index.js';
 import * as forward from './forward.js';
 import * as results from '../result.js';
 
-/** Header in which a caller may name a shorter deadline, in milliseconds from arrival. */
+/** Header with which a caller may set a shorter deadline, in milliseconds from arrival. */
 export const deadlineHeader = 'x-woodcross-deadline-ms';
 
-/** Header by which a caller marks a request as safe to repeat. */
+/** Header with which a caller marks a request as safe to repeat; its value is then `safe`. */
 export const repeatHeader = 'x-woodcross-repeat';
 
-/** Header that names the caller, to scope Idempotency-Keys. */
+/** Header that names the caller; Idempotency-Keys are scoped to it. */
 export const callerHeader = 'x-woodcross-caller';
 
 /** Header of RFC draft "The Idempotency-Key HTTP Header Field". */
@@ -22,12 +22,12 @@
 /** Methods that are safe by their definition (RFC 9110, section 9.2.1). */
 const safeMethods = new Set(['GET', 'HEAD', 'OPTIONS']);
 
-/** What the path and headers of a request say. */
+/** Parsed path and headers of a request. */
 export interface Parsed {
 	service: string;
 	/** Path and query at the backend server. */
 	path: string;
-	/** May be tried a second time elsewhere. */
+	/** Whether it may be sent a second time, to another backend server, although it may have run. */
 	repeatable: boolean;
 	/** Milliseconds from arrival. */
 	deadlineMs: number;
@@ -40,7 +40,7 @@
 	return Array.isArray(value) ? value[0] : value;
 }
 
-/** Reads `/services/<service>/<path>` and the headers. */
+/** Parses `/services/<service>/<path>` and the headers; fails with `InvalidRequest`. */
 export function parseRequest(
 	req: http.IncomingMessage,
 	defaultDeadlineMs: number,
@@ -69,7 +69,7 @@
 	return results.fail(errors.failure('InvalidRequest', detail, { run: 'not-run' }));
 }
 
-/** Reads the body whole, up to `limit` bytes; undefined if there is none. */
+/** Reads the whole body, up to `limit` bytes; undefined if there is none. Fails with `BodyTooLarge` or `InvalidRequest`. */
 export function readBody(
 	req: http.IncomingMessage,
 	limit: number,
@@ -108,12 +108,12 @@
 	res.setHeader('content-length', body.length);
 	res.setHeader(forward.requestIdHeader, id);
 	if (err.retryAfterMs !== undefined) res.setHeader('retry-after', Math.ceil(err.retryAfterMs / 1000));
-	// What is left of a body over the limit is not read, so the connection can't carry another request.
+	// The answer does not wait for the rest of a body over the limit, so the connection can't carry another request.
 	if (err.name === 'BodyTooLarge') res.setHeader('connection', 'close');
 	res.end(body);
 }
 
-/** Writes a whole answer. */
+/** Writes an answer that was received whole. */
 export function writeWhole(
 	res: http.ServerResponse,
 	id: string,
@@ -121,13 +121,16 @@
 ): void {
 	if (res.destroyed) return;
 	writeHead(res, id, answer);
-	// A HEAD answer tells the length of the body it doesn't have.
+	// An answer to HEAD gives the length of the body that it lacks, so no length of 0 is written.
 	if (answer.body.length > 0 || res.req.method !== 'HEAD')
 		res.setHeader('content-length', answer.body.length);
 	res.end(answer.body);
 }
 
-/** Passes a large answer on as it comes; if it breaks off, so does the caller's connection. False if it did. */
+/**
+ * Streams a large answer as it arrives. If the backend server breaks it off, closes the caller's connection and returns
+ * false.
+ */
 export async function writeLarge(
 	res: http.ServerResponse,
 	id: string,
--- a/src/core/entry/claims.ts
+++ b/src/core/entry/claims.ts
@@ -1,4 +1,4 @@
-/** Claims of callers' Idempotency-Keys, kept in the log of the shard that the key falls to. */
+/** Claims of callers' Idempotency-Keys, stored in the log of the shard that the key maps to. */
 import * as crypto from 'node:crypto';
 import * as clocks from '../clock.js';
 import * as errors from '../errors/index.js';
@@ -7,37 +7,37 @@
 import * as shards from '../shard/index.js';
 import type * as scheduler from '../scheduler/index.js';
 
-/** What claims need. */
+/** Dependencies of claims. */
 export interface ClaimDeps extends shardCalls.ShardCallDeps {
 	zones: readonly string[];
 	shardsPerZone: number;
 	boot: string;
 }
 
-/** A key held for one request. */
+/** An Idempotency-Key claimed for one request. */
 export interface Claim {
 	key: string;
 	shard: string;
 	holder: string;
 }
 
-/** What a claim came to: held now, or what the earlier request with this key came to. */
+/** Result of a claim: held by this request, or the answer of the earlier request with the same key. */
 export type ClaimOutcome =
 	{ kind: 'held'; claim: Claim } | { kind: 'answered'; answer: scheduler.ClaimAnswer };
 
-/** Wait before a key whose request still runs is asked for again, in milliseconds. */
+/** Interval between polls for a key whose earlier request still runs, in milliseconds. */
 const againMs = 250;
 
-/** Time told to callers whose key can't be claimed, in milliseconds. */
+/** Retry delay sent to callers whose key can't be claimed, in milliseconds. */
 const retryAfterMs = 2_000;
 
-/** Milliseconds for which the end of a claim is told again until the shard's owner has stored it. */
+/** How long the end of a claim is reported again until the shard's owner has stored it, in milliseconds. */
 const endMs = 300_000;
 
-/** Wait between tries to tell it, in milliseconds. */
+/** Interval between these reports, in milliseconds. */
 const endAgainMs = 1_000;
 
-/** A caller's key: scoped by service and caller, of fixed length. */
+/** Key of a claim: scoped by service and caller, of fixed length. */
 export function claimKey(service: string, caller: string, key: string): string {
 	return crypto
 		.createHash('sha256')
@@ -45,14 +45,17 @@
 		.digest('hex');
 }
 
-/** Hash of everything that makes two requests the same. */
+/** Hash of everything that identifies a request: two requests with the same hash are the same. */
 export function requestHash(method: string, path: string, body: Buffer | undefined): string {
 	const hash = crypto.createHash('sha256').update(JSON.stringify([method, path]));
 	if (body !== undefined) hash.update(body);
 	return hash.digest('hex');
 }
 
-/** Claims the key before the request is sent; waits while an earlier request with it still runs. */
+/**
+ * Claims the key before the request is sent; waits while an earlier request with the same key still runs. Fails with
+ * `ClaimUnavailable` or `KeyReused`, or with `AlreadyRun` or `MayHaveRun` if the earlier request's answer is not held.
+ */
 export async function begin(
 	deps: ClaimDeps,
 	key: string,
@@ -68,8 +71,9 @@
 		if (left <= 0) break;
 		const res = await shardCalls.callShard<scheduler.ClaimReply>(deps, req, left);
 		if (!res.ok) {
-			// The claim may still be granted. Only we know that its request will never be sent, so only we give it back:
-			// the owner can't tell a call that was given up from one that is being repeated (spec/claim.ts).
+			// The claim may still be granted. Only this box knows that its request will never be sent, so only this box can
+			// release the claim: the owner can't distinguish an abandoned call from one that is being repeated
+			// (spec/claim.ts).
 			if (res.err.name !== 'KeyReused') void end(deps, { key, shard, holder }, 'not-run');
 			return results.fail(unclaimed(res.err));
 		}
@@ -82,7 +86,9 @@
 	return results.fail(errors.failure('MayHaveRun', detail, { retryAfterMs, run: 'may-have-run' }));
 }
 
-/** Tells what became of the claimed request. Lost word leaves the claim as "running", which never allows a rerun. */
+/**
+ * Reports the outcome of the claimed request. If the report is lost, the claim stays "running", which never allows a rerun.
+ */
 export async function end(
 	deps: ClaimDeps,
 	claim: Claim,
@@ -98,7 +104,7 @@
 	}
 }
 
-/** Anything but a grant means that nothing was sent to a backend server for this request. */
+/** Converts the failure of a claim. Without a grant, nothing was sent to a backend server for this request. */
 function unclaimed(err: errors.Failure): errors.Failure {
 	if (err.name === 'KeyReused') return err;
 	return errors.failure('ClaimUnavailable', err.detail, {
--- a/src/core/entry/dispatcher.ts
+++ b/src/core/entry/dispatcher.ts
@@ -1,26 +1,26 @@
 /**
- * Gives requests a slot of a backend server: a free one of two picked at random, else a place in a short queue
- * ordered by deadline. A request that can't make its deadline is refused at once.
+ * Assigns each request a slot of a backend server: a free one, chosen as the better of two picked at random, or else a
+ * position in a short queue ordered by deadline. A request that can't meet its deadline is refused at once.
  */
 import * as backends from './backends.js';
 import * as errors from '../errors/index.js';
 import * as results from '../result.js';
 import type * as clocks from '../clock.js';
 
-/** A slot given; exactly one of the endings must be noted. */
+/** An assigned slot; `release` must be called exactly once, with the outcome. */
 export interface Grant {
 	backend: backends.Backend;
 	end: (ended: 'answered' | 'refused' | 'failed') => void;
 }
 
-/** What the dispatcher needs. */
+/** Dependencies of the dispatcher. */
 export interface DispatcherDeps {
 	backends: backends.Backends;
 	clock: clocks.Clock;
 	zone: string;
-	/** Random numbers from 0 up to 1. */
+	/** Returns a random number from 0 up to, but not including, 1. */
 	random: () => number;
-	/** Requests that may wait for each slot held. */
+	/** Maximum number of queued requests per slot held. */
 	queuePerSlot: () => number;
 }
 
@@ -31,13 +31,13 @@
 	settle: (result: results.Result<Grant, errors.Failure>) => void;
 }
 
-/** Least time to come back told to a refused caller, in milliseconds. */
+/** Smallest retry delay sent to a refused caller, in milliseconds. */
 const leastRetryAfterMs = 100;
 
-/** Answer time assumed before the first answer, in milliseconds. */
+/** Latency assumed for a backend server before its first answer, in milliseconds. */
 const assumedMs = 20;
 
-/** Gives out slots. */
+/** Assigns slots and queues requests. */
 export class Dispatcher {
 	private readonly queues = new Map<string, Waiting[]>();
 	private readonly running = new Map<string, number>();
@@ -48,7 +48,7 @@
 		return new Dispatcher(deps);
 	}
 
-	/** Requests running and waiting, by service. */
+	/** Number of requests running and waiting, by service. */
 	demand(): Record<string, number> {
 		const demand: Record<string, number> = {};
 		for (const backend of this.deps.backends.all) demand[backend.box.service] ??= 0;
@@ -57,7 +57,10 @@
 		return demand;
 	}
 
-	/** Waits for a slot until the deadline at most. `avoid` names a backend server not to use. */
+	/**
+	 * Waits for a slot until the deadline at most. `avoid` is the id of a backend server to skip. Fails with
+	 * `ServiceUnknown` or `Overloaded`; the request was not run then.
+	 */
 	acquire(
 		service: string,
 		deadlineAt: number,
@@ -75,7 +78,7 @@
 		return this.enqueue(service, deadlineAt, avoid);
 	}
 
-	/** Gives free slots to those who wait; called whenever a slot may have become free. */
+	/** Assigns free slots to queued requests; called whenever a slot may have become free. */
 	pump(): void {
 		for (const [service, queue] of this.queues) {
 			while (queue.length > 0) {
@@ -104,7 +107,10 @@
 		};
 	}
 
-	/** Own zone first; another zone only if none is free here. The better of two picked at random. */
+	/**
+	 * Picks the better of two random candidates. Backend servers of another zone are candidates only if none is free in this
+	 * one.
+	 */
 	private pick(service: string, avoid: string | undefined): backends.Backend | undefined {
 		const open = this.deps.backends.all.filter(
 			(one) => one.box.service === service && one.box.id !== avoid && this.deps.backends.open(one),
@@ -126,7 +132,9 @@
 		const left = deadlineAt - this.deps.clock.now();
 		const full = queued >= Math.max(1, Math.ceil(slots * this.deps.queuePerSlot()));
 		if (!full && waitMs + answerMs <= left) return undefined;
-		const reason = full ? `${queued} requests wait already` : `it would wait ${Math.round(waitMs)} ms`;
+		const reason = full
+			? `${queued} requests are queued already`
+			: `the expected wait is ${Math.round(waitMs)} ms`;
 		const retryAfterMs = Math.ceil(Math.max(leastRetryAfterMs, waitMs));
 		return errors.failure('Overloaded', `${service}: ${reason}`, { retryAfterMs, run: 'not-run' });
 	}
@@ -144,7 +152,11 @@
 				const extra = { retryAfterMs: leastRetryAfterMs, run: 'not-run' } as const;
 				resolve(
 					results.fail(
-						errors.failure('Overloaded', `${service}: its deadline passed while it waited`, extra),
+						errors.failure(
+							'Overloaded',
+							`${service}: the deadline passed while the request was queued`,
+							extra,
+						),
 					),
 				);
 			});
@@ -159,7 +171,7 @@
 	}
 }
 
-/** Expected wait at a backend server: how full this box's share is, weighed by its recent answer time. */
+/** Expected wait at a backend server: utilisation of this box's share, weighted by recent latency. */
 function cost(backend: backends.Backend): number {
 	return ((backend.inFlight + 1) / Math.max(1, backend.share.value)) * (backend.latencyMs + 1);
 }
--- a/src/core/entry/forward.ts
+++ b/src/core/entry/forward.ts
@@ -1,9 +1,9 @@
-/** Sends one request to one backend server and takes the whole answer, or says truthfully what is known. */
+/** Sends one request to one backend server and reads the answer. A failure states whether the request may have run. */
 import * as undici from 'undici';
 import type * as errors from '../errors/index.js';
 import type * as stream from 'node:stream';
 
-/** A caller's request, whole. */
+/** A caller's request, read whole. */
 export interface CallerRequest {
 	id: string;
 	method: string;
@@ -13,27 +13,27 @@
 	body: Buffer | undefined;
 }
 
-/** Headers of an answer, in order, as pairs. */
+/** Headers of an answer, by name. */
 export type AnswerHeaders = Record<string, string | string[]>;
 
-/** What sending came to. */
+/** Outcome of sending a request. */
 export type SendOutcome =
 	| { kind: 'whole'; status: number; headers: AnswerHeaders; body: Buffer }
-	/** Too large to hold: `head` came already, `rest` follows and may still break off. */
+	/** Too large to buffer: `firstChunks` have arrived; `rest` follows and may still break off. */
 	| { kind: 'large'; status: number; headers: AnswerHeaders; head: Buffer[]; rest: stream.Readable }
 	| { kind: 'refused'; leaving: boolean }
 	| { kind: 'failed'; run: errors.RunOutcome; reason: string };
 
-/** Answers up to this many bytes are held whole before a byte is passed on. */
+/** Answers of up to this many bytes are buffered whole before the first byte is passed on. */
 export const holdBytes = 1024 * 1024;
 
-/** Header by which a backend server says that it did not run the request. */
+/** Header with which a backend server reports that it did not run the request. */
 export const notRunHeader = 'x-woodcross-not-run';
 
-/** Header by which a backend server says, on any answer, that it is leaving. */
+/** Header with which a backend server reports, on any answer, that it is leaving. */
 export const leavingHeader = 'x-woodcross-leaving';
 
-/** Header that carries the request's id there and back. */
+/** Header that carries the request's id, in the request and in the answer. */
 export const requestIdHeader = 'x-request-id';
 
 /** Headers that concern one connection only (RFC 9110, section 7.6.1). */
@@ -51,7 +51,7 @@
 	'expect',
 ]);
 
-/** Headers without those of the connection. */
+/** Removes the headers that concern one connection only. */
 export function endToEnd(headers: Record<string, string | string[] | undefined>): AnswerHeaders {
 	const kept: AnswerHeaders = {};
 	for (const [name, value] of Object.entries(headers)) {
@@ -60,17 +60,17 @@
 	return kept;
 }
 
-/** Errors raised before a connection stood: no byte of the request has left. */
+/** Codes of errors that occur before a connection is open: no byte of the request was sent. */
 const unsentCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
-/** Sends the request; every ending within `timeoutMs`. */
+/** Sends the request; resolves within `timeoutMs` in every case. */
 export async function send(
 	pool: undici.Dispatcher,
 	req: CallerRequest,
 	timeoutMs: number,
 ): Promise<SendOutcome> {
 	const abort = new AbortController();
-	// AbortSignal.timeout() would keep its timer after the answer: thousands of them under load.
+	// AbortSignal.timeout() would keep its timer after the answer, which means thousands of timers under load.
 	const timer = setTimeout(
 		() => {
 			abort.abort(new Error('no answer within the deadline'));
@@ -98,7 +98,7 @@
 async function take(req: CallerRequest, res: undici.Dispatcher.ResponseData): Promise<SendOutcome> {
 	const echoed = res.headers[requestIdHeader];
 	if (echoed !== undefined && echoed !== req.id) {
-		// Another request's answer: nothing from this connection is to be trusted.
+		// The answer belongs to another request, so nothing from this connection can be trusted.
 		res.body.destroy();
 		return { kind: 'failed', run: 'may-have-run', reason: `the answer is for request ${String(echoed)}` };
 	}
--- a/src/core/entry/index.ts
+++ b/src/core/entry/index.ts
@@ -1,4 +1,7 @@
-/** The entry box: callers' requests to backend servers, each answered whole or told truthfully what became of it. */
+/**
+ * The entry box: forwards callers' requests to backend servers. Each caller gets a whole answer or a truthful statement of
+ * what became of the request.
+ */
 export * from './dispatcher.js';
 export * from './forward.js';
 export { Entry } from './process.js';
--- a/src/core/entry/process.ts
+++ b/src/core/entry/process.ts
@@ -1,4 +1,4 @@
-/** `woodcross-entry`: answers callers by forwarding to the backend servers of its availability zone first. */
+/** `woodcross-entry`: forwards callers' requests to backend servers, those of its own availability zone first. */
 import * as crypto from 'node:crypto';
 import type * as http from 'node:http';
 import * as backends from './backends.js';
@@ -17,16 +17,16 @@
 import type * as settings from './settings.js';
 import type * as wire from '../wire/index.js';
 
-/** Milliseconds between rounds of demand among the entry boxes of a zone. */
+/** Interval between rounds in which the entry boxes of a zone exchange their demand, in milliseconds. */
 const roundMs = 100;
 
-/** Rounds without word after which a box counts as gone from the shares. */
+/** Rounds without a report after which a box gets no share. */
 const silentRounds = 10;
 
-/** Times a request is offered to backend servers at most, refusals included. */
+/** Maximum number of attempts per request, including those that a backend server refused. */
 const maxTries = 4;
 
-/** Time told to callers of a stopping box, in milliseconds. */
+/** Retry delay sent to callers while this box knows no configuration, in milliseconds. */
 const stoppingRetryMs = 100;
 
 interface PeerDemand {
@@ -34,7 +34,7 @@
 	heardAt: number;
 }
 
-/** One request on its way. */
+/** A request in progress. */
 interface Flight extends caller.Parsed {
 	req: forward.CallerRequest;
 	deadlineAt: number;
@@ -56,7 +56,9 @@
 		this.node = node.Node.create(settings, {
 			role: 'entry',
 			onPeer: (req) =>
-				Promise.resolve(results.fail(errors.failure('InvalidRequest', `${req.type} is not for an entry`))),
+				Promise.resolve(
+					results.fail(errors.failure('InvalidRequest', `${req.type} requests are not for an entry process`)),
+				),
 			gossip: () => ({ demand: this.dispatcher.demand(), leaving: this.leavingIds() }),
 			onGossip: (gossip) => {
 				this.onGossip(gossip);
@@ -89,7 +91,9 @@
 		});
 	}
 
-	/** Planned stop: health says so first, then no new connection, then what is in flight is finished. */
+	/**
+	 * Planned stop: the health check fails first, then no new connection is accepted, then requests in flight are finished.
+	 */
 	async stop(): Promise<void> {
 		this.node.stopping = true;
 		this.node.events.emit('process.stopping', { inFlight: this.inFlight });
@@ -127,7 +131,7 @@
 		for (const id of gossip.leaving ?? []) this.backends.markLeaving(id);
 	}
 
-	/** Works out the shares anew from what the zone's entry boxes told last. */
+	/** Recomputes the shares from the newest demand reported by the zone's entry boxes. */
 	private shareRound(): void {
 		const now = this.node.clock.now();
 		for (const [box, peer] of this.peerDemand) {
@@ -160,7 +164,7 @@
 		const id = typeof given === 'string' && /^[\w.-]{1,128}$/.test(given) ? given : crypto.randomUUID();
 		this.inFlight += 1;
 		this.node.metrics.count('requests');
-		// Connections of a stopping box end with their answer, so that no request meets a closing connection.
+		// A stopping box closes each connection with its answer, so that no request arrives on a closing connection.
 		if (this.node.stopping) res.setHeader('connection', 'close');
 		const err = await this.handle(req, res, id, startedAt);
 		if (err !== undefined) this.tellProblem(res, err, id);
@@ -200,7 +204,10 @@
 		return flight.key === undefined ? this.run(flight, res) : this.runOnce(flight, flight.key, res);
 	}
 
-	/** A request under a caller's key: claimed first, sent at most once, its end told to the claim. */
+	/**
+	 * Handles a request with an Idempotency-Key: claims the key, so that at most one request is sent under it, and reports
+	 * the outcome to the claim.
+	 */
 	private async runOnce(
 		flight: Flight,
 		key: string,
@@ -230,7 +237,7 @@
 		return err;
 	}
 
-	/** Sends a request, a second time elsewhere if that is allowed and wanted, and writes the answer. */
+	/** Sends a request, retries it on another backend server if that is allowed and useful, and writes the answer. */
 	private async run(
 		flight: Flight,
 		res: http.ServerResponse,
@@ -255,7 +262,7 @@
 			const notRun = outcome.kind === 'refused' || outcome.run === 'not-run';
 			if (outcome.kind === 'refused' && outcome.leaving) this.backends.markLeaving(backend.box.id);
 			mayHaveRun ||= !notRun;
-			const reason = outcome.kind === 'refused' ? 'refused: its slots are taken' : outcome.reason;
+			const reason = outcome.kind === 'refused' ? 'refused: all its slots are in use' : outcome.reason;
 			avoid = backend.box.id;
 			if (tries >= maxTries || !this.mayTryAgain(flight, notRun))
 				return this.failed(flight, backend.box.id, reason, mayHaveRun);
@@ -265,8 +272,9 @@
 	}
 
 	/**
-	 * Another try needs time left. What was certainly not run may be tried again a few times, since it cost no backend
-	 * server any work; what may have run only if it is safe to repeat and the budget allows it.
+	 * Whether another attempt is allowed, which needs time before the deadline. A request that was certainly not run may be
+	 * retried a few times, since it cost no backend server any work. One that may have run is retried only if it is safe to
+	 * repeat and the retry budget allows it.
 	 */
 	private mayTryAgain(flight: Flight, notRun: boolean): boolean {
 		if (this.node.clock.now() >= flight.deadlineAt) return false;
--- a/src/core/entry/retry-budget.ts
+++ b/src/core/entry/retry-budget.ts
@@ -1,25 +1,25 @@
-/** Second tries may only be a few per cent of first tries, so that they never multiply a failing zone's load. */
+/** Limits retries to a few per cent of first attempts, so that they never multiply the load on a failing zone. */
 
-/** Second tries that may be saved up while none is needed. */
+/** Maximum number of retries saved up while none is needed. */
 const largestSaving = 10;
 
-/** A budget of second tries. */
+/** A budget of retries. */
 export class RetryBudget {
 	private saved = 1;
 
 	private constructor(private readonly percent: () => number) {}
 
-	/** `percent` is read at each first try, so that a configuration change holds at once. */
+	/** `percent` is read at each first attempt, so that a configuration change takes effect at once. */
 	static create(percent: () => number): RetryBudget {
 		return new RetryBudget(percent);
 	}
 
-	/** Counts a first try. */
+	/** Counts a first attempt. */
 	first(): void {
 		this.saved = Math.min(largestSaving, this.saved + this.percent() / 100);
 	}
 
-	/** Takes a second try, if one is left. */
+	/** Takes one retry from the budget; false if none is left. */
 	second(): boolean {
 		if (this.saved < 1) return false;
 		this.saved -= 1;
--- a/src/core/entry/settings.ts
+++ b/src/core/entry/settings.ts
@@ -3,7 +3,7 @@
 import * as common from '../settings/common.js';
 import * as settings from '../settings/index.js';
 
-/** The rows. */
+/** Settings by flag name. */
 export const entrySettings = {
 	...common.commonSettings,
 	'max-body-bytes': settings.setting({
@@ -21,10 +21,10 @@
 	'drain-ms': settings.setting({
 		schema: common.milliseconds,
 		default: '2000',
-		text: 'Milliseconds of a planned stop in which the balancer learns that this box is stopping; requests are still taken.',
+		text: 'Milliseconds of a planned stop in which the load balancer can notice that this box is stopping; requests are still accepted.',
 		example: '5000',
 	}),
 } as const satisfies settings.SettingTable;
 
-/** Checked settings of the entry. */
+/** Validated settings of the entry process. */
 export type EntrySettings = settings.Settings<typeof entrySettings>;
--- a/src/core/entry/shares.ts
+++ b/src/core/entry/shares.ts
@@ -1,6 +1,6 @@
 /**
- * How a backend server's slots are shared among the entry boxes of its availability zone. Pure: every box computes
- * the same shares from the same view. docs/decisions/0004-slots.md weighs this against the other ways.
+ * Divides a backend server's slots among the entry boxes of its availability zone. Pure: every box computes the same shares
+ * from the same view. docs/decisions/0004-slots.md compares this with the alternatives.
  */
 import * as hash from '../hash.js';
 
@@ -11,8 +11,9 @@
 }
 
 /**
- * Shares of `slots` for each box. Every box keeps one slot where there are enough, so that a box that had no demand
- * can serve its first request at once; the rest goes by demand, remainders by rendezvous order for this backend.
+ * Shares of `slots` by box. Every box gets one slot where there are enough, so that a box that had no demand can serve its
+ * first request at once. The rest is divided by demand; slots left over by rounding go to the largest remainders, equal ones
+ * in rendezvous order for this backend server.
  */
 export function shareSlots(
 	backend: string,
@@ -33,7 +34,7 @@
 	});
 	let left = rest - wanted.reduce((sum, one) => sum + one.whole, 0);
 	for (const one of wanted) shares.set(one.box, (shares.get(one.box) ?? 0) + one.whole);
-	// A stable sort keeps the rendezvous order among equal remainders.
+	// The stable sort keeps the rendezvous order among equal remainders.
 	for (const one of [...wanted].sort((a, b) => b.part - a.part)) {
 		if (left <= 0) break;
 		shares.set(one.box, (shares.get(one.box) ?? 0) + 1);
@@ -42,7 +43,7 @@
 	return shares;
 }
 
-/** Every box has the same part whatever its demand: the plain baseline. */
+/** Every box gets the same share whatever its demand. A baseline for comparison. */
 export function shareFixed(
 	backend: string,
 	slots: number,
@@ -55,7 +56,7 @@
 	);
 }
 
-/** Every box may use every slot; the backend server refuses what is too much: the other baseline. */
+/** Every box may use every slot, and the backend server refuses what exceeds its capacity. A baseline for comparison. */
 export function shareAll(
 	_backend: string,
 	slots: number,
@@ -64,18 +65,18 @@
 	return new Map(demands.map((one) => [one.box, slots]));
 }
 
-/** A way to share a backend server's slots. */
+/** A function that divides a backend server's slots. */
 export type ShareRule = typeof shareSlots;
 
-/** The ways by the name of the setting. */
+/** Rules by value of the setting `slot-sharing`. */
 export const shareRules = { demand: shareSlots, fixed: shareFixed, none: shareAll } as const satisfies Record<
 	string,
 	ShareRule
 >;
 
 /**
- * Slots of a backend server that an entry box of another availability zone may use: the part kept for them goes
- * whole to the first boxes in rendezvous order, since it is too small to split.
+ * Slots of a backend server that an entry box of another availability zone may use. The reserved slots are too few to divide
+ * by demand: they go whole to the first boxes in rendezvous order.
  */
 export function shareFromAfar(backend: string, kept: number, boxes: readonly string[], box: string): number {
 	const order = hash.rendezvous(`${backend}/afar`, boxes);
@@ -84,25 +85,25 @@
 	return Math.floor(kept / order.length) + (rank < kept % order.length ? 1 : 0);
 }
 
-/** Slots kept for other availability zones. */
+/** Slots of a backend server that are reserved for other availability zones. */
 export function keptForAfar(slots: number, percent: number): number {
 	return percent === 0 ? 0 : Math.min(slots - 1, Math.ceil((slots * percent) / 100));
 }
 
-/** A share that shrinks at once and grows only when two rounds in a row allow it. */
+/** A share that shrinks at once and grows only when two consecutive rounds allow it. */
 export class SteadyShare {
 	private last = 0;
 	private current = 0;
 
 	private constructor() {
-		// Built by `create`.
+		// Instances are made by `create`.
 	}
 
 	static create(): SteadyShare {
 		return new SteadyShare();
 	}
 
-	/** Takes in a round's target; returns what may be used. */
+	/** Applies a round's target; returns the number of slots that may be used. */
 	next(target: number): number {
 		this.current = Math.min(target, Math.max(this.last, this.current));
 		if (target <= this.last) this.current = target;
