--- a/src/core/operator/client.ts
+++ b/src/core/operator/client.ts
@@ -1,14 +1,14 @@
-/** Operators' side of the calls, for the command line and the tests. */
+/** Client of the operators' remote procedure calls, for the command line and the tests. */
 import * as grpc from '@grpc/grpc-js';
 import * as results from '../result.js';
 import * as schema from './schema.js';
 import type * as types from './types.js';
 
-/** A call that failed: gRPC status and what the server said. */
+/** A failed call: the gRPC status and the server's message. */
 export interface CallError {
 	code: number;
 	message: string;
-	/** Name of the row of the errors catalogue, where the server gave one. */
+	/** Name of the row in the error catalogue; empty if the server gave none. */
 	name: string;
 	retryAfterMs?: number;
 }
@@ -23,7 +23,7 @@
 		return new OperatorClient(new service(address, grpc.credentials.createInsecure()));
 	}
 
-	/** One call, answered within `timeoutMs`. */
+	/** Makes one call; fails if no reply comes within `timeoutMs`. */
 	call<N extends types.CallName>(
 		name: N,
 		req: types.Calls[N]['req'],
--- a/src/core/operator/index.ts
+++ b/src/core/operator/index.ts
@@ -1,4 +1,4 @@
-/** Operators' remote procedure calls: the process that answers them, and the client. */
+/** Operators' remote procedure calls: the process that serves them, and the client. */
 export * from './client.js';
 export { Operator } from './process.js';
 export { operatorSettings } from './settings.js';
--- a/src/core/operator/jobs.ts
+++ b/src/core/operator/jobs.ts
@@ -1,4 +1,4 @@
-/** Submitting, cancelling and looking up jobs over the shards that take care of their parts. */
+/** Submits, cancels and looks up jobs across the shards responsible for their parts. */
 import * as errors from '../errors/index.js';
 import * as results from '../result.js';
 import * as shardCalls from './shard-calls.js';
@@ -7,16 +7,16 @@
 import type * as scheduler from '../scheduler/index.js';
 import type * as types from './types.js';
 
-/** What the calls need. */
+/** Dependencies of the calls. */
 export interface JobDeps extends shardCalls.ShardCallDeps {
 	zones: readonly string[];
 	shardsPerZone: number;
 }
 
-/** Milliseconds a call may take in all. */
+/** Timeout of a whole call, repeats included, in milliseconds. */
 const callMs = 8_000;
 
-/** Checks a declaration; names the path of the first fault. */
+/** Parses and checks a declaration. Fails with `InvalidSpec`, which names the path of each fault. */
 export function parseSpec(
 	text: string,
 	zones: readonly string[],
@@ -37,11 +37,12 @@
 		return bad(issues.join('; '));
 	}
 	const unknown = (parsed.data.zones ?? []).filter((zone) => !zones.includes(zone));
-	if (unknown.length > 0) return bad(`zones: ${unknown.join(', ')} not known; zones are ${zones.join(', ')}`);
+	if (unknown.length > 0)
+		return bad(`zones: ${unknown.join(', ')} are unknown; known zones: ${zones.join(', ')}`);
 	return results.ok(parsed.data);
 }
 
-/** Submits every part; idempotent, so an operator may repeat it after any failure. */
+/** Submits every part. It is idempotent, so an operator may repeat it after any failure. */
 export async function submitJob(
 	deps: JobDeps,
 	spec: tasks.JobSpec,
@@ -65,7 +66,10 @@
 	}
 }
 
-/** Cancels every part of a job. Parts are found as submit placed them. */
+/**
+ * Cancels every part of a job. Looks for each part in the shards in which submission may have placed it. Fails with
+ * `JobUnknown` if no part is found.
+ */
 export async function cancelJob(
 	deps: JobDeps,
 	job: string,
@@ -88,7 +92,7 @@
 	return results.fail(unreachable ?? errors.failure('JobUnknown', id));
 }
 
-/** Shards that may hold a part known only by its id, likeliest first. */
+/** Shards that may hold the part with this id, most likely first. */
 export function candidateShards(deps: JobDeps, id: string): string[] {
 	const zone = /@([^/]+)/.exec(id)?.[1];
 	const zones = zone === undefined ? deps.zones : [zone];
--- a/src/core/operator/process.ts
+++ b/src/core/operator/process.ts
@@ -1,4 +1,4 @@
-/** `woodcross-operator`: answers operators' remote procedure calls. */
+/** `woodcross-operator`: serves operators' remote procedure calls. */
 import * as grpc from '@grpc/grpc-js';
 import * as config from '../config/index.js';
 import * as errors from '../errors/index.js';
@@ -11,16 +11,16 @@
 import type * as types from './types.js';
 import type * as wire from '../wire/index.js';
 
-/** Milliseconds a configuration change may take to be stored. */
+/** Timeout for storing a configuration change, in milliseconds. */
 const storeMs = 6_000;
 
-/** Milliseconds that processes get to confirm a new version before the operator is answered. */
+/** How long processes may take to confirm a new version before the operator is answered, in milliseconds. */
 const confirmMs = 1_000;
 
-/** Events of a time line at most. */
+/** Maximum number of events in a timeline. */
 const maxEvents = 20_000;
 
-/** Events of a time line if the operator names no number. */
+/** Number of events in a timeline if the operator gives no limit. */
 const defaultEvents = 500;
 
 type Outcome<T> = Promise<results.Result<T, errors.Failure>>;
@@ -53,13 +53,17 @@
 		this.node = node.Node.create(this.settings, {
 			role: 'operator',
 			onPeer: (req) =>
-				Promise.resolve(results.fail(errors.failure('InvalidRequest', `${req.type} is not for an operator`))),
+				Promise.resolve(
+					results.fail(
+						errors.failure('InvalidRequest', `${req.type} requests are not for an operator process`),
+					),
+				),
 			serves: address,
 		});
 		await this.node.start();
 	}
 
-	/** Planned stop: calls under way are finished. */
+	/** Planned stop: calls in progress are finished. */
 	async stop(): Promise<void> {
 		this.node.stopping = true;
 		this.node.events.emit('process.stopping');
@@ -116,7 +120,9 @@
 		return results.ok({ version, ...(await this.push(record)) });
 	}
 
-	/** Tells every known process at once, so that an outage right after the write does not hold the change back. */
+	/**
+	 * Pushes the record to every known process directly, so that an outage right after the write does not delay the change.
+	 */
 	private async push(record: wire.ConfigRecord): Promise<{ confirmed: string[]; unconfirmed: string[] }> {
 		const confirmed: string[] = [];
 		const unconfirmed: string[] = [];
@@ -164,7 +170,7 @@
 	}
 }
 
-/** Wraps a handler that returns an outcome as a gRPC method; the failure's catalogue row gives the status code. */
+/** Wraps a handler as a unary gRPC method. The failure's row in the error catalogue gives the status code. */
 function unary<Req, Res>(handler: (req: Req) => Outcome<Res>): grpc.handleUnaryCall<Req, Res> {
 	return (call, done) => {
 		void handler(call.request).then((outcome) => {
--- a/src/core/operator/settings.ts
+++ b/src/core/operator/settings.ts
@@ -2,7 +2,7 @@
 import * as common from '../settings/common.js';
 import * as settings from '../settings/index.js';
 
-/** The rows. */
+/** Settings by flag name. */
 export const operatorSettings = {
 	...common.commonSettings,
 	'grpc-listen': settings.setting({
@@ -13,5 +13,5 @@
 	}),
 } as const satisfies settings.SettingTable;
 
-/** Checked settings of the operator. */
+/** Validated settings of the operator process. */
 export type OperatorSettings = settings.Settings<typeof operatorSettings>;
--- a/src/core/operator/shard-calls.ts
+++ b/src/core/operator/shard-calls.ts
@@ -1,4 +1,4 @@
-/** Calls from an operator process to the owners of shards. */
+/** Calls to the owners of shards. */
 import * as clocks from '../clock.js';
 import * as errors from '../errors/index.js';
 import * as membership from '../membership/index.js';
@@ -6,25 +6,26 @@
 import * as shards from '../shard/index.js';
 import type * as wire from '../wire/index.js';
 
-/** Who to ask, and how. */
+/** Dependencies of a call: how to find a shard's owner, and how to reach it. */
 export interface ShardCallDeps {
 	peers: wire.PeerClient<wire.PeerReq>;
 	clock: clocks.Clock;
 	members: () => readonly membership.Member[];
 }
 
-/** A request that names its shard. */
+/** A request addressed to a shard. */
 export type ShardPeerReq = Extract<wire.PeerReq, { shard: string }>;
 
-/** Wait before an owner is looked for again, in milliseconds. */
+/** Delay before the owner is looked up again, in milliseconds. */
 const searchMs = 200;
 
-/** Milliseconds one try may take. */
+/** Timeout of one attempt, in milliseconds. */
 export const tryMs = 4_000;
 
 /**
- * Asks the owner of the request's shard; looks for it again while ownership moves, until `timeoutMs` is over.
- * Only requests that are idempotent, or that were certainly not taken, are sent again: all of ours are idempotent.
+ * Calls the owner of the request's shard. While ownership changes, looks the owner up again until `timeoutMs` is over. A
+ * request is sent again only if it is idempotent or was certainly not carried out; all requests sent here are idempotent.
+ * Fails with `ShardUnavailable`, or with `OutcomeUnknown` if a change may have taken effect.
  */
 export async function callShard<T>(
 	deps: ShardCallDeps,
@@ -41,14 +42,14 @@
 		if (owner !== undefined) {
 			const res = await deps.peers.call<T>(owner.peer, req, Math.min(tryMs, left));
 			if (res.ok && isFinal(res.value)) return sent ? hedged(req, res.value) : res.value;
-			reason = res.ok ? 'ownership is moving' : res.err.reason;
+			reason = res.ok ? 'ownership is changing' : res.err.reason;
 			sent ||= res.ok
 				? !res.value.ok && res.value.err.name === 'OutcomeUnknown'
 				: res.err.effect === 'unknown';
 		}
 		await clocks.sleep(deps.clock, Math.min(searchMs, Math.max(0, giveUpAt - deps.clock.now())));
 	}
-	// Readers change nothing, so nothing about them is left open.
+	// A read changes nothing, so a read without an answer leaves no outcome unknown.
 	const name = sent && changes(req) ? 'OutcomeUnknown' : 'ShardUnavailable';
 	return results.fail(errors.failure(name, `shard ${req.shard}: ${reason}`, { retryAfterMs: 2_000 }));
 }
@@ -57,12 +58,15 @@
 	return req.type !== 'shard.status' && req.type !== 'shard.explain';
 }
 
-/** An answer to give; the other failures are worth another look for the owner. */
+/** Whether a reply is final. After `NotOwner` and `OutcomeUnknown` it is worth looking the owner up again. */
 function isFinal<T>(reply: results.Result<T, errors.Failure>): boolean {
 	return reply.ok || (reply.err.name !== 'NotOwner' && reply.err.name !== 'OutcomeUnknown');
 }
 
-/** "Not stored" holds for the last try only; an earlier try without an answer may have been stored. */
+/**
+ * Converts the reply to the last attempt. "Not stored" holds for that attempt only; an earlier attempt without an answer may
+ * have been stored.
+ */
 function hedged<T>(
 	req: ShardPeerReq,
 	reply: results.Result<T, errors.Failure>,
--- a/src/core/operator/types.ts
+++ b/src/core/operator/types.ts
@@ -1,4 +1,4 @@
-/** The messages of `proto/woodcross.proto`, as `@grpc/proto-loader` gives them with `longs: Number`. */
+/** The messages of `proto/woodcross.proto`, as `@grpc/proto-loader` decodes them with `longs: Number`. */
 import type * as grpc from '@grpc/grpc-js';
 import type * as scheduler from '../scheduler/index.js';
 
@@ -28,7 +28,7 @@
 
 export type WorkerStatus = scheduler.WorkerStatus;
 
-/** A shard as its owner tells of it; if the owner can't be reached, `owner` is empty and `problem` says why. */
+/** A shard as its owner reports it. If the owner can't be reached, `owner` is empty and `problem` gives the reason. */
 export interface ShardStatus extends scheduler.ShardStatus {
 	problem: string;
 }
@@ -95,7 +95,7 @@
 	missing: string[];
 }
 
-/** Every call: request and reply by name. */
+/** Request and reply types of every call, by name. */
 export interface Calls {
 	submit: { req: SubmitRequest; res: PartsReply };
 	cancel: { req: CancelRequest; res: PartsReply };
@@ -107,8 +107,7 @@
 	timeline: { req: TimelineRequest; res: TimelineReply };
 }
 
-/** Name of a call. */
 export type CallName = keyof Calls;
 
-/** The loaded service. */
+/** Client constructor of the loaded service. */
 export type ServiceClass = grpc.ServiceClientConstructor;
--- a/src/core/operator/views.ts
+++ b/src/core/operator/views.ts
@@ -1,4 +1,4 @@
-/** What operators look at: status, explanation, boxes and the time line, gathered from all processes. */
+/** Operators' views, gathered from all processes: status, explanation, boxes and timeline. */
 import * as errors from '../errors/index.js';
 import * as events from '../events/index.js';
 import * as jobs from './jobs.js';
@@ -10,10 +10,10 @@
 import type * as types from './types.js';
 import type * as wire from '../wire/index.js';
 
-/** Milliseconds a look at one process or shard may take; what gives no answer by then is said to be missing. */
+/** Timeout of a query to one process or shard, in milliseconds. What does not answer in time is reported as missing. */
 const lookMs = 2_000;
 
-/** Every shard's status; a shard that can't be reached is listed with the problem. */
+/** Status of every shard; a shard that can't be reached is listed with the problem. */
 export async function status(deps: jobs.JobDeps, team: string): Promise<types.StatusReply> {
 	const all = deps.zones.flatMap((zone) => shards.shardsOfZone(zone, deps.shardsPerZone));
 	const looked = await Promise.all(all.map((shard) => shardStatus(deps, shard, team)));
@@ -33,7 +33,7 @@
 	return { ...res.value, jobs: wanted, problem: '' };
 }
 
-/** Explains a task, wherever it is. */
+/** Explains a task, whichever shard holds it. Fails with `JobUnknown` if none does. */
 export async function explain(
 	deps: jobs.JobDeps,
 	task: string,
@@ -49,17 +49,17 @@
 	return results.fail(problem);
 }
 
-/** Who to ask beside the shards. */
+/** Dependencies of the views that query processes. */
 export interface ProcessDeps {
 	peers: wire.PeerClient<wire.PeerReq>;
 	members: () => readonly membership.Member[];
-	/** This process's own events, for the time line. */
+	/** Events of this process, for the timeline; `about` undefined: all. */
 	ownEvents: (about: string | undefined) => events.LoggedEvent[];
 	self: membership.Member;
 	ownVersion: () => number;
 }
 
-/** Every known process, whether it answers, and its configuration version. */
+/** Every known process: whether it answers, and its configuration version, 0 if it gives none. */
 export async function boxes(deps: ProcessDeps): Promise<types.BoxesReply> {
 	const asked = deps.members().map(async (member): Promise<types.BoxStatus> => {
 		const version = member.boot === deps.self.boot ? deps.ownVersion() : await versionOf(deps, member);
@@ -75,7 +75,7 @@
 	return res.value.ok ? res.value.value.version : 0;
 }
 
-/** The newest events about something, over all processes, in one order. */
+/** The newest events about something, merged from all processes in one order. An empty `about` means all events. */
 export async function timeline(
 	deps: ProcessDeps,
 	about: string,
