--- a/src/core/wire/client.ts
+++ b/src/core/wire/client.ts
@@ -1,4 +1,4 @@
-/** The calling side of peer connections: one connection a peer, many requests at once, each with a deadline. */
+/** Client side of peer connections: one connection per peer, many concurrent requests, each with a timeout. */
 import * as net from 'node:net';
 import * as frames from './frame.js';
 import * as envelopes from './envelope.js';
@@ -8,33 +8,31 @@
 import type * as events from '../events/index.js';
 
 /**
- * A connection from which nothing came for so long, with a call on it, is taken for dead, in milliseconds. A peer that
- * is only slow answers other calls meanwhile; closing its connection would cut those off and add new ones to its load.
+ * A connection with an overdue call is presumed dead if nothing has arrived on it for this time, in milliseconds. A peer
+ * that is only slow answers other calls meanwhile; closing its connection would abort those and add new connections to its
+ * load.
  */
 const silentLinkMs = 1_000;
 
-/**
- * Why a call brought no reply. `none`: no byte of it left, so it had no effect.
- * `unknown`: it may or may not have taken effect.
- */
+/** Why a call got no reply. `none`: no byte of it was sent, so it had no effect. `unknown`: it may have taken effect. */
 export interface CallFailure {
 	effect: 'none' | 'unknown';
 	/**
-	 * `refused`: no process listens at the address. `silent`: no reply came in time. `broken`: the connection ended, or
+	 * `refused`: no process listens at the address. `silent`: no reply came in time. `broken`: the connection closed, or
 	 * could not be opened, for another reason.
 	 */
 	cause: 'refused' | 'silent' | 'broken';
 	reason: string;
 }
 
-/** What a peer call comes to: the peer's own result, or no reply. */
+/** Result of a peer call: the peer's own result, or a failure if no reply came. */
 export type CallResult<T> = results.Result<results.Result<T, errors.Failure>, CallFailure>;
 
 interface Waiting {
 	settle: (result: CallResult<unknown>) => void;
 }
 
-/** Connections to peers by address, opened on use. */
+/** Connections to peers by address, opened on first use. */
 export class PeerClient<Req> {
 	private readonly links = new Map<string, Link>();
 
@@ -57,9 +55,9 @@
 		return (await link.call(req, timeoutMs)) as CallResult<T>;
 	}
 
-	/** Closes every connection; calls under way end as `unknown`. */
+	/** Closes every connection; calls in progress fail, with effect `unknown` if their connection was open. */
 	close(): void {
-		for (const link of this.links.values()) link.close('closed here');
+		for (const link of this.links.values()) link.close('connection closed by this process');
 		this.links.clear();
 	}
 }
@@ -68,7 +66,7 @@
 	closed = false;
 	private nextId = 1;
 	private connected = false;
-	/** Clock time of the newest byte from the peer, or of the opening. */
+	/** Clock time at which the newest byte came from the peer, or at which the connection was opened. */
 	private heardAt: number;
 	private readonly waiting = new Map<number, Waiting>();
 	private readonly reader = frames.FrameReader.create();
@@ -111,7 +109,7 @@
 			const timer = this.clock.after(timeoutMs, () => {
 				const effect = this.connected ? 'unknown' : 'none';
 				settle(results.fail({ effect, cause: 'silent', reason: `no reply within ${timeoutMs} ms` }));
-				if (this.isSilentSince(sentAt)) this.close('a reply is overdue, and nothing else comes either');
+				if (this.isSilentSince(sentAt)) this.close('a reply is overdue and nothing else has arrived');
 			});
 			const settle = (result: CallResult<unknown>): void => {
 				if (!this.waiting.delete(id)) return;
@@ -132,7 +130,7 @@
 		for (const waiting of [...this.waiting.values()]) waiting.settle(results.fail({ effect, cause, reason }));
 	}
 
-	/** Whether nothing came since a call was sent, and for so long that it never will. */
+	/** Whether no byte has come since the call was sent, and for long enough to presume that none will. */
 	private isSilentSince(sentAt: number): boolean {
 		if (!this.connected) return true;
 		return this.heardAt <= sentAt && this.clock.now() - this.heardAt >= silentLinkMs;
--- a/src/core/wire/envelope.ts
+++ b/src/core/wire/envelope.ts
@@ -1,4 +1,4 @@
-/** The envelope of a frame: a request, or the reply to the request of that id. */
+/** Envelope of a frame: a request, or the reply to the request with the same id. */
 import * as zod from 'zod/mini';
 
 const z = zod;
@@ -12,5 +12,5 @@
 	body: z.unknown(),
 });
 
-/** A checked envelope. */
+/** A validated envelope. */
 export type Envelope = zod.infer<typeof envelope>;
--- a/src/core/wire/frame.ts
+++ b/src/core/wire/frame.ts
@@ -1,6 +1,6 @@
 /**
- * Frames between the project's own processes: a 4-byte big-endian length, then that many bytes of CBOR.
- * A frame over the limit, or one that does not decode, is an error of the peer: the connection is closed.
+ * Frames between the project's own processes: a 4-byte big-endian length, then that many bytes of CBOR. A frame over the
+ * limit, or one that does not decode, is the peer's fault: the connection is closed.
  */
 import * as cbor from 'cbor-x';
 import * as results from '../result.js';
@@ -8,7 +8,7 @@
 /** Bytes of the length field. */
 const headerBytes = 4;
 
-/** Largest frame body taken or sent, in bytes. */
+/** Largest frame body, in bytes; the receiver checks it. */
 export const maxFrameBytes = 4 * 1024 * 1024;
 
 const encoder = new cbor.Encoder({ useRecords: false, mapsAsObjects: true, structuredClone: false });
@@ -18,7 +18,7 @@
 	return encoder.encode(value);
 }
 
-/** Decodes CBOR; malformed bytes are a failure, not an exception. */
+/** Decodes CBOR; malformed bytes give a failure, not an exception. */
 export function decodeValue(bytes: Uint8Array): results.Result<unknown, string> {
 	try {
 		return results.ok(encoder.decode(bytes) as unknown);
@@ -36,7 +36,7 @@
 	return frame;
 }
 
-/** Cuts a byte stream into frames. */
+/** Splits a byte stream into frames. */
 export class FrameReader {
 	private chunks: Buffer[] = [];
 	private buffered = 0;
@@ -47,7 +47,7 @@
 		return new FrameReader(limit);
 	}
 
-	/** Takes in bytes; returns the values of the frames now complete, or why the stream is unusable. */
+	/** Appends bytes; returns the values of the frames that are complete, or why the stream is unusable. */
 	push(chunk: Buffer): results.Result<unknown[], string> {
 		this.chunks.push(chunk);
 		this.buffered += chunk.length;
--- a/src/core/wire/index.ts
+++ b/src/core/wire/index.ts
@@ -1,4 +1,4 @@
-/** Messages between the project's own processes: cbor-x frames over TCP. */
+/** Messages between the project's own processes: CBOR frames over TCP. */
 export * from './client.js';
 export { decodeValue, encodeFrame, encodeValue, FrameReader, maxFrameBytes } from './frame.js';
 export * from './server.js';
--- a/src/core/wire/server.ts
+++ b/src/core/wire/server.ts
@@ -1,4 +1,4 @@
-/** The listening side of peer connections: one task a connection, requests answered by id. */
+/** Server side of peer connections: answers the requests of each connection by id. */
 import * as net from 'node:net';
 import * as frames from './frame.js';
 import * as envelopes from './envelope.js';
@@ -9,13 +9,13 @@
 /** Answers one request of a peer. */
 export type PeerHandler<Req> = (req: Req) => Promise<results.Result<unknown, errors.Failure>>;
 
-/** Checks a request of a peer; a failure says which field is wrong. */
+/** Validates a peer's request; the failure names the field at fault. */
 export type ParseReq<Req> = (body: unknown) => results.Result<Req, string>;
 
-/** A connection that sends nothing at all is closed after this many milliseconds. */
+/** Idle timeout of a connection that sends nothing, in milliseconds. */
 const silentLimitMs = 30_000;
 
-/** Listens for peers. */
+/** Accepts connections of peers and answers their requests. */
 export class PeerServer<Req> {
 	private readonly sockets = new Set<net.Socket>();
 
@@ -46,7 +46,7 @@
 		return self;
 	}
 
-	/** The address peers connect to, `host:port`. */
+	/** Address for peers, `host:port`. */
 	get address(): string {
 		const at = this.server.address() as net.AddressInfo;
 		return `${at.address}:${at.port}`;
@@ -67,7 +67,7 @@
 		this.sockets.add(socket);
 		socket.setNoDelay(true);
 		socket.setTimeout(silentLimitMs, () => {
-			this.reject(socket, 'silent for too long');
+			this.reject(socket, 'idle for too long');
 		});
 		const reader = frames.FrameReader.create();
 		socket.on('data', (chunk: Buffer) => {
--- a/src/core/wire/types.ts
+++ b/src/core/wire/types.ts
@@ -1,32 +1,32 @@
-/** Messages between the project's own processes, checked on receipt. */
+/** Messages between the project's own processes, validated on receipt. */
 import * as zod from 'zod';
 import * as jobs from '../task/spec.js';
 import * as results from '../result.js';
 
 const z = zod.z;
 
-/** Whole requests waiting or running, by service: what an entry box would use if it could. */
+/** Number of requests waiting or running, by service: the slots that an entry box would use if it could. */
 const demand = z.record(z.string(), z.number().int().min(0));
 
-/** What zone peers tell each other every round. */
+/** What the processes of a zone send each other every round. */
 const gossip = z.object({
 	type: z.literal('gossip'),
 	box: z.string(),
 	role: z.enum(['entry', 'scheduler', 'operator']),
 	configVersion: z.number().int(),
 	demand: demand.optional(),
-	/** Backend servers that this box knows to be leaving. */
+	/** Ids of the backend servers that this box knows to be leaving. */
 	leaving: z.array(z.string()).optional(),
 });
 
 const claimBegin = z.object({
 	type: z.literal('claim.begin'),
 	shard: z.string(),
-	/** Service, caller and the caller's Idempotency-Key. */
+	/** Hash of the service, the caller and the caller's Idempotency-Key. */
 	key: z.string().min(1).max(512),
 	/** SHA-256 of method, path and body. */
 	bodyHash: z.string().max(64),
-	/** The claim's holder: entry box and request id. */
+	/** Holder of the claim: the entry process's `boot` and the request id. */
 	holder: z.string(),
 });
 
@@ -36,7 +36,7 @@
 	key: z.string().min(1).max(512),
 	holder: z.string(),
 	outcome: z.enum(['done', 'not-run', 'may-have-run']),
-	/** The answer, held in memory only, for a caller who asks again. */
+	/** The answer, held in memory only, for a caller that repeats the request. */
 	answer: z
 		.object({
 			status: z.number().int(),
@@ -46,7 +46,7 @@
 		.optional(),
 });
 
-/** The configuration record as it travels. */
+/** The configuration record, as stored and as sent between processes. */
 export const configRecord = z.object({
 	version: z.number().int().min(0),
 	values: z.record(z.string(), z.union([z.number(), z.string(), z.boolean()])),
@@ -62,7 +62,7 @@
 	),
 });
 
-/** Every request a process may send to another. */
+/** Every request that a process may send to another. */
 export const peerReq = z.discriminatedUnion('type', [
 	gossip,
 	z.object({ type: z.literal('config.push'), record: configRecord }),
@@ -75,7 +75,7 @@
 	claimEnd,
 	z.object({
 		type: z.literal('events'),
-		/** Only events one of whose fields, or the process, has this value. */
+		/** Only events in which a field, or the process, matches this value; absent: all. */
 		about: z.string().optional(),
 		limit: z.number().int().min(1).max(20_000),
 	}),
@@ -84,19 +84,18 @@
 /** A request to a peer. */
 export type PeerReq = zod.infer<typeof peerReq>;
 
-/** What zone peers tell each other. */
+/** What the processes of a zone send each other. */
 export type Gossip = zod.infer<typeof gossip>;
 
-/** A claim of an Idempotency-Key. */
+/** A request to claim an Idempotency-Key. */
 export type ClaimBegin = zod.infer<typeof claimBegin>;
 
-/** The end of a claim. */
+/** A report of the outcome of a claimed request. */
 export type ClaimEnd = zod.infer<typeof claimEnd>;
 
-/** The configuration record. */
 export type ConfigRecord = zod.infer<typeof configRecord>;
 
-/** Checks a request of a peer. */
+/** Validates a peer's request; the failure names the field at fault. */
 export function parsePeerReq(body: unknown): results.Result<PeerReq, string> {
 	const req = peerReq.safeParse(body);
 	if (req.success) return results.ok(req.data);
--- a/src/core/worker/client.ts
+++ b/src/core/worker/client.ts
@@ -1,12 +1,12 @@
-/** Adapter to the platform's workers: JSON over HTTP, one exchange at a time a worker. */
+/** Adapter to the platform's workers: JSON over HTTP, one exchange at a time per worker. */
 import * as undici from 'undici';
 import * as results from '../result.js';
 import * as types from './types.js';
 
-/** An exchange without an answer after this many milliseconds counts as unanswered. */
+/** Timeout of an exchange, in milliseconds; after it the exchange counts as unanswered. */
 export const exchangeTimeoutMs = 2_000;
 
-/** Sends exchanges to workers by address. */
+/** Sends an exchange to the worker at an address. */
 export type Exchange = (
 	address: string,
 	req: types.ExchangeReq,
--- a/src/core/worker/types.ts
+++ b/src/core/worker/types.ts
@@ -1,7 +1,7 @@
 /**
- * What the scheduler and the platform's workers say to each other. One exchange carries the fence, the lease
- * renewals and the commands; its answer is the heartbeat and carries everything the worker reports.
- * The checks that a worker must make are listed in docs/PROOFS.md.
+ * Messages between the scheduler and the platform's workers. A request carries the fencing token, the lease renewals and the
+ * commands. Its answer is the heartbeat and carries everything that the worker reports. The checks that a worker must make
+ * are listed in docs/PROOFS.md.
  */
 import * as zod from 'zod';
 import * as jobs from '../task/spec.js';
@@ -17,26 +17,26 @@
 		kind: z.enum(['service', 'batch']),
 		needs: jobs.needs,
 		run: z.record(z.string(), z.union([z.string(), z.number(), z.boolean()])),
-		/** Where an earlier attempt left off. */
+		/** Checkpoint of an earlier attempt, from which this one resumes. */
 		checkpoint: z.string().optional(),
-		/** Time on the worker's own monotonic clock, in milliseconds, past which the start is refused. */
+		/** Time on the worker's own monotonic clock, in milliseconds, after which the worker refuses the start. */
 		notAfter: z.number(),
 	}),
-	/** Checkpoint and stop; harmless at any time. */
+	/** Take a checkpoint and stop; safe to send at any time. */
 	z.object({ type: z.literal('stop'), ...taskRef }),
-	/** Limit the task to a part of its declared cores. */
+	/** Limit the task to a fraction of its declared cores. */
 	z.object({ type: z.literal('throttle'), ...taskRef, share: z.number().gt(0).max(1) }),
-	/** The end of the attempt is committed; the worker may drop its record. */
+	/** The exit of the attempt is committed, so the worker may drop its record. */
 	z.object({ type: z.literal('forget'), ...taskRef }),
 ]);
 
 /** A message to a worker. */
 export const exchangeReq = z.object({
 	shard: z.string(),
-	/** The fence: a worker refuses an (epoch, seq) that is not above the highest it has seen. */
+	/** Fencing token: a worker refuses an (epoch, seq) that is not above the highest it has seen. */
 	epoch: z.number().int(),
 	seq: z.number().int(),
-	/** The worker's boot that this message is meant for; absent on the first contact, which carries nothing else. */
+	/** Incarnation of the worker that this message is meant for; absent on the first contact, which carries nothing else. */
 	incarnation: z.string().optional(),
 	/** Batch attempts whose lease is renewed up to `until`, on the worker's clock. */
 	renew: z.object({ until: z.number(), tasks: z.array(z.object(taskRef)) }).optional(),
@@ -46,18 +46,18 @@
 const taskReport = z.object({
 	...taskRef,
 	state: z.enum(['running', 'stopped', 'finished', 'failed']),
-	/** The newest checkpoint, from which a later attempt may go on. */
+	/** Newest checkpoint, from which a later attempt may resume. */
 	checkpoint: z.string().optional(),
 	reason: z.string().optional(),
-	/** Measured use, late by the worker's reporting lag. */
+	/** Measured usage, delayed by the worker's reporting lag. */
 	usage: z.object({ cores: z.number(), memoryMb: z.number() }).optional(),
-	/** A service's latency as it measures it, late: 99th percentile in milliseconds. */
+	/** Latency that a service measures of itself, delayed: 99th percentile in milliseconds. */
 	latencyMs: z.number().optional(),
 });
 
 /** A worker's answer. */
 export const exchangeRes = z.object({
-	/** False: the fence or the incarnation did not match, and nothing of the message was done. */
+	/** False: the fencing token or the incarnation did not match, and nothing of the message was carried out. */
 	accepted: z.boolean(),
 	incarnation: z.string(),
 	/** The worker's monotonic clock, in milliseconds. */
