--- a/src/core/config/keys.ts
+++ b/src/core/config/keys.ts
@@ -8,11 +8,11 @@
 /** A value of the configuration. */
 export type ConfigValue = number | string | boolean;
 
-/** One key. */
+/** Definition of a key. */
 export interface ConfigKey {
 	schema: zod.ZodType<ConfigValue>;
 	default: ConfigValue;
-	/** What it does, with its unit and range. */
+	/** Description, with its unit and range. */
 	text: string;
 }
 
@@ -21,31 +21,30 @@
 	'entry.deadlineMs': {
 		schema: z.coerce.number().int().min(50).max(120_000),
 		default: 10_000,
-		text: 'Milliseconds a caller is answered within, unless the request names less (50 to 120000).',
+		text: 'Milliseconds within which a caller is answered, unless the request names a shorter deadline (50 to 120000).',
 	},
 	'entry.queuePerSlot': {
 		schema: z.coerce.number().min(0).max(100),
 		default: 4,
-		text: 'Requests that may wait for each slot this box holds (0 to 100).',
+		text: 'Maximum number of queued requests per slot that this box holds (0 to 100).',
 	},
 	'entry.retryBudgetPercent': {
 		schema: z.coerce.number().min(0).max(50),
 		default: 5,
-		text: 'Second tries of safe requests, in per cent of first tries (0 to 50).',
+		text: 'Retries of safe requests, in per cent of first attempts (0 to 50).',
 	},
 	'entry.overflowPercent': {
 		schema: z.coerce.number().min(0).max(50),
 		default: 10,
-		text: 'Part of the slots kept for requests from other availability zones, in per cent (0 to 50).',
+		text: 'Share of the slots reserved for requests from other availability zones, in per cent (0 to 50).',
 	},
 	'scheduler.placement': {
 		schema: z.enum(['mixed', 'spread', 'best-fit']),
 		default: 'mixed',
-		text: 'How workers are rated: mixed (services spread, batch packed), spread or best-fit.',
+		text: 'How workers are scored: mixed (services spread, batch packed), spread or best-fit.',
 	},
 } as const satisfies Record<string, ConfigKey>;
 
-/** Name of a key. */
 export type ConfigName = keyof typeof configKeys;
 
 /** Whether `name` is a key. */
@@ -53,7 +52,7 @@
 	return Object.hasOwn(configKeys, name);
 }
 
-/** Checks one value an operator wants to set. */
+/** Validates a value that an operator wants to set; fails with `ConfigInvalid`. */
 export function checkValue(name: string, value: unknown): results.Result<ConfigValue, errors.Failure> {
 	if (!isConfigName(name)) {
 		const known = Object.keys(configKeys).join(', ');
@@ -70,7 +69,7 @@
 	return values[name] ?? configKeys[name].default;
 }
 
-/** A numeric key's value. */
+/** Value of a numeric key in a record, or its default. */
 export function numberOf(values: Record<string, ConfigValue>, name: ConfigName): number {
 	return Number(valueOf(values, name));
 }
--- a/src/core/config/store.ts
+++ b/src/core/config/store.ts
@@ -1,4 +1,7 @@
-/** Changes of the configuration record by compare-and-swap, with unanswered calls settled by reading back. */
+/**
+ * Changes the configuration record by compare-and-swap. After an unanswered call, the record is read back to learn the
+ * outcome.
+ */
 import * as crypto from 'node:crypto';
 import * as clocks from '../clock.js';
 import * as errors from '../errors/index.js';
@@ -7,32 +10,33 @@
 import * as wire from '../wire/index.js';
 import type * as platform from '../platform/index.js';
 
-/** Where the record is kept. */
+/** Key of the record in the store. */
 export const configKey = 'woodcross/config/record';
 
 /**
- * Changes kept in the record, newest last. Every process reads the record every 2 s and gets each change of it, so at
- * one change a second a long history would use up a process's 8 KB a second (docs/CAPACITY.md); older changes are
- * events 5002 in the time line. Must outlast the settling of an unanswered write, which takes seconds.
+ * Number of changes kept in the record, newest last. Every process reads the record every 2 s and receives each change of
+ * it, so at one change a second a long history would use up a process's 8 KB a second (docs/CAPACITY.md). Older changes are
+ * in the timeline as events 5002. The history has to cover the time until the outcome of an unanswered write is known, which
+ * takes seconds.
  */
 const historySize = 32;
 
-/** Wait before an unanswered call is repeated, in milliseconds. */
+/** Delay before an unanswered call is repeated, in milliseconds. */
 const retryMs = 200;
 
 /** The record before the first change. */
 export const emptyRecord: wire.ConfigRecord = { version: 0, values: {}, history: [] };
 
-/** A change as an operator asks for it. */
+/** A change that an operator requests. */
 export interface ConfigChange {
 	key: string;
 	value: unknown;
 	by: string;
-	/** The version the operator saw; undefined: whatever is current. */
+	/** The version that the operator saw; undefined: the change applies to any version. */
 	seen?: number;
 }
 
-/** Reads a stored record. */
+/** Decodes a stored record; an absent one gives `emptyRecord`. */
 export function decodeRecord(item: platform.Stored | undefined): results.Result<wire.ConfigRecord, string> {
 	if (item === undefined) return results.ok(emptyRecord);
 	const raw = wire.decodeValue(item.value);
@@ -41,13 +45,13 @@
 	return parsed.success ? results.ok(parsed.data) : results.fail(parsed.error.message);
 }
 
-/** A stored change: the version it got, and the record that was read, which may be newer. */
+/** A stored change: its version, and the record as read, which may be newer. */
 export interface StoredChange {
 	version: number;
 	record: wire.ConfigRecord;
 }
 
-/** The change with that nonce, if the record holds it: then it was stored, whatever became of the answer. */
+/** Finds the change with this nonce. If the record holds it, the change was stored, whatever the call returned. */
 function findStored(record: wire.ConfigRecord, nonce: string): StoredChange | undefined {
 	const change = record.history.find((one) => one.nonce === nonce);
 	return change && { version: change.version, record };
@@ -70,8 +74,9 @@
 }
 
 /**
- * Stores a change. Accepted only once it is known to be stored. `OutcomeUnknown` if the time runs out while a
- * write is unanswered; `PlatformUnavailable` if none was sent.
+ * Stores a change; succeeds only once the change is known to be stored. Fails with `ConfigInvalid`, or with
+ * `ConfigConflict` if the operator saw another version. If the time runs out, fails with `OutcomeUnknown` if a write got
+ * no answer, else with `PlatformUnavailable`.
  */
 export async function changeRecord(
 	store: platform.Store,
@@ -94,7 +99,7 @@
 		const stored = findStored(record.value, nonce);
 		if (stored !== undefined) return results.ok(stored);
 		const current = record.value;
-		// With an unanswered write outstanding, "seen" was checked before it and only the swap decides.
+		// An unanswered write was sent after this check had passed for it, and its swap alone decides whether it is stored.
 		if (change.seen !== undefined && current.version !== change.seen) return conflict(change, current);
 		const next = changed(current, change, checked.value, nonce, clock.wall());
 		const put = await store.swap(configKey, wire.encodeValue(next), item.value?.version ?? 0);
@@ -108,6 +113,6 @@
 }
 
 function conflict(change: ConfigChange, current: wire.ConfigRecord): results.Result<never, errors.Failure> {
-	const detail = `you saw version ${change.seen ?? 0}; it is ${current.version} now`;
+	const detail = `version ${change.seen ?? 0} was expected; the current version is ${current.version}`;
 	return results.fail(errors.failure('ConfigConflict', detail));
 }
--- a/src/core/config/task.ts
+++ b/src/core/config/task.ts
@@ -1,6 +1,6 @@
 /**
- * The task that holds a process's configuration. It only ever moves to a higher version, learnt from the platform,
- * from peers' pushes, or by asking a peer that tells of a higher one.
+ * Holds a process's configuration. Its version only ever increases. Newer records come from the platform, from peers'
+ * pushes, or from a peer that reported a higher version and was asked for its record.
  */
 import * as keys from './keys.js';
 import * as platform from '../platform/index.js';
@@ -9,13 +9,13 @@
 import type * as clocks from '../clock.js';
 import type * as events from '../events/index.js';
 
-/** Milliseconds between full reads, the bound on how long a stalled watch can hold a change back. */
+/** Interval between full reads, in milliseconds; bounds how long a stalled watch can delay a change. */
 const relistMs = 2_000;
 
-/** Milliseconds that a peer may take to hand over its record. */
+/** Timeout of a call to a peer, in milliseconds. */
 const askMs = 1_000;
 
-/** What the task needs. */
+/** Dependencies of the configuration. */
 export interface ConfigDeps {
 	store: platform.Store;
 	clock: clocks.Clock;
@@ -26,10 +26,10 @@
 	onApplied: (record: wire.ConfigRecord) => void;
 }
 
-/** A process's configuration. */
+/** Follows and holds a process's configuration. */
 export class ConfigTask {
 	record: wire.ConfigRecord = store.emptyRecord;
-	/** Whether a record was learnt since the start; before that the process serves nothing that depends on it. */
+	/** Whether a record has been received since the start. Until then the process serves nothing that depends on it. */
 	known = false;
 	private follower: platform.Follower | undefined;
 
@@ -48,19 +48,20 @@
 		return task;
 	}
 
-	/** A number of the configuration in force. */
+	/** Value in force of a numeric key. */
 	number(name: keys.ConfigName): number {
 		return keys.numberOf(this.record.values, name);
 	}
 
-	/** Any value of the configuration in force. */
+	/** Value in force of a key. */
 	value(name: keys.ConfigName): keys.ConfigValue {
 		return keys.valueOf(this.record.values, name);
 	}
 
 	/**
-	 * Takes over a higher version. One read from the platform is passed on to the zone's peers. A push may have been
-	 * under way for long, so to a process that has just started it proves nothing: it asks first (spec/config.ts).
+	 * Applies a record with a higher version. A record read from the platform is pushed to the zone's peers. A push may have
+	 * been in transit for a long time, so a process that has just started can't rely on it: it requests a record first
+	 * (spec/config.ts).
 	 */
 	offer(record: wire.ConfigRecord, from: 'platform' | 'asked' | 'push'): void {
 		if (from === 'push' && !this.known) return;
@@ -73,7 +74,7 @@
 		if (from === 'platform' && record.version > 0) this.relay(record);
 	}
 
-	/** A peer told of a higher version: ask it for the record. */
+	/** Fetches the record from a peer that reported a higher version. */
 	async heard(version: number, address: string): Promise<void> {
 		if (version <= this.record.version && this.known) return;
 		const res = await this.deps.peers.call<unknown>(address, { type: 'config.get' }, askMs);
--- a/src/core/settings/common.ts
+++ b/src/core/settings/common.ts
@@ -1,4 +1,4 @@
-/** Settings that every process has. */
+/** Settings common to all processes. */
 import * as zod from 'zod';
 import * as settings from './index.js';
 
@@ -22,7 +22,7 @@
 /** A whole number above zero. */
 export const count = z.coerce.number<string>('expected a whole number').int().positive();
 
-/** The common rows. */
+/** Common settings by flag name. */
 export const commonSettings = {
 	box: settings.setting({
 		schema: z.string().regex(/^[a-z0-9][a-z0-9-]*$/, 'expected lower-case letters, digits and "-"'),
@@ -62,13 +62,13 @@
 			.transform((text) => text.split(',').filter((part) => part.length > 0))
 			.pipe(z.array(address)),
 		default: '',
-		text: 'Peers to ask when the platform is out at the start, host:port, separated by commas.',
+		text: 'Peers to ask for the configuration if the platform is unavailable at the start, host:port, separated by commas.',
 		example: '127.0.0.1:7300,127.0.0.1:7301',
 	}),
 	'shards-per-zone': settings.setting({
 		schema: count,
 		default: '1',
-		text: 'Shards of each zone, alike on every process; about one for a hundred workers.',
+		text: 'Number of shards per zone, the same on every process; about one per hundred workers.',
 		example: '9',
 	}),
 	log: settings.setting({
@@ -80,10 +80,10 @@
 	'log-level': settings.setting({
 		schema: z.enum(['debug', 'info', 'warn', 'error'], 'expected debug, info, warn or error'),
 		default: 'info',
-		text: 'Least severe events printed: debug, info, warn or error.',
+		text: 'Lowest severity of events that are printed: debug, info, warn or error.',
 		example: 'warn',
 	}),
 } as const satisfies settings.SettingTable;
 
-/** Checked common settings. */
+/** Validated common settings. */
 export type CommonSettings = settings.Settings<typeof commonSettings>;
--- a/src/core/settings/index.ts
+++ b/src/core/settings/index.ts
@@ -1,17 +1,17 @@
 /**
- * Settings of a binary: a table from which come flags, environment variables, `--help` and checks.
- * A flag goes before its environment variable, which goes before the default.
+ * Settings of a binary: flags, environment variables, `--help` and validation come from one table. A flag takes precedence
+ * over its environment variable, which takes precedence over the default.
  */
 import * as cmd from 'cmd-ts';
 import * as zod from 'zod';
 import * as results from '../result.js';
 
-/** One setting. */
+/** A row of the table. */
 export interface Setting<T> {
 	schema: zod.ZodType<T>;
-	/** Default as one would write it; undefined: the setting must be given. */
+	/** Default in text form; undefined: the setting is required. */
 	default?: string;
-	/** What it does, with its unit. */
+	/** Description, with its unit. */
 	text: string;
 	example: string;
 }
@@ -19,20 +19,20 @@
 /** The settings of a binary by flag name (`heartbeat-ms`). */
 export type SettingTable = Record<string, Setting<unknown>>;
 
-/** Checked settings, by flag name. */
+/** Validated settings, by flag name. */
 export type Settings<T extends SettingTable> = { [K in keyof T]: T[K] extends Setting<infer V> ? V : never };
 
-/** Environment variable of a setting: `heartbeat-ms` is `WOODCROSS_HEARTBEAT_MS`. */
+/** Name of a setting's environment variable: `heartbeat-ms` is `WOODCROSS_HEARTBEAT_MS`. */
 export function envName(flag: string): string {
 	return `WOODCROSS_${flag.toUpperCase().replaceAll('-', '_')}`;
 }
 
-/** Types a setting without losing the exact value type. */
+/** Declares a setting and keeps its exact value type. */
 export function setting<T>(row: Setting<T>): Setting<T> {
 	return row;
 }
 
-/** Checks raw strings against the table; names the setting, the value and what was expected. */
+/** Validates raw strings against the table. Each problem names the setting, the value and what was expected. */
 export function checkSettings<T extends SettingTable>(
 	table: T,
 	raw: Record<string, string | undefined>,
@@ -56,7 +56,9 @@
 	return problems.length > 0 ? results.fail(problems) : results.ok(values as Settings<T>);
 }
 
-/** Reads flags and environment; prints help or a clear error and exits (0 or 2) where the process must not go on. */
+/**
+ * Reads flags and environment variables. Prints the help or a clear error and exits (0 or 2) if the process must not go on.
+ */
 export async function readSettings<T extends SettingTable>(
 	binary: string,
 	description: string,
@@ -75,10 +77,10 @@
 	process.exit(2);
 }
 
-/** What cmd-ts gives instead of parsed arguments; it does not export the type. */
+/** What cmd-ts returns in place of parsed arguments; it does not export the type. */
 type CommandExit = Extract<Awaited<ReturnType<typeof cmd.runSafely>>, { _tag: 'error' }>['error'];
 
-/** Prints what cmd-ts has to say and exits: 0 after `--help`, 2 after a mistake (cmd-ts itself would exit with 1). */
+/** Prints the message of cmd-ts and exits: 0 after `--help`, 2 after a usage error (cmd-ts itself would exit with 1). */
 export function exitWith(err: CommandExit): never {
 	const { into, message, exitCode } = err.config;
 	process[into].write(`${message}\n`);
