--- a/src/core/errors/catalogue.ts
+++ b/src/core/errors/catalogue.ts
@@ -1,6 +1,6 @@
 /**
- * Every failure that a caller or operator can be told, in one place.
- * `hint` says what the reader can do about it. `grpc` and `http` are the status codes that follow from it.
+ * Every failure that a caller or operator can receive, in one place. `hint` says what the reader can do about it. `grpc` and
+ * `http` are the status codes of the failure.
  */
 
 /** Names of the gRPC status codes in use. */
@@ -45,7 +45,7 @@
 		http: 422,
 	},
 	ShardFull: {
-		title: 'No shard has room to keep track of the job',
+		title: 'No shard has free capacity to keep track of the job',
 		hint: 'Submit it again once other jobs have ended, or as several smaller jobs.',
 		grpc: 'RESOURCE_EXHAUSTED',
 		http: 503,
@@ -64,19 +64,19 @@
 	},
 	NotOwner: {
 		title: 'This scheduler does not own the shard now',
-		hint: 'Try again in a moment; ownership is moving.',
+		hint: 'Try again in a moment; ownership is changing.',
 		grpc: 'UNAVAILABLE',
 		http: 503,
 	},
 	ShardUnavailable: {
 		title: "The shard's scheduler can't be reached",
-		hint: 'Look at `woodcross boxes`; try again after the time given.',
+		hint: 'Check `woodcross boxes`; try again after the time given.',
 		grpc: 'UNAVAILABLE',
 		http: 503,
 	},
 	PlatformUnavailable: {
 		title: "The platform's key-value service can't be reached",
-		hint: 'Nothing was stored. Try again after the time given; what runs goes on.',
+		hint: 'Nothing was stored. Try again after the time given; running tasks continue.',
 		grpc: 'UNAVAILABLE',
 		http: 503,
 	},
@@ -87,7 +87,7 @@
 		http: 503,
 	},
 	ConfigConflict: {
-		title: 'The configuration changed in between',
+		title: 'The configuration has been changed in the meantime',
 		hint: 'Read the current version with `woodcross config get` and decide again.',
 		grpc: 'ABORTED',
 		http: 409,
@@ -106,7 +106,7 @@
 	},
 	AcceptanceUnknown: {
 		title: 'It is not known whether the job was stored',
-		hint: 'Hand it in again under the same id; it stays one job.',
+		hint: 'Submit it again under the same id; it remains one job.',
 		grpc: 'UNAVAILABLE',
 		http: 504,
 	},
@@ -118,13 +118,13 @@
 	},
 	NoBackend: {
 		title: 'No backend server of the service can take the request now',
-		hint: 'Come back after the time in Retry-After.',
+		hint: 'Retry after the time in Retry-After.',
 		grpc: 'UNAVAILABLE',
 		http: 503,
 	},
 	Overloaded: {
 		title: 'The request could not make its deadline, so it was not run',
-		hint: 'Come back after the time in Retry-After.',
+		hint: 'Retry after the time in Retry-After.',
 		grpc: 'RESOURCE_EXHAUSTED',
 		http: 503,
 	},
@@ -160,7 +160,7 @@
 	},
 	ClaimUnavailable: {
 		title: 'The Idempotency-Key could not be claimed, so the request was not run',
-		hint: 'Come back with the same key after the time in Retry-After.',
+		hint: 'Retry with the same key after the time in Retry-After.',
 		grpc: 'UNAVAILABLE',
 		http: 503,
 	},
--- a/src/core/errors/index.ts
+++ b/src/core/errors/index.ts
@@ -31,7 +31,7 @@
 	retryAfterMs?: number;
 }
 
-/** The HTTP body that tells a caller what became of the request. */
+/** Converts a failure to the HTTP body that tells a caller what became of the request. */
 export function toProblem(err: types.Failure): Problem {
 	const row = rowOf(err);
 	const problem: Problem = {
@@ -47,7 +47,7 @@
 	return problem;
 }
 
-/** One line for a terminal or a gRPC status message. */
+/** Formats a failure as one line, for a terminal or a gRPC status message. */
 export function toLine(err: types.Failure): string {
 	const row = rowOf(err);
 	return `${row.title}: ${err.detail}. ${row.hint}`;
--- a/src/core/errors/types.ts
+++ b/src/core/errors/types.ts
@@ -1,4 +1,4 @@
-/** The failure values, one tag a row of the catalogue. */
+/** Failure values, one variant per row of the catalogue. */
 import type * as catalogue from './catalogue.js';
 
 /** Name of a catalogue row. */
@@ -7,15 +7,15 @@
 /** What a caller may conclude about a request that failed. */
 export type RunOutcome = 'not-run' | 'may-have-run';
 
-/** A failure: the catalogue row's name, what happened this time, and when to come back. */
+/** A failure: the name of its catalogue row, what happened in this case, and when to try again. */
 export type Failure = {
 	[N in ErrorName]: {
 		name: N;
-		/** What happened this time: the value, path or box in question. */
+		/** What happened in this case: the value, path or box in question. */
 		detail: string;
-		/** Milliseconds after which another try makes sense. */
+		/** Milliseconds after which a retry makes sense. */
 		retryAfterMs?: number;
-		/** Set on answers to callers. */
+		/** What the caller may conclude; set on answers to callers. */
 		run?: RunOutcome;
 	};
 }[ErrorName];
--- a/src/core/events/hlc.ts
+++ b/src/core/events/hlc.ts
@@ -1,15 +1,15 @@
 /**
- * Hybrid logical clock (Kulkarni and others, 2014): wall time that never runs backwards and never
- * contradicts the order of messages, so that events of several processes can be merged into one time line.
+ * Hybrid logical clock (Kulkarni and others, 2014): wall time that never runs backwards and never contradicts the order of
+ * messages, so that events of several processes can be merged into one timeline.
  */
 
-/** Milliseconds of wall time and a counter within it. */
+/** Wall time in milliseconds, and a counter that orders stamps of the same millisecond. */
 export interface Stamp {
 	ms: number;
 	count: number;
 }
 
-/** Order of two stamps: negative if `a` is earlier. */
+/** Compares two stamps: negative if `a` is earlier. */
 export function compareStamps(a: Stamp, b: Stamp): number {
 	return a.ms - b.ms || a.count - b.count;
 }
@@ -24,7 +24,7 @@
 		return new HybridClock(wall);
 	}
 
-	/** A stamp for a local event or an outgoing message. */
+	/** Returns a stamp for a local event or an outgoing message. */
 	tick(): Stamp {
 		const ms = Math.max(this.wall(), this.last.ms);
 		const count = ms === this.last.ms ? this.last.count + 1 : 0;
@@ -32,7 +32,7 @@
 		return this.last;
 	}
 
-	/** Takes in the stamp of a message received, so that what follows is later than it. */
+	/** Advances the clock to the stamp of a received message, so that later stamps are greater. */
 	observe(remote: Stamp): void {
 		if (compareStamps(remote, this.last) > 0) this.last = remote;
 	}
--- a/src/core/events/index.ts
+++ b/src/core/events/index.ts
@@ -1,4 +1,6 @@
-/** Numbered events: a bounded ring in memory, stamped by a hybrid logical clock, shown by consola. */
+/**
+ * Numbered events, stamped by a hybrid logical clock: kept in a bounded ring in memory, printed as JSON lines or by consola.
+ */
 import * as catalogue from './catalogue.js';
 import * as hlc from './hlc.js';
 import * as lines from './json-lines.js';
@@ -8,7 +10,7 @@
 export type { EventLevel, EventName, EventRow } from './catalogue.js';
 export * as hlc from './hlc.js';
 
-/** What an event is about; all optional, all searchable in the time line. */
+/** What an event is about; every field is optional and searchable in the timeline. */
 export interface EventFields {
 	task?: string;
 	job?: string;
@@ -28,7 +30,7 @@
 	id: number;
 	name: catalogue.EventName;
 	stamp: hlc.Stamp;
-	/** The process that saw it: role and box. */
+	/** Name of the process that recorded it. */
 	process: string;
 	fields: EventFields;
 }
@@ -36,7 +38,7 @@
 /** How events are printed. */
 export type LogFormat = 'pretty' | 'json' | 'silent';
 
-/** Events that the ring holds; older ones are dropped. */
+/** Maximum number of events in the ring; the oldest are dropped first. */
 export const ringSize = 20_000;
 
 const levels: readonly catalogue.EventLevel[] = ['debug', 'info', 'warn', 'error'];
@@ -66,7 +68,7 @@
 		return new EventLog(process, clock, format, minLevel);
 	}
 
-	/** Records an event and prints it if its level asks for it. */
+	/** Records an event, and prints it if its level is at least the minimum. */
 	emit(name: catalogue.EventName, fields: EventFields = {}): void {
 		const row = catalogue.eventCatalogue[name];
 		const event: LoggedEvent = { id: row.id, name, stamp: this.clock.tick(), process: this.process, fields };
@@ -75,12 +77,12 @@
 		this.print(event, row.level);
 	}
 
-	/** Calls `fn` with every event from now on. */
+	/** Calls `observer` with every later event. */
 	observe(fn: (event: LoggedEvent) => void): void {
 		this.observers.push(fn);
 	}
 
-	/** Recorded events that `wanted` accepts, oldest first. */
+	/** Recorded events that match, oldest first. */
 	select(wanted: (event: LoggedEvent) => boolean): LoggedEvent[] {
 		const ordered = [...this.ring.slice(this.start), ...this.ring.slice(0, this.start)];
 		return ordered.filter(wanted);
@@ -106,7 +108,7 @@
 	}
 }
 
-/** One line for people. */
+/** Formats an event as one line of text. */
 export function formatEvent(event: LoggedEvent): string {
 	const fields = Object.entries(event.fields)
 		.filter(([, value]) => value !== undefined)
@@ -115,7 +117,7 @@
 	return `${event.id} ${event.name} [${event.process}] ${fields}`;
 }
 
-/** Loads consola only where somebody looks at a terminal: it costs start-up time. */
+/** Loads consola only when it prints to a terminal, since loading it slows the start. */
 async function printPretty(level: catalogue.EventLevel, event: LoggedEvent): Promise<void> {
 	const { consola } = await import('consola');
 	consola[level](formatEvent(event));
--- a/src/core/events/json-lines.ts
+++ b/src/core/events/json-lines.ts
@@ -1,11 +1,11 @@
 /**
- * JSON lines on standard output, bounded: a slow reader costs lines, which are counted, never waiting; one that is gone
- * costs lines too, never the process. A line is handed over before what it tells of takes effect, so that a process that
- * dies has told what it did.
+ * JSON lines on standard output, with a bounded buffer. A slow reader loses lines, which are counted, and never makes the
+ * process wait. A reader that is gone loses lines too, and never ends the process. A line is handed over before what it
+ * reports takes effect, so that a process that crashes has logged what it did.
  */
 import * as catalogue from './catalogue.js';
 
-/** Bytes that may wait for the reader; about 4,000 lines. */
+/** Maximum number of bytes buffered for the reader; about 4,000 lines. */
 const maxWaitingBytes = 1024 * 1024;
 
 let dropped = 0;
@@ -22,7 +22,7 @@
 	put(value, 1);
 }
 
-/** Tells how many lines were left out. */
+/** Logs how many lines were dropped. */
 function tellDropped(): void {
 	const name = 'log.dropped';
 	const { id, level } = catalogue.eventCatalogue[name];
@@ -31,14 +31,14 @@
 	put({ id, name, fields: { dropped: count }, level }, count);
 }
 
-/** Writes a line; if that fails, `lines` more are left out. */
+/** Writes a line; if that fails, counts `lines` more as dropped. */
 function put(value: object, lines: number): void {
 	process.stdout.write(`${JSON.stringify(value)}\n`, (err) => {
 		if (err) dropped += lines;
 	});
 }
 
-/** An error of the output must not end the process. Another reader may come: each line is tried. */
+/** Keeps an error of the output from ending the process. Another reader may attach, so each line is tried. */
 function watchOutput(): void {
 	isWatched = true;
 	let isTold = false;
@@ -48,6 +48,6 @@
 		process.stderr.write(`log lines are lost: ${err.message}\n`);
 	});
 	process.stderr.on('error', () => {
-		// Nobody reads either of them: there is no place left to tell it, and the lines are counted.
+		// Neither output has a reader, so this can't be reported anywhere; the dropped lines are counted.
 	});
 }
