--- a/src/core/boxes/index.ts
+++ b/src/core/boxes/index.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's lagging list of live and leaving boxes: one key a zone and kind, JSON.
+ * The platform's lists of live and leaving boxes, which lag: one key per zone and kind, JSON.
  * `platform/boxes/<zone>/workers` and `platform/boxes/<zone>/backend-servers`.
  */
 import * as zod from 'zod';
@@ -25,19 +25,19 @@
 const backendBox = z.object({
 	...common,
 	service: z.string(),
-	/** Requests it runs at once. */
+	/** Maximum number of requests that it runs at once. */
 	slots: z.number().int().min(1),
-	/** Connections it takes. */
+	/** Maximum number of connections that it accepts. */
 	connections: z.number().int().min(1),
 });
 
-/** A worker of the list. */
+/** A worker in the list. */
 export type WorkerBox = zod.infer<typeof workerBox>;
 
-/** A backend server of the list. */
+/** A backend server in the list. */
 export type BackendBox = zod.infer<typeof backendBox>;
 
-/** Milliseconds between full reads of a list; changes come by watch in between. */
+/** Interval between full reads of a list, in milliseconds; a watch delivers the changes in between. */
 export const boxesRelistMs = 10_000;
 
 /** Key of a zone's workers. */
--- a/src/core/metrics/index.ts
+++ b/src/core/metrics/index.ts
@@ -1,10 +1,10 @@
-/** Counters and latency histograms of a process, shown as Prometheus text on `/metrics`. */
+/** Counters and latency histograms of a process, exposed as Prometheus text on `/metrics`. */
 import * as hdr from 'hdr-histogram-js';
 
-/** Quantiles shown of each histogram, in per cent. */
+/** Quantiles exposed for each histogram, in per cent. */
 const quantiles = [50, 90, 99, 99.9, 100];
 
-/** Largest latency recorded, in microseconds. */
+/** Largest latency recorded, in microseconds; larger ones are recorded as this value. */
 const largestUs = 600_000_000;
 
 /** A process's metrics. */
@@ -13,7 +13,7 @@
 	private readonly histograms = new Map<string, hdr.Histogram>();
 
 	private constructor() {
-		// Built by `create`, like every class here.
+		// Instances are made by `create`.
 	}
 
 	static create(): Metrics {
@@ -40,7 +40,7 @@
 		return this.counters.get(name) ?? 0;
 	}
 
-	/** Prometheus text exposition format; `gauges` are read now. */
+	/** Formats the metrics in the Prometheus text exposition format. `gauges` holds current values by name. */
 	text(gauges: Record<string, number> = {}): string {
 		const lines: string[] = [];
 		for (const [name, value] of this.counters) lines.push(`woodcross_${name}_total ${value}`);
--- a/src/core/node/index.ts
+++ b/src/core/node/index.ts
@@ -14,33 +14,33 @@
 import * as wire from '../wire/index.js';
 import type * as common from '../settings/common.js';
 
-/** Milliseconds between gossip rounds of a process without demand of its own. */
+/** Default interval between gossip rounds, for a process that reports no demand, in milliseconds. */
 const gossipMs = 1_000;
 
-/** Milliseconds a gossip message may take. */
+/** Timeout of a gossip message, in milliseconds. */
 const gossipTimeoutMs = 900;
 
 /** Largest header block of a request, in bytes. */
 const maxHeaderBytes = 16 * 1024;
 
-/** Milliseconds within which a caller must have sent its headers. */
+/** Timeout for receiving a caller's headers, in milliseconds. */
 const headersTimeoutMs = 10_000;
 
-/** What a program adds to the shared part. */
+/** The parts that a program adds to the shared node. */
 export interface NodeParts {
 	role: membership.Role;
-	/** Answers peers' requests beyond gossip, configuration and events. */
+	/** Answers peers' requests other than gossip, configuration and events. */
 	onPeer: (req: wire.PeerReq) => Promise<results.Result<unknown, errors.Failure>>;
 	onMembers?: () => void;
 	onConfig?: (record: wire.ConfigRecord) => void;
-	/** What this process adds to its gossip. */
+	/** Fields that this process adds to its gossip. */
 	gossip?: () => Partial<wire.Gossip>;
 	onGossip?: (gossip: wire.Gossip) => void;
 	gossipMs?: number;
 	/** Gossip partners; by default every process of the zone. */
 	partners?: (members: membership.Membership) => membership.Member[];
 	/**
-	 * Takes the requests under a path prefix from the Node server itself, before h3, which ends each response a second
+	 * Serves the requests under a path prefix with the Node server itself, bypassing h3, which ends each response a second
 	 * time (docs/decisions/0006-libraries.md).
 	 */
 	direct?: { prefix: string; serve: (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void> };
@@ -74,12 +74,12 @@
 		this.peers = wire.PeerClient.create(this.clock, this.events);
 	}
 
-	/** Builds the process without its program's part, so that the part can hold the node. */
+	/** Creates the node without starting it, so that the program's part can hold a reference to it. */
 	static create(settings: common.CommonSettings, parts: NodeParts): Node {
 		return new Node(settings, parts);
 	}
 
-	/** Listens, registers, and starts to follow members and configuration. */
+	/** Starts to listen, registers as a member, and starts to follow members and configuration. */
 	async start(): Promise<void> {
 		const [peerHost, peerPort] = splitAddress(this.settings['peer-listen']);
 		this.server = await wire.PeerServer.create(peerHost, peerPort, this.events, wire.parsePeerReq, (req) =>
@@ -113,14 +113,14 @@
 		this.events.emit('process.started', { peer: self.peer, serves: self.serves });
 	}
 
-	/** Stops taking part: peers and platform learn it at once. Callers' connections are the program's to finish. */
+	/** Leaves the system: peers and platform are notified at once. The program itself finishes callers' connections. */
 	async leave(): Promise<void> {
 		this.gossiping?.cancel();
 		this.config.stop();
 		await this.members.leave();
 	}
 
-	/** Closes what is left. */
+	/** Closes the remaining connections. */
 	async close(): Promise<void> {
 		this.peers.close();
 		await this.server.close();
@@ -134,7 +134,7 @@
 		this.events.emit('process.stopped');
 	}
 
-	/** Addresses of the zone's other processes, and the seeds. */
+	/** Addresses of the zone's other processes, and of the seeds. */
 	peerAddresses(): string[] {
 		return [...new Set([...this.members.zonePeers().map((one) => one.peer), ...this.settings.peers])];
 	}
@@ -174,7 +174,7 @@
 		return `${at.address}:${at.port}`;
 	}
 
-	/** While no record is known (the platform is out at the start), the seeds are asked for theirs. */
+	/** Requests the seeds' records while no record is known, because the platform is unavailable at the start. */
 	private askSeeds(): void {
 		if (this.config.known) return;
 		for (const seed of this.settings.peers) void this.config.heard(Infinity, seed);
@@ -206,7 +206,7 @@
 				return results.ok({ version: this.config.record.version });
 			case 'config.get':
 				if (!this.config.known)
-					return results.fail(errors.failure('PlatformUnavailable', 'no record known yet'));
+					return results.fail(errors.failure('PlatformUnavailable', 'no configuration record is known yet'));
 				return results.ok(this.config.record);
 			case 'events':
 				return results.ok(this.selectEvents(req.about, req.limit));
@@ -221,7 +221,7 @@
 		this.parts.onGossip?.(gossip);
 	}
 
-	/** Events of this process about something; undefined: all. */
+	/** Events of this process about something, the newest `limit` of them; undefined: about anything. */
 	selectEvents(about: string | undefined, limit: number): events.LoggedEvent[] {
 		const wanted = (event: events.LoggedEvent): boolean =>
 			about === undefined || event.process.includes(about) || Object.values(event.fields).includes(about);
