--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -1,14 +1,14 @@
-/** How a binary runs: reads its settings, starts, and stops on a signal. */
+/** Runs a binary: reads its settings, starts it, and stops it on a signal. */
 import * as node from '../core/node/index.js';
 import * as settings from '../core/settings/index.js';
 
-/** A program between its start and its planned stop. */
+/** A program from its start to its planned stop. */
 interface Running {
 	start: () => Promise<void>;
 	stop: () => Promise<void>;
 }
 
-/** What makes a binary. */
+/** Definition of a binary. */
 export interface Program<T extends settings.SettingTable> {
 	binary: string;
 	/** One sentence, for `--help`. */
@@ -17,7 +17,7 @@
 	create: (given: settings.Settings<T>) => Running;
 }
 
-/** Runs a binary with the flags it was given. */
+/** Runs a binary with the flags from the command line. */
 export async function run<T extends settings.SettingTable>(program: Program<T>): Promise<void> {
 	const { binary, description } = program;
 	const given = await settings.readSettings(binary, description, program.settings, process.argv.slice(2));
--- a/src/cli/woodcross/commands.ts
+++ b/src/cli/woodcross/commands.ts
@@ -1,4 +1,4 @@
-/** The operators' command line: one thin command a remote procedure call. */
+/** The operators' command line: one thin command per remote procedure call. */
 import * as fs from 'node:fs';
 import * as os from 'node:os';
 import * as cmd from 'cmd-ts';
@@ -48,7 +48,7 @@
 	process.stdout.write(`${given.json ? JSON.stringify(res.value, null, 2) : print(res.value)}\n`);
 }
 
-/** Reads a declaration from a YAML or JSON file; a fault is told with its line. */
+/** Reads a declaration from a YAML or JSON file; a syntax error is reported with its line. */
 function readSpec(file: string): results.Result<unknown, string> {
 	let text: string;
 	try {
@@ -86,7 +86,7 @@
 
 const status = cmd.command({
 	name: 'status',
-	description: 'Show where every job, shard and worker stands',
+	description: 'Show the state of every job, shard and worker',
 	args: {
 		...common,
 		team: cmd.option({ long: 'team', defaultValue: () => '', description: 'Only jobs of this team' }),
@@ -96,7 +96,7 @@
 
 const explain = cmd.command({
 	name: 'explain',
-	description: 'Say where a task is, why there, and what it waits for',
+	description: 'Show where a task is, why it is there, and what it waits for',
 	args: { ...common, task: cmd.positional({ type: cmd.string, displayName: 'team/name/number' }) },
 	handler: (args) => run(args, 'explain', { task: args.task }, show.explained),
 });
@@ -125,7 +125,7 @@
 		by: cmd.option({
 			long: 'by',
 			defaultValue: () => os.userInfo().username,
-			description: 'Who asks, for the history',
+			description: 'Name of the operator, recorded in the history',
 		}),
 		seen: cmd.option({
 			long: 'seen',
@@ -152,7 +152,7 @@
 
 const timeline = cmd.command({
 	name: 'timeline',
-	description: 'Show events of all processes in one order',
+	description: 'Show the events of all processes in order of time',
 	args: {
 		...common,
 		about: cmd.positional({
@@ -163,7 +163,7 @@
 			long: 'limit',
 			type: cmd.number,
 			defaultValue: () => 200,
-			description: 'Newest events at most',
+			description: 'Maximum number of events; the newest are shown',
 		}),
 	},
 	handler: (args) => run(args, 'timeline', { about: args.about ?? '', limit: args.limit }, show.timeline),
--- a/src/cli/woodcross/show.ts
+++ b/src/cli/woodcross/show.ts
@@ -1,7 +1,7 @@
-/** Answers as text for a terminal. */
+/** Formats answers as text for a terminal. */
 import type * as operator from '../../core/operator/index.js';
 
-/** Columns padded to their widest cell. */
+/** Pads the cells of each column to the widest one. */
 function table(rows: string[][]): string {
 	const widths: number[] = [];
 	for (const row of rows)
@@ -18,7 +18,7 @@
 
 const time = (ms: number): string => new Date(ms).toISOString().slice(11, 23);
 
-/** A failed call, and when to come back. */
+/** Formats a failed call, with the delay before a retry. */
 export function callError(err: operator.CallError): string {
 	const back = err.retryAfterMs === undefined ? '' : ` Try again in ${err.retryAfterMs} ms.`;
 	return `${err.name || `gRPC status ${err.code}`}: ${err.message}${back}`;
@@ -75,11 +75,11 @@
 		['worker', res.worker || '-'],
 		['why there', res.why || '-'],
 		['waits for', res.waitsFor || '-'],
-		['last end', res.lastEnd || '-'],
+		['last exit', res.lastEnd || '-'],
 		...res.failures.map((one) => [`attempt ${one.attempt}`, `failed on ${one.worker}: ${one.reason}`]),
 		...res.held.map((one) => [
 			`attempt ${one.attempt}`,
-			`may still hold its place on ${one.worker}, which does not answer`,
+			`may still hold its placement on ${one.worker}, which does not answer`,
 		]),
 	];
 	return table(rows);
