--- a/src/core/entry/claims.ts
+++ b/src/core/entry/claims.ts
@@ -54,7 +54,8 @@
 
 /**
  * Claims the key before the request is sent; waits while an earlier request with the same key still runs. Fails with
- * `ClaimUnavailable` or `KeyReused`, or with `AlreadyRun` or `MayHaveRun` if the earlier request's answer is not held.
+ * `ClaimUnavailable` or `KeyReused`, with `AlreadyRun` or `MayHaveRun` if the earlier request's answer is not held, and with
+ * `MayHaveRun` if that request still runs at the deadline.
  */
 export async function begin(
 	deps: ClaimDeps,
--- a/src/core/entry/shares.ts
+++ b/src/core/entry/shares.ts
@@ -75,8 +75,8 @@
 >;
 
 /**
- * Slots of a backend server that an entry box of another availability zone may use. The reserved slots are too few to divide
- * by demand: they go whole to the first boxes in rendezvous order.
+ * Slots of a backend server that an entry box of another availability zone may use. The reserved slots are divided equally;
+ * the remainder is too small to split and goes whole to the first boxes in rendezvous order.
  */
 export function shareFromAfar(backend: string, kept: number, boxes: readonly string[], box: string): number {
 	const order = hash.rendezvous(`${backend}/afar`, boxes);
