--- a/test/address-reuse.test.ts
+++ b/test/address-reuse.test.ts
@@ -1,10 +1,7 @@
 /**
- * Users saw two tasks run twice at once: both runs of the first owner on one worker, both of its successor on two others.
- * A worker had crashed, and its next life was listed at the same address while the entry of the dead one had not lapsed
- * yet. A successor read both entries at once, took the living worker for the one that was gone, and started its tasks
- * elsewhere. Its log settled it: `worker.lost`, "another life is listed at its address", at 19.442 s for a worker that had
- * not answered it before; `task.placed` elsewhere at 19.503 s; `worker.reached` at 19.567 s, and `run.stray` for the same
- * task 3 ms later.
+ * Guards against tasks that run twice at once after a takeover. A worker crashes, and its next incarnation is listed at the
+ * same address before the entry of the dead one has lapsed. A successor that reads both entries at once must not presume the
+ * live worker lost because another incarnation is listed at its address, and start its tasks elsewhere.
  */
 import test from 'ava';
 import * as real from './fixtures/real-boxes.js';
@@ -15,7 +12,7 @@
 	return { ms: 30_000, how: 'done' };
 }
 
-/** A worker that crashed and came back at its address under `reborn`; its new life runs two tasks of two jobs. */
+/** A worker that crashed and came back at its address as `replacementId`; the new incarnation runs two tasks of two jobs. */
 async function rebornWorld(reborn: string): Promise<{
 	made: world.TestWorld;
 	first: world.TestOwner;
@@ -36,7 +33,7 @@
 	return { made, first, living };
 }
 
-/** Lets time pass, and looks for tasks with two runs at once all the while. */
+/** Advances the clock, and checks every 10 ms that no task has two runs at once. */
 async function watchRuns(
 	t: { deepEqual: (a: unknown, b: unknown) => unknown },
 	made: world.TestWorld,
@@ -94,7 +91,7 @@
 	const owner = await takeOver();
 	await clock.pass(1_200);
 	await submit(owner, world.job('job1', [world.step()]));
-	// The connection hangs: the question under way is given up after a second.
+	// The connection hangs: the report request in flight times out after a second.
 	await clock.pass(300);
 	w1.fault = 'silent';
 	const w2 = fleet.add('w2', { address: w1.entry.address });
@@ -141,7 +138,8 @@
 	await owner.logged((line) => line.name === 'worker.reached' && line.fields.worker === 'i-3');
 	await owner.kill();
 	await other.logged((line) => line.name === 'takeover.settled');
-	// Its tasks are placed in the same round as what is free at that time, or in a later one.
+	// The tasks of this job are placed in the same round as all that are startable then, or in a later one: once it is
+	// completed, a second start of the first two would show.
 	t.is((await real.call(other.callers, 'POST', shortJob, body)).status, 200);
 	await real.completed(other, shortJob);
 	t.deepEqual(
--- a/test/address-view.test.ts
+++ b/test/address-view.test.ts
@@ -1,4 +1,7 @@
-/** A store that shows each box its own addresses: what one writes another reads in its own words. */
+/**
+ * A store that shows each box its own addresses: an address that one box writes is read by another as the one at which that
+ * box reaches the same worker.
+ */
 import test from 'ava';
 import * as addressViews from '../stand-ins/users-platform/address-view.js';
 import * as memory from '../stand-ins/fleet/memory-store.js';
@@ -7,7 +10,7 @@
 
 const worker = '127.0.0.1:40001';
 
-/** A box that reaches the worker at `own`, and takes note of addresses that it does not know. */
+/** A box that reaches the worker at `ownAddress`, and records in `unknown` the addresses that it does not know. */
 function bookOf(own: string, unknown: string[]): addressViews.AddressBook {
 	return {
 		seen: (address) => (address === worker ? own : address),
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -1,4 +1,7 @@
-/** Which jobs are taken in while more is owed than can be done in time, and when those turned away are to come back. */
+/**
+ * Which jobs are accepted while more work is outstanding than can be done in time, and after how long callers of refused
+ * jobs are to retry.
+ */
 import test from 'ava';
 import * as admission from '../src/core/admission/index.js';
 import * as contacts from '../src/core/platform/contact.js';
@@ -19,13 +22,13 @@
 };
 const wide: jobs.QueuePolicy = { ...world.queue, name: 'wide', priority: 2, stretch: 2, objectiveMs: 1_000 };
 
-/** A chain of two steps of 1.7 s. */
+/** Two steps of 1.7 s, one after the other. */
 const wideSteps = [
 	world.step({ count: 40, estimateMs: 1_700 }),
 	world.step({ count: 40, estimateMs: 1_700, after: [0] }),
 ];
 
-/** A box that knows of this backlog. */
+/** A box with this backlog as its view. */
 function createBox(
 	store: memory.MemoryStore,
 	clock: time.VirtualClock,
@@ -65,19 +68,19 @@
 		waitMs: 17_000,
 		limitMs: admission.maxWaitMs,
 	});
-	// 3 x (1.5 x 600 + 250) ms after its acceptance it is worth nothing, and it takes 600 ms.
+	// The job has no value left 3 x (1.5 x 600 + 250) ms after its acceptance, and it takes 600 ms.
 	t.is(admission.waitLimitMs({ queue: urgent, steps: short }), 2_850);
 });
 
 test('without a rate nothing is known of the backlog, and all is taken in', (t) => {
 	const rate = admission.FinishRate.create();
 	t.is(rate.tasksPerS, undefined);
-	// The first seconds of a burst: much waits, little has finished yet.
+	// The first seconds of a burst: many tasks wait, and few have finished yet.
 	for (const finished of [0, 20, 90]) rate.addSecond(finished, 2_000);
 	t.is(rate.tasksPerS, undefined);
 	rate.addSecond(90, 2_000);
 	t.is(rate.tasksPerS, 90);
-	// A second with little to wait for tells how much there was to do, not how much can be done.
+	// A second in which little waits measures how much work there was, not how much can be done.
 	rate.addSecond(5, 3);
 	t.is(rate.tasksPerS, 90);
 	rate.addSecond(5, 0);
@@ -96,7 +99,7 @@
 	let longest = 0;
 	for (let second = 0; second < 60; second += 1) {
 		const backlog = admission.estimateBacklog(owed, rate.tasksPerS);
-		// Each second 24 urgent tasks and four wide jobs of 80 tasks: three times what is finished.
+		// Each second brings 24 urgent tasks and four wide jobs of 80 tasks: three times what is finished.
 		const takes = (queue: jobs.QueuePolicy, steps: jobs.StepSpec[]): boolean =>
 			admission.decide({ queue, steps }, backlog).type === 'admit';
 		if (takes(urgent, [world.step({ estimateMs: 600 })])) owed.set(0, (owed.get(0) ?? 0) + 24);
@@ -112,7 +115,7 @@
 	}
 	t.is(refused.urgent, 0);
 	t.true(refused.wide > 100);
-	// Without a limit 14,000 tasks, more than two minutes' work, would be owed at the end.
+	// Without a limit 14,000 tasks, more than two minutes' work, would be outstanding at the end.
 	t.true(longest < 16, `the backlog came to ${longest.toFixed(1)} s`);
 });
 
--- a/test/advice.test.ts
+++ b/test/advice.test.ts
@@ -1,4 +1,4 @@
-/** The adviser's word on which workers may run a step, and how much of the fleet it is asked about. */
+/** The adviser's answers on which workers may run a step, and how many workers each question to it names. */
 import test from 'ava';
 import * as adviserCall from '../platform/adviser-call.js';
 import * as world from './fixtures/dispatching.js';
@@ -8,7 +8,7 @@
 
 const workerCount = 90;
 
-/** Every third worker is good. */
+/** One worker in three is good. */
 const goodEvery = 3;
 
 const advised: jobs.QueuePolicy = { ...world.queue, advised: true };
@@ -21,7 +21,7 @@
 	});
 };
 
-/** Plays a job of one step, whose tasks take a whole worker each, under the adviser. */
+/** Runs a job of one step under the adviser; by default each task takes a whole worker. */
 async function play(spec: Partial<jobs.StepSpec>): Promise<jobs.JobState | undefined> {
 	const made = world.createWorld(() => ({ ms: 500, how: 'done' }), undefined, adviser);
 	for (let index = 0; index < workerCount; index += 1) made.fleet.add(`w${String(index)}`);
--- a/test/beliefs.test.ts
+++ b/test/beliefs.test.ts
@@ -1,6 +1,7 @@
 /**
- * What an owner takes for known of runs that it can't see: jobs it was told of a second time, workers that have not
- * answered it, times that its wall clock has not reached, starts that may still be under way, reports that are not whole.
+ * What an owner may conclude about runs that it can't observe: of jobs that were submitted a second time, on workers that
+ * have not answered, for times that its wall clock has not reached, with starts that may still be in flight, or with reports
+ * that are not complete.
  */
 import test from 'ava';
 import * as contacts from '../src/core/platform/contact.js';
@@ -20,7 +21,7 @@
 	return { ms: 500, how: 'done' };
 }
 
-/** Lets time pass; returns the tasks that had two runs at once in that time. */
+/** Advances the clock; returns the tasks that had two runs at once in that time. */
 async function doubledWithin(made: world.TestWorld, ms: number): Promise<string[]> {
 	const seen = new Set<string>();
 	for (let passed = 0; passed < ms; passed += 10) {
@@ -30,7 +31,7 @@
 	return [...seen];
 }
 
-/** A box; `tell`: what it tells the owner, `generation`: of the owner that it knows. */
+/** A box; `notify`: receives its requests to the owner; `generation`: of the owner that the box knows. */
 function createBox(
 	made: world.TestWorld,
 	generation: () => number,
@@ -54,7 +55,7 @@
 	});
 }
 
-/** Hands a job in at a box. */
+/** Submits a job at a box. */
 async function handIn(
 	made: world.TestWorld,
 	box: service.JobService,
@@ -65,15 +66,15 @@
 	return answer;
 }
 
-/** What keeps the second owner from the workers and from the store. */
+/** What keeps the second owner from the worker `w1` and from the store. */
 interface Hindrance {
 	isCut: () => boolean;
 	fault: () => memory.StoreFault;
 }
 
 /**
- * A second owner has read the store. Then a box that still knows the first owner stores a job and tells that one, which
- * starts it; and the job is handed in once more, at a box that knows the second owner.
+ * A second owner has loaded the store. Then a box that still knows the first owner stores a job and notifies that owner,
+ * which starts it; and the job is submitted once more, at a box that knows the second owner.
  */
 async function handInTwice(by: Hindrance): Promise<{ made: world.TestWorld; end: () => void }> {
 	const made = world.createWorld(long);
@@ -142,13 +143,13 @@
 	await clock.pass(1_000);
 	t.deepEqual(fleet.starts.map((one) => one.worker).sort(), ['w1', 'w2']);
 	w2.fault = 'silent';
-	// Longer than users take to notice that a task is away, shorter than the lease.
+	// Longer than users take to notice that a task is down, shorter than the lease.
 	await clock.pass(5_000);
 	t.is(owner.dispatcher.vacate('w1'), 'protected');
 	owner.dispatcher.close();
 });
 
-/** A job of one time that is due a second from now. */
+/** A job with one occurrence, a second from the call. */
 function scheduled(made: world.TestWorld): Parameters<world.TestWorld['submit']>[1] {
 	const schedule = { times: 1, firstAt: made.clock.wall() + 1_000, intervalMs: 1_000 };
 	return world.job('timed', [world.step({ milliCores: 20_000 })], { schedule });
@@ -181,7 +182,7 @@
 	t.is(w1.running.size, 1);
 	first.dispatcher.close();
 	fleet.add('w2');
-	// Its clock reaches the time just after it has heard of the run, on a worker that takes no more work.
+	// The successor's clock reaches the time just after the run was reported to it, on a worker that accepts no more work.
 	const second = await takeOver(undefined, undefined, undefined, -300);
 	second.dispatcher.setWorkers([{ ...w1.entry, draining: true, remainingMs: 60_000 }], [], false);
 	const doubled = await doubledWithin(made, 3_000);
@@ -189,7 +190,7 @@
 	second.dispatcher.close();
 });
 
-/** More small tasks on one worker than a report lists ends. */
+/** More small tasks on one worker than a report lists exits. */
 const many = 700;
 
 function manySmall(): Parameters<world.TestWorld['submit']>[1] {
--- a/test/box.test.ts
+++ b/test/box.test.ts
@@ -14,7 +14,7 @@
 	t.is((await real.call(other.callers, 'POST', id, real.body)).status, 200);
 	t.is((await real.call(owner.callers, 'POST', id, real.body)).status, 200);
 	await real.ended(owner, id);
-	// The end is told once it is stored, some milliseconds after it was seen.
+	// The end of a job is reported once it is stored, some milliseconds after the owner noticed it.
 	await real.completed(other, id);
 	t.is(platform.fleet.starts.length, 2);
 	t.deepEqual((await real.call(owner.callers, 'GET', '')).body, { pending: 0 });
--- a/test/broken-log.test.ts
+++ b/test/broken-log.test.ts
@@ -1,11 +1,11 @@
-/** Processes whose log is read by nobody any more. */
+/** Processes whose log is no longer read. */
 import * as childProcess from 'node:child_process';
 import events from 'node:events';
 import test from 'ava';
 import * as real from './fixtures/real-boxes.js';
 import type * as stream from 'node:stream';
 
-/** Its other end sees that nobody reads any more. */
+/** Closes the reading end of a pipe, so that later writes to it fail. */
 async function breakOff(output: stream.Readable | null): Promise<void> {
 	if (output === null) throw new Error('no pipe');
 	const closed = events.once(output, 'close');
--- a/test/call-repeater.test.ts
+++ b/test/call-repeater.test.ts
@@ -1,4 +1,7 @@
-/** Calls to workers that were left without an answer blinded their owner until they were given up. */
+/**
+ * Guards against owners that know nothing of a worker for a whole call timeout because one call to it has no answer: calls
+ * that are unusually late are repeated long before they time out.
+ */
 import test from 'ava';
 import * as delays from '../src/core/dispatch/answer-delays.js';
 import * as settings from '../src/core/dispatch/settings.js';
@@ -6,10 +9,10 @@
 
 const workerCount = 12;
 
-/** Calls are given up after so long, in milliseconds. */
+/** Calls time out after this, in milliseconds. */
 const givenUpAfterMs = 1_000;
 
-/** An owner of workers that each run a task which lasts. */
+/** An owner of workers that each run a long-running task. */
 async function besideLasting() {
 	const made = world.createWorld(() => ({ ms: 'endless', how: 'done' }));
 	const { clock, fleet } = made;
--- a/test/cancelled-runs.test.ts
+++ b/test/cancelled-runs.test.ts
@@ -1,9 +1,9 @@
-/** What runs of a cancelled job, however it came to run: it is stopped soon after it began. */
+/** Runs of a cancelled job are stopped soon after they begin, however they came to run. */
 import test from 'ava';
 import * as ledger from '../src/core/ledger/index.js';
 import * as world from './fixtures/dispatching.js';
 
-/** A run of a cancelled job ends within this, in milliseconds: a report that lists it, and its stop. */
+/** How long a run of a cancelled job may last, in milliseconds: until a report lists it and its stop is carried out. */
 const stoppedWithinMs = 1_500;
 
 const long = { ms: 60_000, how: 'done' as const };
@@ -17,7 +17,7 @@
 	await submit(owner, world.job('job1', [world.step()]));
 	await clock.pass(50);
 	owner.dispatcher.cancelJob('job1');
-	// Only the start comes late: from now on the worker answers.
+	// Only the start comes late: from here on the worker answers.
 	w1.fault = 'none';
 	let runningMs = 0;
 	for (let passed = 0; passed < 15_000; passed += 50) {
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -1,7 +1,7 @@
 /**
- * Where a waiting read goes silent as it begins, its wait, the time for a late answer and the reading of the list have to
- * fit into the time that a confirmed configuration may take; 2,500 + 800 + 250 ms did not fit into 2,000, nor into the
- * 3,000 after which a box counts as in touch again.
+ * Guards against configurations that take effect too late because a long poll stops responding as it begins. Its wait, the
+ * grace period for its answer and the list that follows have to fit into the time that a confirmed configuration may take to
+ * be in force: 2,500 + 800 + 250 ms do not fit into 2,000, nor into the 3,000 after which a box counts as in contact again.
  */
 import test from 'ava';
 import * as boxConfiguration from '../src/core/box/configuration.js';
@@ -15,24 +15,24 @@
 import * as time from '../stand-ins/fleet/virtual-clock.js';
 import type * as platform from '../src/core/platform/types.js';
 
-/** Bounds of the users' deployments, in milliseconds, and some between. */
+/** Time limits for applying a configuration, in milliseconds: those of the users' deployments, and some between. */
 const bounds = [1_500, 2_000, 2_500, 3_000, 4_000];
 
-/** What a call over a new connection takes in the store's slow hours, in milliseconds. */
+/** Duration of a call over a new connection in the store's slow hours, in milliseconds. */
 const slowAnswerMs = 250;
 
-/** A follower of the configuration under a virtual clock, whose connection to the store can go silent. */
+/** A follower of the configuration on a virtual clock; its connection to the store can stop responding. */
 class Followed {
 	readonly clock = time.VirtualClock.create();
 	readonly store = memory.MemoryStore.create(this.clock);
 	readonly log = events.EventLog.create('entry-1', this.clock);
-	/** Whether the store answers this box, as its other calls tell. */
+	/** Whether the store answers this box's other calls. */
 	readonly contact = { reachable: true };
-	/** The next waits never come to an answer. */
+	/** The next wait for changes times out. */
 	isSilent = false;
-	/** The store answers nothing. */
+	/** The store fails every call. */
 	isDown = false;
-	/** Waits are answered with the newest revision and without the changes up to it. */
+	/** Waits are answered with the latest revision and without the changes up to it. */
 	isPassedOver = false;
 	readonly follower: boxConfiguration.ConfigurationFollower;
 
@@ -120,7 +120,7 @@
 	t.true(followed.follower.ageMs < 2_000);
 });
 
-/** The owner is not asked. */
+/** Stands for the owner where it must not be asked. */
 function never(): Promise<Uint8Array | undefined> {
 	throw new Error('the owner is asked though the store answers');
 }
@@ -209,7 +209,7 @@
 	t.false(followed.follower.mayBeStale);
 	followed.clock.resume();
 	t.true(followed.follower.mayBeStale);
-	// The answer to the wait that was under way may have been given before.
+	// The answer to the wait that was in flight may be from before the suspension.
 	await followed.clock.pass(4_000);
 	t.false(followed.follower.mayBeStale);
 });
--- a/test/crash-history.test.ts
+++ b/test/crash-history.test.ts
@@ -1,16 +1,16 @@
-/** How many starts a task has left after workers went down under it. */
+/** How many starts a task has left after workers crashed under it. */
 import * as fc from 'fast-check';
 import test from 'ava';
 import * as jobs from '../src/core/jobs/index.js';
 
-/** Crashes after which only so many starts may follow (stated by the users). */
+/** Crashes after which the number of further starts is limited, and that limit (both stated by the users). */
 const crashesBeforeBound = 3;
 const startsAfterBound = 2;
 
-/** What may become of a run. */
+/** What may happen to a run. */
 const outcome = fc.constantFrom('crashed', 'ended', 'never started', 'unheard under an earlier owner');
 
-/** Starts a task again and again with these outcomes until it is given up; returns its starts after the third crash. */
+/** Starts a task repeatedly with these outcomes until it is abandoned; returns its starts after the third crash. */
 function startsAfterThirdCrash(outcomes: readonly string[]): number {
 	let history = jobs.CrashHistory.create();
 	let crashes = 0;
--- a/test/crashing-tasks.test.ts
+++ b/test/crashing-tasks.test.ts
@@ -1,9 +1,8 @@
 /**
- * Two tasks that crash each worker that starts them were started six times within twenty seconds, and each time up to
- * fifteen other tasks went down with them, which were placed together again and met the same culprit. Nothing counted
- * the losses: the owner's log has `task.lost` for run 5 of the first at 27.033 s ("another life of the worker answers at
- * its address"), `task.placed` for run 6 0.6 ms later on a worker with 13 other tasks, and that worker's last sign of life
- * 5 ms after that. Sixty-seven tasks were lost within 3.6 s: sixteen for the second time, seven for the third.
+ * Guards against tasks that crash each worker that starts them and are started again and again. Two such tasks were started
+ * six times within twenty seconds, and each crash lost up to fifteen other tasks, which were placed together with one of
+ * them again: 67 tasks were lost within 3.6 s, sixteen of them twice and seven three times. Nothing counted a task's
+ * crashes.
  */
 import test from 'ava';
 import * as crashes from './fixtures/crashes.js';
@@ -15,21 +14,24 @@
 import type * as jobs from '../src/core/jobs/index.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-/** Jobs that crash nothing are to be done so long after they were handed in, in milliseconds. */
+/** Time within which jobs that crash nothing have to be completed after their submission, in milliseconds. */
 const soundWithinMs = 60_000;
 
 const soundJobs = 24;
 
 const soundStep = world.step({ count: 6, milliCores: 4_000, estimateMs: 1_500 });
 
-/** A world of ten workers; tasks of jobs whose names begin with `bad` crash theirs, the first of a job if it is a gang. */
+/**
+ * An environment of ten workers. Tasks of jobs whose names begin with `bad` crash their workers; of jobs whose names begin
+ * with `half`, only the first task of each step does.
+ */
 function createWorld(crashMs: number, soundMs = 1_500): world.TestWorld {
 	const made = world.createWorld((task) => planOf(task, crashMs, soundMs));
 	for (let index = 0; index < 10; index += 1) made.fleet.add(`w${String(index)}`);
 	return made;
 }
 
-/** A worker's entry that leaves no task a place. */
+/** A worker's entry without free capacity. */
 function withoutRoom(entry: fleetTypes.WorkerEntry): fleetTypes.WorkerEntry {
 	return { ...entry, capacity: { ...entry.capacity, milliCores: 0 } };
 }
@@ -42,7 +44,7 @@
 		: { ms: soundMs, how: 'done' };
 }
 
-/** Owners of a world that follow one another; the newest hears of the workers that crash and come back. */
+/** Owners that succeed one another; the current one is notified of workers that crash and come back. */
 class Reign {
 	private constructor(
 		private readonly made: world.TestWorld,
@@ -73,7 +75,7 @@
 	}
 }
 
-/** Hands in the jobs that crash nothing, one every 250 ms. */
+/** Submits the jobs that crash nothing, one every 250 ms. */
 async function submitSound(made: world.TestWorld, reign: Reign): Promise<string[]> {
 	const ids = Array.from({ length: soundJobs }, (_, index) => `sound${String(index)}`);
 	for (const id of ids) {
@@ -83,7 +85,7 @@
 	return ids;
 }
 
-/** The jobs of these that are not in this state. */
+/** Which of these jobs are not in this state. */
 function others(reign: Reign, ids: string[], state: jobs.JobState): string[] {
 	return ids.filter((id) => reign.owner.dispatcher.stateOf(id) !== state);
 }
@@ -138,7 +140,7 @@
 	await made.submit(reign.owner, world.job('bad', [world.step()]));
 	await made.clock.pass(290);
 	await reign.change();
-	// It learns that the worker went down, and has no room for the task.
+	// The new owner learns that the worker crashed, and has no free capacity for the task.
 	const { onListed, workers: all } = made.fleet;
 	made.fleet.onListed = (added, removed) => {
 		reign.owner.dispatcher.setWorkers(added.map(withoutRoom), removed, false);
@@ -198,7 +200,7 @@
 	await made.submit(reign.owner, world.job('bad', [world.step({ count: 200 })]));
 	await made.clock.pass(soundWithinMs);
 	t.is(reign.owner.dispatcher.stateOf('bad'), 'failed');
-	// All ten may go down before the first loss is known; after that, one suspect at a time.
+	// All ten workers may crash before the first loss is known; after that, one suspect runs at a time.
 	t.true(made.fleet.crashes.length <= 12, String(made.fleet.crashes.length));
 	reign.close();
 });
@@ -257,7 +259,7 @@
 	for (let deaths = 0; deaths < 4; deaths += 1) {
 		owner.dispatcher.close();
 		let hasBegun = false;
-		// The store takes what is written from its placing on, and its answers are lost: the start is not sent.
+		// Once the start is placed, the store carries out writes but its answers are lost: the start is not sent.
 		owner = await made.takeOver(undefined, () => (hasBegun && placed() > 0 ? 'lost' : 'none'));
 		hasBegun = true;
 		while (placed() === 0) await clock.pass(1);
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -1,4 +1,7 @@
-/** The pure decisions: shares of slots, retry budget, placement, pressure, proofs by silence, commands, frames, events. */
+/**
+ * Functions without side effects: shares of slots, the retry budget, placement, relief of full workers, proof that an
+ * unresponsive worker's tasks have stopped, requests to shards, frames, and the events page.
+ */
 import * as fs from 'node:fs';
 import test from 'ava';
 import * as assets from '../src/core/assets.js';
@@ -214,7 +217,7 @@
 	t.true(shards.encodeState(state).length < 1_000_000);
 });
 
-/** A store in which the first swap takes effect, its answer is lost, and another operator's change follows at once. */
+/** A store that carries out the first swap and loses its answer; another operator's change follows at once. */
 function storeLosingFirstAnswer(other: (record: wire.ConfigRecord) => wire.ConfigRecord): platform.Store {
 	let current: platform.Stored | undefined;
 	let swaps = 0;
--- a/test/decoders.test.ts
+++ b/test/decoders.test.ts
@@ -1,4 +1,7 @@
-/** Everything that `platform/` decodes, fed with what others may have written: no decoder throws, and none invents. */
+/**
+ * Every decoder of `platform/`, fed with what other programs may have written: no decoder throws, and none returns values
+ * outside its type.
+ */
 import * as fc from 'fast-check';
 import test from 'ava';
 import * as configurations from './fixtures/configurations.js';
@@ -8,7 +11,7 @@
 import * as waves from '../platform/waves.js';
 import * as workerEntries from '../platform/worker-list.js';
 
-/** Each run of the tests tries the same values. */
+/** Every run of the tests tries the same values. */
 const params = { seed: 20_261, numRuns: 500 };
 
 /** A field as its writer meant it, missing, or of any other type. */
@@ -51,7 +54,7 @@
 	max_runs: amount,
 });
 
-/** A value as JSON, or any bytes at all. */
+/** A value as JSON, or arbitrary bytes. */
 function written(value: fc.Arbitrary<unknown>): fc.Arbitrary<Uint8Array> {
 	const text = value.map((one) => Buffer.from(JSON.stringify(one)) as Uint8Array);
 	return fc.oneof({ weight: 3, arbitrary: text }, fc.uint8Array());
--- a/test/dispatch.test.ts
+++ b/test/dispatch.test.ts
@@ -1,4 +1,4 @@
-/** Dispatching under failure, in memory: what is started where and how often, and what callers are told. */
+/** Dispatching under faults, in memory: which worker starts which task and how often, and what callers are told. */
 import test from 'ava';
 import * as world from './fixtures/dispatching.js';
 import type * as jobs from '../src/core/jobs/index.js';
@@ -159,7 +159,7 @@
 	await clock.pass(500);
 	const second = await takeOver((worker) => worker === 'w1');
 	await clock.pass(100);
-	// The accepting box still knows the first owner, which reaches the worker that the second does not.
+	// The accepting box still knows the first owner, which reaches the worker that the second owner can't reach.
 	const job = world.job('job1', [world.step({ maxPerWorker: 1 })]);
 	await submit(first, job);
 	await clock.pass(20);
@@ -333,7 +333,7 @@
 	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 900, how: 'done' }));
 	fleet.add('w1');
 	const owner = await takeOver();
-	// One at a time; each should be done within 1.5 s of its hand-in.
+	// The tasks run one at a time; each should be done within 1.5 s of its submission.
 	const whole = [world.step({ milliCores: 32_000, estimateMs: 500 })];
 	for (let number = 0; number < 6; number += 1) await submit(owner, world.job(`old${number}`, whole));
 	await clock.pass(3_500);
@@ -352,7 +352,7 @@
 	const lasting = (milliCores: number): jobs.StepSpec[] => [world.step({ milliCores, lasting: true })];
 	await submit(owner, world.job('first', lasting(20_000)));
 	await clock.pass(3_000);
-	// Will never fit beside the first, which stays.
+	// It can't fit beside the first, which stays.
 	await submit(owner, world.job('large', lasting(16_000)));
 	await clock.pass(3_500);
 	await submit(owner, world.job('small', lasting(10_000)));
@@ -389,7 +389,7 @@
 	const awayMs = [0, 0, 0];
 	let longestMs = 0;
 	for (let round = 0; round < 150; round += 1) {
-		// More than the worker holds, and no two ends leave room for a lasting task together.
+		// More than the worker can hold; and no two exits together free enough for a long-running task.
 		await submit(owner, world.job(`short${round}`, [world.step({ count: 2, milliCores: 5_000 })]));
 		await clock.pass(90);
 		for (const index of awayMs.keys()) {
--- a/test/doubtful-configuration.test.ts
+++ b/test/doubtful-configuration.test.ts
@@ -1,4 +1,4 @@
-/** What a box tells callers of a queue that it doesn't know, when its configuration may be out of date. */
+/** A box's answer to calls for a queue that it doesn't know, when its configuration may be out of date. */
 import test from 'ava';
 import * as configurations from './fixtures/configurations.js';
 import * as configuration from '../platform/queue-configuration.js';
@@ -10,7 +10,7 @@
 
 const known = { name: 'r', host: 'proofs.example', path_prefix: '/known/' };
 
-/** Status and Retry-After of a question for a queue's count. */
+/** Status and `Retry-After` of a request for a queue's number of pending jobs. */
 async function ask(isConfigurationInDoubt: boolean, path: string): Promise<[number, unknown]> {
 	const value = configurations.stored(1, { routes: [known], services: [] });
 	const decoded = configuration.decodeConfiguration(value);
--- a/test/draining-workers.test.ts
+++ b/test/draining-workers.test.ts
@@ -1,4 +1,4 @@
-/** Workers that begin to drain while a start is on its way to them. */
+/** Workers that begin to drain while a start is in flight to them. */
 import test from 'ava';
 import * as world from './fixtures/dispatching.js';
 
--- a/test/evacuations.test.ts
+++ b/test/evacuations.test.ts
@@ -1,4 +1,4 @@
-/** Zones that an operator evacuates: nothing is sent to their workers until that is taken back. */
+/** Zones that an operator evacuates: nothing is started on their workers until the evacuation is taken back. */
 import test from 'ava';
 import * as evacuationList from '../src/core/box/evacuation-list.js';
 import * as evacuations from '../platform/evacuations.js';
@@ -8,10 +8,10 @@
 import * as time from '../stand-ins/fleet/virtual-clock.js';
 import * as world from './fixtures/dispatching.js';
 
-/** A start has to heed an evacuation that was stored so long ago, in milliseconds. */
+/** A start has to respect an evacuation that was stored this long before it, in milliseconds. */
 const evacuateMs = 5_000;
 
-/** Two workers in each of two zones. */
+/** An environment with two workers in each of two zones. */
 async function twoZones(plan: Parameters<typeof world.createWorld>[0]) {
 	const made = world.createWorld(plan);
 	for (const zone of ['rennes', 'brest'])
@@ -113,7 +113,7 @@
 	owner.dispatcher.close();
 });
 
-/** A list over a store in memory, and what it told. */
+/** A list that follows a store in memory, and the evacuations that it passed on. */
 function followList(fault: () => memory.StoreFault = () => 'none') {
 	const clock = time.VirtualClock.create();
 	const store = memory.MemoryStore.create(clock);
--- a/test/filling.test.ts
+++ b/test/filling.test.ts
@@ -1,4 +1,4 @@
-/** Tasks that fill: none waits for ever because of what it would disturb. */
+/** Preemptible tasks: none waits for ever because of the interference that it would cause. */
 import test from 'ava';
 import * as events from '../src/core/events/index.js';
 import * as fencing from '../src/core/dispatch/fencing-tokens.js';
@@ -12,7 +12,9 @@
 import * as workers from '../stand-ins/fleet/workers.js';
 import type * as dispatchTypes from '../src/core/dispatch/types.js';
 
-/** Users' latency target of the serving tasks, and what they report: close to it whatever stands beside them. */
+/**
+ * Latency target of the serving tasks, and the tail latency that they report: close to the target whatever runs beside them.
+ */
 const targetMs = 150;
 const tailMs = 140;
 
@@ -21,7 +23,10 @@
 	return { ms: 1_000, how: 'done', reading: 3_400 };
 }
 
-/** Two workers whose serving tasks any filling one would disturb; under half of the cores are reserved. */
+/**
+ * Two workers on which any preemptible task would interfere with the serving tasks; less than half of their cores are
+ * reserved.
+ */
 async function servingWorld(): Promise<world.TestWorld & { owner: world.TestOwner }> {
 	const made = world.createWorld(plan);
 	made.fleet.add('w1');
@@ -34,7 +39,7 @@
 	return { ...made, owner };
 }
 
-/** A session with a worker that does not answer. */
+/** A session with a worker that never answers. */
 function session(clock: time.VirtualClock, id: string): sessions.WorkerSession {
 	const fleet = workers.FakeFleet.create({ clock, maxLeaseMs: world.maxLeaseMs, plan });
 	const deps = {
@@ -98,11 +103,12 @@
 	owner.grant(on, place);
 	t.true(place.exempt);
 	t.true(owner.hasExemption(on));
-	// A tenth of ten workers is taken; after twice the wait there is one more, but not for the same step.
+	// The exemptions for a tenth of ten workers are in use; after twice the wait one more is allowed, but not to the same
+	// step.
 	t.false(owner.mayGrant(two.step, waitedMs, workers));
 	t.true(owner.mayGrant(two.step, 2 * waitedMs, workers));
 	t.false(owner.mayGrant(one.step, 2 * waitedMs, workers));
-	// One that stands still harms nobody.
+	// A paused task interferes with nobody.
 	place.pace = 0;
 	t.true(owner.mayGrant(two.step, waitedMs, workers));
 	on.free(place);
@@ -110,7 +116,10 @@
 	on.close();
 });
 
-/** Workers on which a filling task of a quarter of one keeps a third of a serving task over its target. */
+/**
+ * Workers on which a preemptible task that takes a quarter of the cores is expected to cause a third of an SLO violation:
+ * one serving task over its target for a third of the time.
+ */
 async function loadedWorld(): Promise<world.TestWorld & { owner: world.TestOwner }> {
 	const loadedTailMs = 100;
 	const made = world.createWorld((task) =>
@@ -126,7 +135,7 @@
 	return { ...made, owner };
 }
 
-/** By the first guess of its slope it raises what is busy there by a sixth. */
+/** At the initial estimate of its slope, it raises the load of a serving task beside it by a sixth. */
 const harmful = { milliCores: 8_000, fills: true, image: 'filling' };
 
 for (const count of [1, 20])
