--- a/test/address-reuse.test.ts
+++ b/test/address-reuse.test.ts
@@ -46,7 +46,7 @@
 }
 
 for (const reborn of ['w4', 'w6'])
-	test(`a successor that reads a dead entry beside the living ${reborn} at one address starts nothing twice`, async (t) => {
+	test(`a successor that reads a dead entry beside the live ${reborn} at one address starts nothing twice`, async (t) => {
 		const { made, first, living } = await rebornWorld(reborn);
 		t.is(living.running.size, 2);
 		first.dispatcher.close();
@@ -58,7 +58,7 @@
 		second.dispatcher.close();
 	});
 
-test('a worker that does not answer its successor at first keeps its tasks, whatever is listed at its address', async (t) => {
+test('a worker that does not answer the successor at first keeps its tasks, whatever is listed at its address', async (t) => {
 	const { made, first, living } = await rebornWorld('w6');
 	first.dispatcher.close();
 	made.fleet.add('w1');
@@ -84,7 +84,7 @@
 	first.dispatcher.close();
 });
 
-test('what ran in the life before is started again as soon as the next life is listed at its address', async (t) => {
+test('runs of a previous incarnation are started again as soon as the next incarnation is listed at its address', async (t) => {
 	const made = world.createWorld(long);
 	const { clock, fleet, takeOver, submit } = made;
 	const w1 = fleet.add('w1');
@@ -102,7 +102,7 @@
 	owner.dispatcher.close();
 });
 
-test('over real boxes: the owner dies while a dead entry is listed beside the living worker', async (t) => {
+test('over real boxes: the owner dies while a dead entry is listed beside the live worker', async (t) => {
 	const starts: workers.StartRecord[] = [];
 	let noteStart = (): void => undefined;
 	const journal: workers.FleetJournal = {
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -49,7 +49,7 @@
 	return { box, log };
 }
 
-test('a job waits behind its own priority and those before, and no longer than it is of use', (t) => {
+test('a job waits behind jobs of its own and higher priorities, for at most as long as its result has value', (t) => {
 	const backlog = admission.estimateBacklog(
 		new Map([
 			[2, 3_000],
@@ -72,7 +72,7 @@
 	t.is(admission.waitLimitMs({ queue: urgent, steps: short }), 2_850);
 });
 
-test('without a rate nothing is known of the backlog, and all is taken in', (t) => {
+test('without a finish rate the backlog is not estimated, and every job is accepted', (t) => {
 	const rate = admission.FinishRate.create();
 	t.is(rate.tasksPerS, undefined);
 	// The first seconds of a burst: many tasks wait, and few have finished yet.
@@ -88,7 +88,7 @@
 	t.deepEqual(admission.estimateBacklog(new Map([[0, 10_000]]), rate.tasksPerS), []);
 });
 
-test('a load that goes on above what can be started: the backlog stays bounded, urgent work is never refused', (t) => {
+test('under a lasting overload the backlog stays bounded, and urgent jobs are never refused', (t) => {
 	const rate = admission.FinishRate.create();
 	const perS = 110;
 	const owed = new Map<number, number>([
@@ -119,7 +119,7 @@
 	t.true(longest < 16, `the backlog came to ${longest.toFixed(1)} s`);
 });
 
-test('callers come back by what they wait for, spread, those of urgent queues first', (t) => {
+test('the time to retry follows the cause of the refusal, is spread, and is shorter for urgent queues', (t) => {
 	const { retryAfterS } = admission;
 	t.is(retryAfterS({ type: 'outage', ageMs: 0 }, 2, 0), 1);
 	t.is(retryAfterS({ type: 'outage', ageMs: 4_000 }, 0, 1), 1);
@@ -131,7 +131,7 @@
 	t.is(retryAfterS({ type: 'backlog', excessMs: 600_000 }, 2, 0), 30);
 });
 
-test('a job that is turned away is not stored; one that was stored before is never called refused', async (t) => {
+test('a refused job is not stored; one that was stored before is never reported as refused', async (t) => {
 	const clock = time.VirtualClock.create();
 	const store = memory.MemoryStore.create(clock);
 	let backlog: admission.Backlog = [];
--- a/test/advice.test.ts
+++ b/test/advice.test.ts
@@ -40,15 +40,15 @@
 	t.is(await play({ count: 17, gang: true }), 'completed');
 });
 
-test('a step that may have few tasks on a worker is done beyond the good workers of one answer', async (t) => {
+test('a step that may have few tasks on a worker completes on more good workers than one answer names', async (t) => {
 	t.is(await play({ count: 25, milliCores: 100, maxPerWorker: 1 }), 'completed');
 });
 
-test('a step of as many tasks as there are good workers is done', async (t) => {
+test('a step with as many tasks as there are good workers completes', async (t) => {
 	t.is(await play({ count: 30 }), 'completed');
 });
 
-test('the adviser hears the names of workers, and its tickets are for the lives that were asked about', async (t) => {
+test('the adviser is sent the names of workers, and its tickets are for the incarnations that were asked about', async (t) => {
 	const asked: unknown[] = [];
 	const body = { good: [['i-2', 'a ticket']], validity_ms: 5_000 };
 	const client: Pick<http.JsonClient, 'send'> = {
--- a/test/beliefs.test.ts
+++ b/test/beliefs.test.ts
@@ -106,7 +106,7 @@
 	return { made, end };
 }
 
-test('a hand-in repeated at a box of the new owner does not start what runs on a worker that has not answered', async (t) => {
+test('a submission repeated at a box of the new owner does not start a task that runs on a worker that has not answered', async (t) => {
 	const { made, end } = await handInTwice({ isCut: () => true, fault: () => 'none' });
 	t.deepEqual(
 		made.fleet.starts.slice(0, 1).map((one) => [one.worker, one.epoch]),
@@ -116,7 +116,7 @@
 	end();
 });
 
-test('a repeated hand-in tells the owner the record that is stored, or nothing', async (t) => {
+test('a repeated submission sends the owner the record that is stored, or nothing', async (t) => {
 	const made = world.createWorld(long);
 	const told: number[] = [];
 	let generation = 1;
@@ -133,7 +133,7 @@
 	t.deepEqual([...new Set(told)], [1]);
 });
 
-test('tasks on a worker that is silent for seconds do not count as at work when another worker is emptied', async (t) => {
+test('tasks on a worker that has been unresponsive for seconds do not count as working when another worker is vacated', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(long);
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
@@ -155,7 +155,7 @@
 	return world.job('timed', [world.step({ milliCores: 20_000 })], { schedule });
 }
 
-test('the end of a scheduled task is not forgotten by an owner whose wall clock is behind', async (t) => {
+test('the exit of a scheduled task is not lost under an owner whose wall clock is behind', async (t) => {
 	const made = world.createWorld(half);
 	const { clock, fleet, takeOver, submit } = made;
 	fleet.add('w1');
@@ -172,7 +172,7 @@
 	second.dispatcher.close();
 });
 
-test('a scheduled run goes on under an owner whose wall clock is behind', async (t) => {
+test('a scheduled run continues under an owner whose wall clock is behind', async (t) => {
 	const made = world.createWorld(long);
 	const { clock, fleet, takeOver, submit } = made;
 	const w1 = fleet.add('w1');
@@ -197,7 +197,7 @@
 	return world.job('many', [world.step({ count: many, milliCores: 40, memoryMb: 1 })]);
 }
 
-test('a run that a full report does not list may have ended', async (t) => {
+test('a run that a full report does not list may have exited', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 3_000, how: 'done' }));
 	fleet.add('w1');
 	const owner = await takeOver();
@@ -208,7 +208,7 @@
 	owner.dispatcher.close();
 });
 
-test('a successor starts nothing whose end a full first report leaves out', async (t) => {
+test('a successor starts no task whose exit a full first report omits', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 3_000, how: 'done' }));
 	fleet.add('w1');
 	const first = await takeOver();
@@ -223,7 +223,7 @@
 	second.dispatcher.close();
 });
 
-test('a job that could not be cleared away is not run again when the store is listed anew', async (t) => {
+test('a job whose record could not be deleted is not run again when the store is listed again', async (t) => {
 	let fault: memory.StoreFault = 'none';
 	const { clock, fleet, store, takeOver, submit } = world.createWorld(half);
 	fleet.add('w1');
@@ -242,7 +242,7 @@
 	owner.dispatcher.close();
 });
 
-test('another worker at the address that a living one had before is no proof of its end', async (t) => {
+test('another worker at the previous address of a live one does not prove that the live one is gone', async (t) => {
 	const made = world.createWorld(long);
 	const { clock, fleet, takeOver, submit } = made;
 	const w1 = fleet.add('w1');
--- a/test/broken-log.test.ts
+++ b/test/broken-log.test.ts
@@ -13,7 +13,7 @@
 	await closed;
 }
 
-test('a box whose log is read by nobody any more goes on serving, and ends as planned', async (t) => {
+test('a box whose log is no longer read continues to serve, and stops with status 0', async (t) => {
 	const { start } = await real.setUp(t);
 	const box = await start('entry-1');
 	await breakOff(box.process.stdout);
@@ -24,7 +24,7 @@
 	t.is(await box.kill('SIGTERM'), 0);
 });
 
-test('a process goes on when neither its lines nor its errors are read any more', async (t) => {
+test('a process continues when neither its standard output nor its standard error is read any more', async (t) => {
 	const child = childProcess.spawn(process.execPath, ['dist/test/fixtures/line-writer.js'], {
 		stdio: ['ignore', 'pipe', 'pipe', 'ipc'],
 	});
--- a/test/call-repeater.test.ts
+++ b/test/call-repeater.test.ts
@@ -27,7 +27,7 @@
 	return { ...made, owner, one };
 }
 
-test('a question that is carried out late is asked once more, long before it is given up', async (t) => {
+test('a report request that is carried out late is repeated long before it times out', async (t) => {
 	const { clock, owner, one } = await besideLasting();
 	const hold = one.hold.bind(one);
 	let askedAt = clock.now();
@@ -48,7 +48,7 @@
 	owner.dispatcher.close();
 });
 
-test('starts that are carried out late are sent again long before they are given up', async (t) => {
+test('starts that are carried out late are repeated long before they time out', async (t) => {
 	const { clock, fleet, owner, submit } = await besideLasting();
 	const count = 2 * workerCount;
 	const before = fleet.starts.length;
@@ -71,7 +71,7 @@
 	owner.dispatcher.close();
 });
 
-test('an owner whose processor is full repeats nothing', async (t) => {
+test('an owner whose processor is saturated repeats nothing', async (t) => {
 	const { clock, fleet, takeOverBusy, submit } = world.createWorld(() => ({ ms: 300, how: 'done' }));
 	for (let number = 0; number < 200; number += 1) fleet.add(`w${String(number)}`);
 	const { owner, processor } = await takeOverBusy({ send: 1, answer: 2 });
@@ -83,12 +83,12 @@
 		longestMs = Math.max(longestMs, processor.queueMs);
 		repeats += owner.dispatcher.load().repeats;
 	}
-	t.true(longestMs > 200, 'the processor was full');
+	t.true(longestMs > 200, 'the processor was saturated');
 	t.is(repeats, 0);
 	owner.dispatcher.close();
 });
 
-test('where no worker answers any more, a few are asked once more', async (t) => {
+test('when no worker answers any more, only the requests to a few are repeated', async (t) => {
 	const { clock, fleet, owner } = await besideLasting();
 	for (const worker of fleet.workers.values()) worker.fault = 'silent';
 	await clock.pass(settings.pollWaitMs + givenUpAfterMs + 200);
@@ -97,7 +97,7 @@
 	owner.dispatcher.close();
 });
 
-test('a worker that stays silent is asked no more than a few times for each question', async (t) => {
+test('a request to a worker that stays unresponsive is repeated a few times at most', async (t) => {
 	const { clock, owner, one } = await besideLasting();
 	one.fault = 'silent';
 	await clock.pass(settings.pollWaitMs + givenUpAfterMs + 200);
@@ -108,7 +108,7 @@
 	owner.dispatcher.close();
 });
 
-test('answers are unusually late above four times what they vary by', (t) => {
+test('answers are unusually late beyond their smoothed delay and four times its variation', (t) => {
 	const known = delays.AnswerDelays.create();
 	for (let number = 0; number < 100; number += 1) known.addSample(100);
 	t.true(known.usualDelayMs > 99 && known.usualDelayMs < 110);
--- a/test/cancelled-runs.test.ts
+++ b/test/cancelled-runs.test.ts
@@ -28,7 +28,7 @@
 	owner.dispatcher.close();
 });
 
-test('what a removed owner started is stopped by its successor if the job was cancelled meanwhile', async (t) => {
+test('a run that a replaced owner started is stopped by its successor if the job was cancelled meanwhile', async (t) => {
 	const { clock, store, fleet, takeOver, submit } = world.createWorld(() => long);
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
@@ -46,7 +46,7 @@
 	second.dispatcher.close();
 });
 
-test('a lasting task is not started if its job is cancelled while its worker is being stored', async (t) => {
+test('a long-running task is not started if its job is cancelled while its worker is being stored', async (t) => {
 	let fault: 'none' | 'down' = 'none';
 	const { clock, fleet, takeOver, submit } = world.createWorld(() => long);
 	fleet.add('w1');
@@ -62,7 +62,7 @@
 	owner.dispatcher.close();
 });
 
-test('a run of a cancelled job that a successor finds keeps its room until it has ended', async (t) => {
+test('a run of a cancelled job that a successor finds keeps its capacity until it has exited', async (t) => {
 	const { clock, store, fleet, takeOver, submit } = world.createWorld(() => long);
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -94,7 +94,7 @@
 	}
 }
 
-test('a wait that goes silent at any time puts a confirmed configuration out of force for no longer than allowed', async (t) => {
+test('a long poll that stops responding at any time does not delay a confirmed configuration beyond the time limit', async (t) => {
 	for (const applyMs of bounds)
 		for (let phaseMs = 0; phaseMs < applyMs; phaseMs += 125) {
 			const followed = Followed.create(applyMs);
@@ -102,11 +102,15 @@
 			followed.isSilent = true;
 			followed.write(2);
 			await followed.clock.pass(applyMs);
-			t.is(followed.follower.version, 2, `${String(applyMs)} ms allowed, silent after ${String(phaseMs)}`);
+			t.is(
+				followed.follower.version,
+				2,
+				`${String(applyMs)} ms allowed, unresponsive after ${String(phaseMs)}`,
+			);
 		}
 });
 
-test('a configuration that the store does not confirm in time is logged, again and again, until it is', async (t) => {
+test('a configuration that the store does not confirm in time is logged repeatedly until it is confirmed', async (t) => {
 	const followed = Followed.create(2_000);
 	await followed.clock.pass(3_000);
 	t.is(followed.logged('config.unconfirmed'), 0);
@@ -125,7 +129,7 @@
 	throw new Error('the owner is asked though the store answers');
 }
 
-test('a change that no wait brought is found as soon as another box tells of it', async (t) => {
+test('a change that no long poll returned is found as soon as another box advertises it', async (t) => {
 	for (const tell of [
 		(followed: Followed) =>
 			void followed.follower.onAdvertised({ version: 2, ageMs: 0 }, followed.clock.now(), never),
@@ -137,7 +141,7 @@
 		followed.write(2);
 		await followed.clock.pass(3_000);
 		t.is(followed.follower.version, 1);
-		t.false(followed.follower.mayBeStale, 'the store answers, so nothing tells this box');
+		t.false(followed.follower.mayBeStale, 'the store answers, so nothing indicates the missed change');
 		tell(followed);
 		t.true(followed.follower.mayBeStale);
 		await followed.clock.pass(2 * slowAnswerMs);
@@ -146,7 +150,7 @@
 	}
 });
 
-test('where the list does not bring what the owner told of, the owner gives it', async (t) => {
+test('when the list does not return the version that the owner advertised, the box fetches it from the owner', async (t) => {
 	const followed = Followed.create(2_000);
 	await followed.clock.pass(500);
 	const { follower, clock } = followed;
@@ -161,7 +165,7 @@
 	t.is(followed.follower.version, 2);
 });
 
-test('without the store a box takes over what the owner gives, and what it confirms', async (t) => {
+test('without the store a box applies the configuration that the owner sends, and relies on its confirmation', async (t) => {
 	const followed = Followed.create(2_000);
 	await followed.clock.pass(500);
 	followed.isDown = true;
@@ -172,10 +176,10 @@
 	await follower.onAdvertised({ version: 1, ageMs: 300 }, clock.now() - 500, () =>
 		Promise.resolve(configurations.stored(9)),
 	);
-	t.is(follower.ageMs, 800, 'as old as the owner says, and as the answer may be');
+	t.is(follower.ageMs, 800, 'the age that the owner reports, and the time since the request was sent');
 	t.false(follower.mayBeStale);
 	await follower.onAdvertised({ version: 2, ageMs: 300 }, clock.now(), () => Promise.resolve(undefined));
-	t.true(follower.mayBeStale, 'the owner gave nothing');
+	t.true(follower.mayBeStale, 'the owner sent nothing');
 	await follower.onAdvertised({ version: 2, ageMs: 300 }, clock.now(), () =>
 		Promise.resolve(configurations.stored(2)),
 	);
@@ -184,10 +188,10 @@
 	await follower.onAdvertised({ version: 3, ageMs: 300 }, clock.now(), () =>
 		Promise.resolve(configurations.stored(1)),
 	);
-	t.is(followed.follower.version, 2, 'never back');
+	t.is(followed.follower.version, 2, 'an older version is never applied');
 });
 
-test('an owner gives a large configuration to one box after another', (t) => {
+test('an owner sends a large configuration to one box after another', (t) => {
 	let now = 0;
 	const shared = sharing.SharingRateLimit.create(() => now);
 	const large = Buffer.alloc(350_000);
@@ -198,12 +202,12 @@
 	t.truthy(shared.tryShare(large));
 });
 
-test('a wait of the owner that goes silent is repeated before its box counts as in touch again', (t) => {
+test('a long poll of the owner that stops responding is repeated before its box counts as in contact again', (t) => {
 	const contactMs = 3_000;
 	t.true(limits.ownerLongPollMs + limits.longPollGraceMs + slowAnswerMs < contactMs);
 });
 
-test('a box that was suspended is in doubt of its configuration until that is confirmed', async (t) => {
+test('the configuration of a box that was suspended may be stale until it is confirmed', async (t) => {
 	const followed = Followed.create(2_000);
 	await followed.clock.pass(1_000);
 	t.false(followed.follower.mayBeStale);
--- a/test/crash-history.test.ts
+++ b/test/crash-history.test.ts
@@ -30,7 +30,7 @@
 	return starts;
 }
 
-test('one start less than the bound allows is left, as one crash may have gone uncounted', (t) => {
+test('one start fewer than the limit allows is left, as one crash may not have been counted', (t) => {
 	const history = jobs.CrashHistory.create();
 	for (const run of [1, 2, 3]) {
 		history.noteTry(run, 'w1');
@@ -42,7 +42,7 @@
 	t.is(history.abandonReason, 'too many to go on, whatever the cause');
 });
 
-test('two runs that may have ended before their workers went down count as one crash', (t) => {
+test('two runs that may have exited before their workers crashed count as one crash', (t) => {
 	const history = jobs.CrashHistory.create();
 	for (const run of [1, 2, 3, 4, 5, 6, 7]) {
 		history.noteTry(run, 'w1');
@@ -56,7 +56,7 @@
 	t.is(history.crashed, 2);
 });
 
-test('a stored start that is nowhere counts by what became of the worker that it names', (t) => {
+test('a stored start whose run is nowhere counts by what happened to the worker that it names', (t) => {
 	const stored = {
 		crashed: [1],
 		blamed: [],
@@ -73,7 +73,7 @@
 	t.deepEqual({ crashed, tries, doubtful }, { crashed: [1, 2], tries: [4, 5], doubtful: [3] });
 });
 
-test('whatever becomes of them, no more than two starts follow the third crash', (t) => {
+test('whatever the outcomes of the runs, at most two starts follow the third crash', (t) => {
 	const run = fc.property(fc.array(outcome, { maxLength: 20 }), (outcomes) => {
 		return startsAfterThirdCrash(outcomes) <= startsAfterBound;
 	});
--- a/test/crashing-tasks.test.ts
+++ b/test/crashing-tasks.test.ts
@@ -94,7 +94,7 @@
 	['at once', 10],
 	['after a while', 900],
 ] as const)
-	test(`a task that crashes each worker ${title} is given up, and jobs beside it are done`, async (t) => {
+	test(`a task that crashes each worker ${title} is abandoned, and other jobs are completed`, async (t) => {
 		const made = createWorld(crashMs);
 		const reign = await Reign.begin(made);
 		await made.submit(reign.owner, world.job('bad', [world.step()]));
@@ -106,7 +106,7 @@
 		reign.close();
 	});
 
-test('a task that crashes each worker at once is given up after the second crash', async (t) => {
+test('a task that crashes each worker at once is abandoned after the second crash', async (t) => {
 	const made = createWorld(10);
 	const reign = await Reign.begin(made);
 	await made.submit(reign.owner, world.job('bad', [world.step()]));
@@ -116,7 +116,7 @@
 	reign.close();
 });
 
-test('a successor goes on counting, whenever its predecessor dies', async (t) => {
+test('a successor continues the count of crashes, whenever its predecessor dies', async (t) => {
 	for (const crashMs of [10, 900])
 		for (const reignMs of [400, 1_700, 2_900, 5_000]) {
 			const made = createWorld(crashMs);
@@ -134,7 +134,7 @@
 		}
 });
 
-test('a crash that no owner saw counts, though the next owner dies before it starts the task again', async (t) => {
+test('a crash that no owner observed counts, even if the next owner dies before it starts the task again', async (t) => {
 	const made = createWorld(300);
 	const reign = await Reign.begin(made);
 	await made.submit(reign.owner, world.job('bad', [world.step()]));
@@ -155,11 +155,11 @@
 	await reign.change();
 	await made.clock.pass(soundWithinMs);
 	t.is(reign.owner.dispatcher.stateOf('bad'), 'failed');
-	t.is(crashes.historyOf(made, 'bad.0.0.0').crashes, 4, 'the one that nobody saw among them');
+	t.is(crashes.historyOf(made, 'bad.0.0.0').crashes, 4, 'including the one that no owner observed');
 	reign.close();
 });
 
-test('several tasks that crash their workers, handed in with everything else, are each given up', async (t) => {
+test('several tasks that crash their workers, submitted among other jobs, are each abandoned', async (t) => {
 	const made = createWorld(10);
 	const reign = await Reign.begin(made);
 	const bad = ['bad0', 'bad1', 'bad2'];
@@ -172,7 +172,7 @@
 	reign.close();
 });
 
-test('a lasting task that crashes each worker is given up', async (t) => {
+test('a long-running task that crashes each worker is abandoned', async (t) => {
 	const made = createWorld(10);
 	const reign = await Reign.begin(made);
 	await made.submit(reign.owner, world.job('bad', [world.step({ lasting: true })]));
@@ -184,7 +184,7 @@
 	reign.close();
 });
 
-test('a gang of which one member crashes its worker is given up', async (t) => {
+test('a gang of which one member crashes its worker is abandoned', async (t) => {
 	const made = createWorld(10);
 	const reign = await Reign.begin(made);
 	await made.submit(reign.owner, world.job('half', [world.step({ count: 3, gang: true })]));
@@ -194,7 +194,7 @@
 	reign.close();
 });
 
-test('a job of many tasks that crash their workers does not take the workers down again and again', async (t) => {
+test('a job of many tasks that crash their workers does not crash the workers again and again', async (t) => {
 	const made = createWorld(10);
 	const reign = await Reign.begin(made);
 	await made.submit(reign.owner, world.job('bad', [world.step({ count: 200 })]));
@@ -206,7 +206,7 @@
 });
 
 for (const dark of [false, true])
-	test(`workers that crash by chance, ${dark ? 'without power' : 'alone or three at a time'}, cost no job`, async (t) => {
+	test(`workers that crash at random, ${dark ? 'without power' : 'alone or three at a time'}, make no job fail`, async (t) => {
 		const draw = random.seeded(dark ? 2 : 1);
 		const made = createWorld(10);
 		const { clock, fleet } = made;
@@ -229,7 +229,7 @@
 		reign.close();
 	});
 
-test('a caller is told why a job has failed, by its owner and by the store', async (t) => {
+test('the reason why a job has failed is available from its owner and from the store', async (t) => {
 	const made = createWorld(10);
 	const reign = await Reign.begin(made);
 	await made.submit(reign.owner, world.job('bad', [world.step()]));
@@ -243,7 +243,7 @@
 	reign.close();
 });
 
-test('starts that were never sent, as their owners died, are not held against a task', async (t) => {
+test('starts that were never sent, because their owners died, do not count against a task', async (t) => {
 	const made = createWorld(10, 500);
 	const { clock, fleet } = made;
 	let owner = await made.takeOver();
--- a/test/decoders.test.ts
+++ b/test/decoders.test.ts
@@ -91,7 +91,7 @@
 	t.pass();
 });
 
-test('jobs that callers hand in', (t) => {
+test('jobs that callers submit', (t) => {
 	const property = fc.property(written(job), (value) => {
 		const decoded = jobBody.decodeJob(value);
 		if (!decoded.ok) return;
@@ -101,7 +101,7 @@
 	t.pass();
 });
 
-test('any bytes as JSON', (t) => {
+test('arbitrary bytes as JSON', (t) => {
 	fc.assert(
 		fc.property(fc.uint8Array(), (value) => {
 			t.notThrows(() => json.parseJson(value));
@@ -110,14 +110,14 @@
 	);
 });
 
-test('a configuration whose last queue was dropped is taken, however its empty lists are written', (t) => {
+test('a configuration whose last queue was removed is accepted, however its empty lists are written', (t) => {
 	for (const empty of [{}, { routes: null, services: null }, { routes: [], services: [] }]) {
 		const decoded = configuration.decodeConfiguration(configurations.stored(8, empty));
 		t.true(decoded.ok && decoded.value.routes.length === 0, JSON.stringify(empty));
 	}
 });
 
-test('fields of a queue or a pool that are null count as left out', (t) => {
+test('fields of a queue or a pool that are null count as absent', (t) => {
 	const route = { name: 'r', host: 'h', path_prefix: '/p/' };
 	const nulls = { slo_ms: null, priority: null, service: null, attempts: null, stretch: null };
 	const left = configuration.decodeConfiguration(
@@ -133,7 +133,7 @@
 	t.deepEqual(written, left);
 });
 
-test('a queue that can not be read does not keep the others of its version out of force', (t) => {
+test('a queue that cannot be decoded does not keep the others of its version from taking effect', (t) => {
 	const good = { name: 'r', host: 'h', path_prefix: '/p/' };
 	const decoded = configuration.decodeConfiguration(
 		configurations.stored(8, { routes: [good, { name: 'bad' }], services: [] }),
--- a/test/doubtful-configuration.test.ts
+++ b/test/doubtful-configuration.test.ts
@@ -30,11 +30,11 @@
 	return [res.statusCode, res.headers['retry-after']];
 }
 
-test('a queue that is not known is called unknown only by a configuration that is confirmed', async (t) => {
+test('a box answers that a queue is unknown only if its configuration is confirmed', async (t) => {
 	t.deepEqual(await ask(false, '/added/'), [404, undefined]);
 	t.deepEqual(await ask(true, '/added/'), [503, '1']);
 });
 
-test('a queue that is known is served whatever the age of the configuration', async (t) => {
+test('a known queue is served whatever the age of the configuration', async (t) => {
 	t.deepEqual(await ask(true, '/known/'), [200, undefined]);
 });
--- a/test/filling.test.ts
+++ b/test/filling.test.ts
@@ -66,7 +66,7 @@
 	return sessions.WorkerSession.create({ id, address: `${id}:1` }, undefined, deps, handlers, -Infinity);
 }
 
-test('a filling step that would disturb serving tasks on every worker is done in the end', async (t) => {
+test('a preemptible step that would interfere with serving tasks on every worker completes in the end', async (t) => {
 	const { clock, submit, owner } = await servingWorld();
 	const filling = { count: 9, milliCores: 3_400, fills: true, image: 'filling', checkpoints: true };
 	await submit(owner, world.job('filling', [world.step(filling)]));
@@ -75,7 +75,7 @@
 	owner.dispatcher.close();
 });
 
-test('so is a gang that fills', async (t) => {
+test('a preemptible gang that would interfere with serving tasks on every worker completes in the end', async (t) => {
 	const { clock, submit, owner } = await servingWorld();
 	const gang = { count: 2, milliCores: 3_400, fills: true, gang: true, image: 'filling' };
 	await submit(owner, world.job('filling', [world.step(gang)]));
@@ -84,7 +84,7 @@
 	owner.dispatcher.close();
 });
 
-test('few tasks are exempt at once: one of a step, one on a worker, a tenth of the workers, more with the wait', (t) => {
+test('few tasks are exempt at once: one of a step, one on a worker, on a tenth of the workers, on more after a longer wait', (t) => {
 	const clock = time.VirtualClock.create();
 	const owner = exemptions.InterferenceExemptions.create();
 	const steps = [1, 2, 3].map((number) => {
@@ -139,7 +139,7 @@
 const harmful = { milliCores: 8_000, fills: true, image: 'filling' };
 
 for (const count of [1, 20])
-	test(`of ${String(count)} filling tasks that wait, the first is placed after a few seconds of harm that is put up with`, async (t) => {
+	test(`of ${String(count)} waiting preemptible tasks, the first is placed after a few seconds, once its interference is tolerated`, async (t) => {
 		const { clock, fleet, owner, submit } = await loadedWorld();
 		const before = fleet.starts.length;
 		await submit(owner, world.job('filling', [world.step({ ...harmful, count })]));
--- a/test/hanging-runs.test.ts
+++ b/test/hanging-runs.test.ts
@@ -1,19 +1,22 @@
-/** Sound runs were stopped as hanging, and their workers set aside, while questions to those workers had no answer. */
+/**
+ * Guards against runs that are stopped as hung, and their workers quarantined, although they make progress: the report
+ * requests to those workers have no answer meanwhile.
+ */
 import test from 'ava';
 import * as results from '../src/core/result.js';
 import * as settings from '../src/core/dispatch/settings.js';
 import * as world from './fixtures/dispatching.js';
 
-/** Questions have no answer for so long, in milliseconds. */
+/** How long report requests have no answer, in milliseconds. */
 const unheardMs = 2 * settings.hungAfterMs;
 
-/** Stops of runs that were taken for hanging. */
+/** Number of stops of runs that were presumed hung. */
 function hanging(owner: world.TestOwner): number {
 	const stops = owner.events.select(({ name }) => name === 'task.stop');
 	return stops.filter(({ fields }) => fields.reason === 'hangs').length;
 }
 
-/** A worker whose runs report that progress, with orders to it that are answered all the while. */
+/** A worker whose runs report this progress; commands to it are answered all the while. */
 async function runOne(percent: number) {
 	const made = world.createWorld((task) => ({
 		ms: task.startsWith('brief') ? 100 : 60_000,
@@ -34,7 +37,7 @@
 	return { ...made, w1, owner, orders };
 }
 
-test('a run is not taken for hanging while nothing is heard of it', async (t) => {
+test('a run is not presumed hung while nothing is reported of it', async (t) => {
 	const made = await runOne(40);
 	const { clock, w1, owner, orders } = made;
 	const hold = w1.hold.bind(w1);
@@ -48,7 +51,7 @@
 	owner.dispatcher.close();
 });
 
-test('a run that a worker reports again and again without progress is taken for hanging', async (t) => {
+test('a run that a worker repeatedly reports without progress is presumed hung', async (t) => {
 	const made = await runOne(40);
 	await made.submit(made.owner, world.job('job1', [world.step()]));
 	await made.orders(2 * settings.hungAfterMs);
--- a/test/harm-under-faults.test.ts
+++ b/test/harm-under-faults.test.ts
@@ -1,20 +1,24 @@
 /**
- * Seeded plays of users beside batch work, while workers are silent, lose answers and carry orders out late and owners
- * change: what fills never keeps a task over its target for longer than users allow once its worker is in touch.
+ * Seeded runs of serving tasks beside preemptible ones, while workers become unresponsive, lose answers and carry out
+ * commands late, and owners change. Preemptible tasks must not keep a serving task over its target for longer than users
+ * allow, once its worker is in contact again.
  */
 import test from 'ava';
 import * as random from '../dev/random.js';
 import * as world from './fixtures/dispatching.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-/** Users' latency target, and the longest that a task may stay over it by what fills beside it, in milliseconds. */
+/** Users' latency target, and the longest time that preemptible tasks may keep a serving task over it, in milliseconds. */
 const targetMs = 150;
 const harmMs = 4_000;
 
-/** A stretch counts if the worker had no fault for so long, in milliseconds. */
+/** A period over the target counts once the worker has had no fault for this long, in milliseconds. */
 const contactMs = 4_000;
 
-/** Tail of a serving task that nothing disturbs, and how much each loud neighbour adds to it at full pace. */
+/**
+ * Tail latency of a serving task without interference, in milliseconds, and the multiple of it that each `loud` neighbour at
+ * full pace adds.
+ */
 const calmTailMs = 60;
 const loudness = 2;
 
@@ -23,22 +27,24 @@
 const settleMs = 4_000;
 const lookMs = 50;
 
-/** What happens to workers, each for up to so long, in milliseconds. */
+/** Faults of workers, and the longest time that each lasts, in milliseconds. */
 const faults = ['silent', 'lost', 'late', 'delays-paces', 'ignores-stops'] as const;
 const mostFaultMs = 3_000;
 
-/** Between two faults, two jobs that fill and two changes of the owner, in milliseconds at most. */
+/** Maximum intervals between two faults, two preemptible jobs and two changes of the owner, in milliseconds. */
 const mostFaultGapMs = 2_500;
 const mostJobGapMs = 500;
 const mostOwnerGapMs = 30_000;
 
-/** How a worker stands, as the judge sees it. */
+/** The checker's state of one worker. */
 interface Watched {
-	/** Since when its users have been over their target beside work that fills; undefined: they are not. */
+	/**
+	 * Since when its serving tasks have been over their target beside running preemptible tasks; undefined: they are not.
+	 */
 	overSince: number | undefined;
-	/** What disturbed them at the last look. */
+	/** Preemptible runs that interfered with them at the last check. */
 	disturbing: readonly string[];
-	/** Until when a fault lasts. */
+	/** When the latest fault ends. */
 	faultUntil: number;
 }
 
@@ -49,7 +55,7 @@
 	else worker.fault = isOn ? fault : 'none';
 }
 
-/** Runs that fill and work beside users of a worker that are over their target; none: they are not. */
+/** Preemptible runs at work beside serving tasks that are over their target; empty if none is over its target. */
 function disturbingOn(worker: workers.FakeWorker): string[] {
 	const isOver = worker
 		.report()
@@ -59,7 +65,7 @@
 	return working.map(([task, { run }]) => `${task}#${String(run)}`);
 }
 
-/** Plays one seed; returns what the judge saw. */
+/** Runs one seed; returns the SLO violations that were too long. */
 async function play(seed: number): Promise<string[]> {
 	const next = random.seeded(seed);
 	const made = world.createWorld((task) => {
@@ -102,7 +108,7 @@
 	return seen;
 }
 
-/** Something happens to a worker for a while. */
+/** Injects a fault into a worker for some time. */
 function disturb(
 	clock: world.TestWorld['clock'],
 	watched: ReadonlyMap<workers.FakeWorker, Watched>,
@@ -118,7 +124,7 @@
 	state.faultUntil = Math.max(state.faultUntil, clock.now() + forMs);
 }
 
-/** A job whose tasks fill, and disturb users or do not. */
+/** A job of preemptible tasks that interfere with serving tasks or do not. */
 function fillingJob(number: number, next: () => number): ReturnType<typeof world.job> {
 	const image = next() < 0.5 ? 'loud' : 'quiet';
 	const count = random.between(next, 1, 6);
@@ -132,7 +138,8 @@
 
 function judge(worker: workers.FakeWorker, state: Watched, now: number, seen: string[]): void {
 	const disturbing = disturbingOn(worker);
-	// Where all of them have gone, the users were under their target before others came: these tails follow at once.
+	// If none of the previous ones is left, the serving tasks were under their target before the others came: these tails
+	// change at once.
 	const goesOn = disturbing.some((run) => state.disturbing.includes(run));
 	state.overSince = disturbing.length === 0 ? undefined : goesOn ? state.overSince : now;
 	state.disturbing = disturbing;
@@ -141,10 +148,10 @@
 	if (overMs >= harmMs && isInTouch) seen.push(`${worker.name} at ${String(now)}: for ${String(overMs)} ms`);
 }
 
-/** The first seeds; as many as the variable says, by hand. */
+/** Seeds 1 to 24; the variable sets another number for runs by hand. */
 const seeds = Array.from({ length: Number(process.env.WOODCROSS_HARM_SEEDS ?? 24) }, (_, index) => index + 1);
 
 for (const seed of seeds)
-	test(`users are not harmed beside batch work under faults, seed ${String(seed)}`, async (t) => {
+	test(`preemptible tasks keep no serving task over its target for too long under faults, seed ${String(seed)}`, async (t) => {
 		t.deepEqual(await play(seed), []);
 	});
--- a/test/harm.test.ts
+++ b/test/harm.test.ts
@@ -1,26 +1,26 @@
 /**
- * A task that serves users stayed over its target for 4.5 s by what filled beside it, which worked on. Bounds are the
- * users' `harm_ms`; what is judged is whether what fills still works by then.
+ * Guards against preemptible tasks that keep working beside a serving task over its latency target: one kept it over the
+ * target for 4.5 s. The limit is the users' `harm_ms`; the tests check whether preemptible tasks still work by then.
  */
 import test from 'ava';
 import * as world from './fixtures/dispatching.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 
-/** Users' latency target, and the longest that a task may stay over it by what fills beside it, in milliseconds. */
+/** Users' latency target, and the longest time that preemptible tasks may keep a serving task over it, in milliseconds. */
 const targetMs = 150;
 const harmMs = 4_000;
 
-/** Tails of a task that is idle, at work and over its target. */
+/** Tail latency of a serving task that is idle, at work under its target, and over its target, in milliseconds. */
 const idleTailMs = 25;
 const calmTailMs = 60;
 const highTailMs = 400;
 
-/** So long a task is to be under its target before what fills beside it goes on, in milliseconds. */
+/** How long a serving task has to be under its target before the preemptible tasks beside it continue, in milliseconds. */
 const calmMs = 700;
 
 const workerCount = 4;
 
-/** Workers with a serving task each and two that fill beside it and have not disturbed it so far. */
+/** Workers with one serving task each and two preemptible tasks beside it that have not interfered with it so far. */
 async function besideServing(restoreMs?: number, fault?: () => memory.StoreFault) {
 	const made = world.createWorld((task) => {
 		if (task.startsWith('serving')) return { ms: 'endless', how: 'done', reading: idleTailMs };
@@ -36,7 +36,7 @@
 	const runs = [...fleet.workers.values()].flatMap((worker) => [...worker.running]);
 	const served = runs.map(([, run]) => run);
 	for (const one of served) one.reading = calmTailMs;
-	// Their load has to be known before what stands beside them can be told from it.
+	// The load of the serving tasks has to be known before interference can be told from it.
 	await clock.pass(60_000);
 	const beside = { milliCores: 1_600, image: 'filling', fills: true, checkpoints: true, maxPerWorker: 2 };
 	await made.submit(owner, world.job('filling', [world.step({ ...beside, count: 2 * workerCount })]));
@@ -47,16 +47,16 @@
 	const setTail = (ms: number): void => {
 		serving.reading = ms;
 	};
-	/** Tasks that fill beside the one whose tail is set, and work. */
+	/** Preemptible tasks that work beside the serving task whose tail is set. */
 	const working = (): string[] =>
 		[...harmed.running]
 			.filter(([task, one]) => !task.startsWith('serving') && one.pace > 0)
 			.map(([task]) => task);
-	if (working().length !== 2) throw new Error('the filling tasks do not run');
+	if (working().length !== 2) throw new Error('the preemptible tasks do not run');
 	return { ...made, owner, harmed, setTail, working };
 }
 
-test('what fills stands still before a task beside it is harmed', async (t) => {
+test('preemptible tasks are paused before a serving task is over its target for too long', async (t) => {
 	const { clock, owner, setTail, working } = await besideServing();
 	setTail(highTailMs);
 	await clock.pass(harmMs);
@@ -67,7 +67,7 @@
 	owner.dispatcher.close();
 });
 
-test('what an earlier owner let fill at full pace stands still before a task beside it is harmed', async (t) => {
+test('preemptible tasks that a previous owner ran at full pace are paused before a serving task is over its target for too long', async (t) => {
 	const { clock, owner, takeOver, setTail, working } = await besideServing();
 	owner.dispatcher.close();
 	setTail(highTailMs);
@@ -77,7 +77,7 @@
 	next.dispatcher.close();
 });
 
-test('what fills stands still in time beside a task that a new owner finds over its target', async (t) => {
+test('preemptible tasks are paused in time beside a serving task that a new owner finds over its target', async (t) => {
 	const { clock, owner, takeOver, setTail, working } = await besideServing();
 	owner.dispatcher.close();
 	setTail(highTailMs);
@@ -88,7 +88,7 @@
 	next.dispatcher.close();
 });
 
-test('what fills stands still beside a task over its target though its worker also runs a job that the store does not tell of', async (t) => {
+test('preemptible tasks are paused beside a serving task over its target although the worker also runs a job that the store does not return', async (t) => {
 	const { clock, owner, harmed, takeOver, setTail, working } = await besideServing();
 	const handedIn = world.job('stranger', [world.step({ count: 2 * workerCount, lasting: true })]);
 	owner.dispatcher.addJob({ ...handedIn, acceptedUnder: owner.ledger.generation });
@@ -111,7 +111,7 @@
 	next.dispatcher.close();
 });
 
-test('what an earlier owner let stand still goes on only after the new one has seen calm for a while', async (t) => {
+test('preemptible tasks that a previous owner paused continue only after the new one has seen the serving task under its target for some time', async (t) => {
 	const { clock, owner, takeOver, setTail, working } = await besideServing();
 	setTail(highTailMs);
 	await clock.pass(harmMs);
@@ -125,7 +125,7 @@
 	next.dispatcher.close();
 });
 
-test('what fills stands still though one reading of a task over its target lies just under it', async (t) => {
+test('preemptible tasks are paused although one reading of a serving task over its target is just under it', async (t) => {
 	const { clock, owner, setTail, working } = await besideServing();
 	const startedAt = clock.now();
 	while (clock.now() - startedAt < harmMs) {
@@ -138,7 +138,7 @@
 	owner.dispatcher.close();
 });
 
-test('what fills stands still in time though the owner takes in reports late', async (t) => {
+test('preemptible tasks are paused in time although the owner receives reports late', async (t) => {
 	const { clock, fleet, owner, setTail, working } = await besideServing();
 	fleet.reportDelayMs = 1_200;
 	await clock.pass(5_000);
@@ -148,7 +148,7 @@
 	owner.dispatcher.close();
 });
 
-/** When, after a task went over its target, its worker falls silent, and for how long, in milliseconds. */
+/** When the worker becomes unresponsive, counted from the beginning of the overload, and for how long, in milliseconds. */
 const silences = [
 	[0, 1_500],
 	[0, 2_000],
@@ -158,7 +158,7 @@
 ] as const;
 
 for (const [fromMs, forMs] of silences)
-	test(`what fills stands still in time though its worker is silent for ${String(forMs)} ms, ${String(fromMs)} ms after the overload began`, async (t) => {
+	test(`preemptible tasks are paused in time although their worker is unresponsive for ${String(forMs)} ms, ${String(fromMs)} ms after the overload began`, async (t) => {
 		const { clock, owner, harmed, setTail, working } = await besideServing();
 		setTail(highTailMs);
 		await clock.pass(fromMs);
@@ -170,7 +170,7 @@
 		owner.dispatcher.close();
 	});
 
-test('what stands still goes on only after the task beside it was heard to be under its target for a while', async (t) => {
+test('paused tasks continue only after the serving task has been reported under its target for some time', async (t) => {
 	const { clock, owner, harmed, setTail, working } = await besideServing();
 	setTail(highTailMs);
 	await clock.pass(harmMs);
@@ -191,7 +191,7 @@
 	owner.dispatcher.close();
 });
 
-/** Lets time pass; returns the longest stretch of it, in milliseconds, in which anything that fills worked. */
+/** Advances the clock; returns the longest time, in milliseconds, that preemptible tasks worked without a pause in it. */
 async function longestWork(made: Awaited<ReturnType<typeof besideServing>>, forMs: number): Promise<number> {
 	const { clock, working } = made;
 	const endsAt = clock.now() + forMs;
@@ -205,11 +205,11 @@
 	return longest;
 }
 
-/** How long after the work was told to go on, without an answer, the next overload begins, in milliseconds. */
+/** Time from a command to continue that has no answer until the next overload begins, in milliseconds. */
 const pauses = [1_500, 3_000, 4_500] as const;
 
 for (const pauseMs of pauses)
-	test(`what fills stands still though an order to go on of ${String(pauseMs)} ms before is carried out late`, async (t) => {
+	test(`preemptible tasks are paused although a command to continue, sent ${String(pauseMs)} ms before, is carried out late`, async (t) => {
 		const made = await besideServing();
 		const { clock, owner, harmed, setTail, working } = made;
 		setTail(highTailMs);
@@ -225,7 +225,7 @@
 		owner.dispatcher.close();
 	});
 
-test('what fills goes on though an order to stand still of before is carried out late', async (t) => {
+test('preemptible tasks continue although an earlier command to pause is carried out late', async (t) => {
 	const { clock, owner, harmed, setTail, working } = await besideServing();
 	harmed.delaysPaces = true;
 	setTail(highTailMs);
@@ -237,7 +237,7 @@
 	owner.dispatcher.close();
 });
 
-test('an order on pace that fails after a newer one was answered changes nothing', async (t) => {
+test('a pace command that fails after a newer one was answered changes nothing', async (t) => {
 	const { clock, owner, harmed, setTail, working } = await besideServing();
 	const paced = (): number => owner.events.select(({ name }) => name === 'task.paced').length;
 	harmed.delaysPaces = true;
@@ -250,7 +250,7 @@
 	owner.dispatcher.close();
 });
 
-test('what fills stands still beside a task that is about to be harmed while its stop is not answered', async (t) => {
+test('preemptible tasks whose stop is not answered are paused before a serving task is over its target for too long', async (t) => {
 	const { clock, owner, harmed, setTail, working } = await besideServing();
 	harmed.ignoresStops = true;
 	owner.dispatcher.cancelJob('filling');
@@ -260,7 +260,7 @@
 	owner.dispatcher.close();
 });
 
-test('what stands still goes on in time though ends wait for the store after each report', async (t) => {
+test('paused tasks continue in time although exits wait for the store after each report', async (t) => {
 	let fault: memory.StoreFault = 'none';
 	const { clock, owner, harmed, setTail, working, submit } = await besideServing(undefined, () => fault);
 	setTail(highTailMs);
@@ -274,13 +274,13 @@
 	const calmAt = clock.now();
 	const isStill = (): boolean => working().every((task) => task.startsWith('short'));
 	while (isStill() && clock.now() - calmAt < 5_000) await clock.pass(50);
-	// A report comes each 0.8 s at the latest: half of it is waited for by the owner, half by the worker.
+	// A report comes every 0.8 s at the latest: the owner waits for half of that time, and the worker for the other half.
 	t.true(clock.now() - calmAt <= calmMs + 2 * 800, `${String(clock.now() - calmAt)} ms`);
 	t.true(harmed.ended.length > 0);
 	owner.dispatcher.close();
 });
 
-test('nothing more that fills is started beside a task that is about to be harmed', async (t) => {
+test('no further preemptible task is started beside a serving task that stays over its target', async (t) => {
 	const { clock, owner, setTail, working } = await besideServing();
 	setTail(highTailMs);
 	const beganAt = clock.now();
@@ -296,28 +296,28 @@
 	owner.dispatcher.close();
 });
 
-/** How long a load's peak keeps a task over its target, in milliseconds: about half a period. */
+/** How long a load's peak keeps a serving task over its target, in milliseconds: about half a period. */
 const peakMs = 3_000;
 
-/** Another worker comes, on which nothing serves. */
+/** Adds another worker, without serving tasks. */
 async function addFreeWorker(made: Awaited<ReturnType<typeof besideServing>>): Promise<void> {
 	made.fleet.add('free');
 	made.owner.dispatcher.setWorkers(made.fleet.entries(), [], true);
 	await made.clock.pass(2_000);
 }
 
-/** Many wait that would take any place that comes free, if it were large enough. */
+/** Adds many waiting tasks that would take any capacity that is freed, if it were large enough. */
 async function addBacklog(made: Awaited<ReturnType<typeof besideServing>>): Promise<void> {
 	const crowd = { milliCores: 1_600, image: 'filling', fills: true, count: 40, memoryMb: 200_000 };
 	await made.submit(made.owner, world.job('crowd', [world.step(crowd)]));
 	await made.clock.pass(2_000);
 }
 
-/** What going on from a checkpoint takes, in milliseconds, of tasks that are estimated at 500. */
+/** How long a restore from a checkpoint takes, in milliseconds, of tasks with an estimate of 500 ms. */
 const dearRestoreMs = 150;
 const cheapRestoreMs = 30;
 
-test('while many wait and a move is dear, what stands still beside a load that peaks stays where it is', async (t) => {
+test('while many tasks wait and a migration is costly, tasks that are paused for a load peak are not migrated', async (t) => {
 	const made = await besideServing(dearRestoreMs);
 	const { clock, fleet, owner, setTail, working } = made;
 	await addFreeWorker(made);
@@ -332,19 +332,22 @@
 	owner.dispatcher.close();
 });
 
-/** What is moved, though others wait or a move is dear, once a task beside it has been over its target for so long. */
+/**
+ * Cases in which tasks are migrated, although others wait or a migration is costly, once a serving task beside them has been
+ * over its target for `afterMs`.
+ */
 const moves: Record<string, { restoreMs: number; isBacklogged: boolean; afterMs: number }> = {
-	'while many wait and a move is dear, what would stand still for long is moved': {
+	'while many tasks wait and a migration is costly, tasks that would be paused for long are migrated': {
 		restoreMs: dearRestoreMs,
 		isBacklogged: true,
 		afterMs: 4 * peakMs,
 	},
-	'while none waits, what stands still is moved within a load that peaks': {
+	'while no task waits, paused tasks are migrated within a load peak': {
 		restoreMs: dearRestoreMs,
 		isBacklogged: false,
 		afterMs: peakMs + 1_000,
 	},
-	'while many wait and a move is cheap, what stands still is moved within a load that peaks': {
+	'while many tasks wait and a migration is cheap, paused tasks are migrated within a load peak': {
 		restoreMs: cheapRestoreMs,
 		isBacklogged: true,
 		afterMs: peakMs + 1_000,
@@ -365,7 +368,7 @@
 		owner.dispatcher.close();
 	});
 
-test('a fleet whose work shifts is found out within two seconds, both ways: a dear move waits in a backlog only', async (t) => {
+test('a backlog is noticed within two seconds, as is its end: a costly migration is delayed only in a backlog', async (t) => {
 	const made = await besideServing(dearRestoreMs);
 	const { clock, fleet, owner, setTail } = made;
 	await addFreeWorker(made);
--- a/test/inherited-runs.test.ts
+++ b/test/inherited-runs.test.ts
@@ -1,4 +1,7 @@
-/** What a successor makes of runs that it finds and doesn't want: none is doubled, and no worker is filled over its cores. */
+/**
+ * What a successor does with runs that it finds and doesn't need: no task has two runs at once, and no worker has more cores
+ * in use than it has.
+ */
 import test from 'ava';
 import * as fencing from '../src/core/dispatch/fencing-tokens.js';
 import * as ledger from '../src/core/ledger/index.js';
@@ -11,7 +14,7 @@
 
 const long = { ms: 60_000, how: 'done' as const };
 
-/** Lets time pass; `check` is asked every ten milliseconds. */
+/** Advances the clock, and calls `check` every ten milliseconds. */
 async function watch(clock: world.TestWorld['clock'], ms: number, check: () => void): Promise<void> {
 	for (let passed = 0; passed < ms; passed += 10) {
 		await clock.pass(10);
@@ -26,12 +29,12 @@
 	await cancelling;
 }
 
-/** A job with one big task. */
+/** A job with one large task. */
 function bigJob(id: string): ReturnType<typeof world.job> {
 	return world.job(id, [world.step({ milliCores: big })]);
 }
 
-/** An owner's job runs on a worker that does not hear that it was cancelled; its end is stored, and the owner goes. */
+/** A job runs on a worker that does not receive its cancellation; the job's end is stored, and the owner stops. */
 async function leaveEndedJob(made: world.TestWorld, w1: workers.FakeWorker): Promise<void> {
 	const first = await made.takeOver();
 	await made.submit(first, bigJob('job1'));
@@ -45,7 +48,7 @@
 	w1.fault = 'none';
 }
 
-test('a run of a job whose end is stored keeps its room until it has ended', async (t) => {
+test('a run of a job whose end is stored keeps its capacity until it has exited', async (t) => {
 	const made = world.createWorld(() => long);
 	const w1 = made.fleet.add('w1');
 	await leaveEndedJob(made, w1);
@@ -59,7 +62,7 @@
 	second.dispatcher.close();
 });
 
-test('the end of a run of a job whose end is stored is not stored again', async (t) => {
+test('the exit of a run of a job whose end is stored is not stored again', async (t) => {
 	const made = world.createWorld(() => long);
 	const w1 = made.fleet.add('w1');
 	await leaveEndedJob(made, w1);
@@ -72,17 +75,17 @@
 	second.dispatcher.close();
 });
 
-/** How far the clock of an owner is ahead of its successor's, at least, in milliseconds. */
+/** How far an owner's clock is ahead of its successor's, at least, in milliseconds. */
 const aheadMs = 60;
 
-/** A job that runs twice, and the order that an owner whose clock is ahead gives for its second time. */
+/** A job with two occurrences, and the start command that an owner whose clock is ahead sends for the second. */
 function twice(firstAt: number): { record: ReturnType<typeof world.job>; order: fleet.StartCommand } {
 	const schedule = { times: 2, firstAt, intervalMs: 3_000 };
 	const record = world.job('job1', [world.step({ milliCores: big })], { schedule });
 	return { record, order: orderFor('job1.1.0.0', 1) };
 }
 
-/** A start as an earlier owner gave it. */
+/** A start command as an earlier owner sent it. */
 function orderFor(task: string, epoch: number): fleet.StartCommand {
 	return {
 		task,
@@ -95,7 +98,7 @@
 	};
 }
 
-/** Plays a job's first time, and its second by an owner whose clock is ahead; the next owner takes over. */
+/** Runs a job's first occurrence; an owner whose clock is ahead starts the second; the next owner takes over. */
 async function takeOverEarly(made: world.TestWorld): Promise<world.TestOwner> {
 	const { clock, fleet: all } = made;
 	const [, , w3] = ['w1', 'w2', 'w3'].map((id) => all.add(id));
@@ -110,7 +113,7 @@
 	return made.takeOver();
 }
 
-test("a run of a time that has not come by the successor's clock goes on, and is the only one", async (t) => {
+test("a run of an occurrence that is not due yet by the successor's clock continues, and is the only one", async (t) => {
 	const made = world.createWorld((task) => ({ ms: task === 'job1.0.0.0' ? 100 : 60_000, how: 'done' }));
 	const second = await takeOverEarly(made);
 	await watch(made.clock, 5_000, () => t.deepEqual(made.fleet.doubled(), []));
@@ -118,7 +121,7 @@
 	second.dispatcher.close();
 });
 
-test("a task that is done before its time has come by the successor's clock is not run again", async (t) => {
+test("a task that is done before its occurrence is due by the successor's clock is not run again", async (t) => {
 	const made = world.createWorld(() => ({ ms: 10, how: 'done' }));
 	const second = await takeOverEarly(made);
 	await made.clock.pass(5_000);
@@ -127,7 +130,7 @@
 	second.dispatcher.close();
 });
 
-test("what is stored of a time that has not come by an owner's clock is not lost when that owner stores the job", async (t) => {
+test("stored progress of an occurrence that is not due yet by an owner's clock is not lost when that owner stores the job", async (t) => {
 	const made = world.createWorld(() => ({ ms: 1_000, how: 'done' }));
 	made.fleet.add('w1');
 	const first = await made.takeOver();
@@ -159,7 +162,7 @@
 	third.dispatcher.close();
 });
 
-test('a worker with a run of a job that is not kept any more gets no new work until that run has ended', async (t) => {
+test('a worker with a run of a job that is no longer stored gets no new work until that run has exited', async (t) => {
 	const made = world.createWorld(() => long);
 	const w1 = made.fleet.add('w1');
 	const first = await made.takeOver();
@@ -173,7 +176,7 @@
 	second.dispatcher.close();
 });
 
-test('a worker with an old run of a task that is placed elsewhere gets no new work until that run has ended', async (t) => {
+test('a worker with an old run of a task that is placed elsewhere gets no new work until that run has exited', async (t) => {
 	const made = world.createWorld(() => long);
 	const w1 = made.fleet.add('w1');
 	const owner = await made.takeOver();
@@ -182,7 +185,7 @@
 	made.fleet.add('w2', { labels: ['other'] });
 	owner.dispatcher.setWorkers(made.fleet.entries(), [], true);
 	await made.clock.pass(500);
-	// A worker that stood still past its leases shows what ran there for a moment when it goes on.
+	// A worker that was suspended past its leases reports for a moment what ran there, when it resumes.
 	w1.start({ ...orderFor('job1.0.0.0', 1), token: world.firstToken(1) });
 	await made.clock.pass(1_100);
 	await made.submit(owner, bigJob('job2'));
@@ -191,7 +194,7 @@
 	owner.dispatcher.close();
 });
 
-test('a task with an old run somewhere is started only once that run has ended', async (t) => {
+test('a task with an old run on any worker is started only once that run has exited', async (t) => {
 	const plan = (_task: string, run: number): workers.RunPlan =>
 		run === 2 ? { ms: 10, how: 'failed' } : long;
 	const made = world.createWorld(plan);
@@ -209,19 +212,19 @@
 	second.dispatcher.close();
 });
 
-/** A job's stored state. */
+/** A job's stored state; undefined if none is stored. */
 async function storedState(made: world.TestWorld, id: string): Promise<string | undefined> {
 	const stored = await read(made, id);
 	return stored?.progress?.state;
 }
 
-/** Version of a job's stored progress. */
+/** Version of a job's stored progress; undefined if none is stored. */
 async function progressVersion(made: world.TestWorld, id: string): Promise<number | undefined> {
 	const stored = await read(made, id);
 	return stored?.progressVersion;
 }
 
-/** All that is kept of a job. */
+/** Everything that is stored of a job; undefined if nothing is, or if the read fails. */
 async function read({ clock, store }: world.TestWorld, id: string): Promise<ledger.StoredJob | undefined> {
 	const reading = ledger.readJob(store.view(), id);
 	await clock.pass(50);
--- a/test/job-service.test.ts
+++ b/test/job-service.test.ts
@@ -1,4 +1,4 @@
-/** What callers are told of jobs while the store misbehaves, in memory. */
+/** What callers are told of jobs while the store fails, in memory. */
 import test from 'ava';
 import * as contacts from '../src/core/platform/contact.js';
 import * as events from '../src/core/events/index.js';
@@ -10,7 +10,7 @@
 
 const id = '00000000000000a1';
 
-/** The service of a box that knows no owner. */
+/** The job service of a box that knows no owner. */
 function setUp(): {
 	clock: time.VirtualClock;
 	jobs: service.JobService;
@@ -43,7 +43,7 @@
 	return { clock, jobs, store, set };
 }
 
-/** What a call comes to once enough time has passed for every answer. */
+/** The result of a call, after enough time for every answer. */
 async function settled<T>(clock: time.VirtualClock, call: Promise<T>): Promise<T> {
 	await clock.pass(5_000);
 	return call;
--- a/test/kept-connections.test.ts
+++ b/test/kept-connections.test.ts
@@ -1,4 +1,6 @@
-/** Kept connections of the HTTP client that have gone silent: one call finds out for all of them. */
+/**
+ * Pooled connections of the HTTP client that have stopped responding: one call that times out detects it for all of them.
+ */
 import test from 'ava';
 import * as http from 'node:http';
 import * as client from '../platform/http-client.js';
@@ -6,10 +8,10 @@
 import * as proxies from '../stand-ins/proxy/index.js';
 import type * as net from 'node:net';
 
-/** A call is given up after so long, in milliseconds. */
+/** Calls time out after this, in milliseconds. */
 const timeoutMs = 300;
 
-/** As many as are kept to one address. */
+/** Number of connections that are kept to one address. */
 const callsAtOnce = 6;
 
 interface Teardown {
@@ -30,7 +32,7 @@
 	return `127.0.0.1:${String(port)}`;
 }
 
-/** A server behind a proxy that answers once `callsAtOnce` calls wait, and from then on at once. */
+/** A server behind a proxy. It holds its answers until `concurrentCalls` calls wait, and from then on answers at once. */
 async function setUp(t: Teardown): Promise<proxies.FaultProxy> {
 	let held: http.ServerResponse[] | undefined = [];
 	const address = await serve(t, (_req, res) => {
@@ -50,7 +52,7 @@
 	return proxy;
 }
 
-test('once a call ran out of time, no other kept connection is used that may be as dead', async (t) => {
+test('after a call has timed out, no other pooled connection that may be dead too is used', async (t) => {
 	const proxy = await setUp(t);
 	const calls = client.JsonClient.create();
 	const send = async (): Promise<boolean> =>
@@ -81,7 +83,7 @@
 	t.false(await dead);
 });
 
-test('calls that are under way when another runs out of time are answered', async (t) => {
+test('calls that are in flight when another one times out are answered', async (t) => {
 	const held: http.ServerResponse[] = [];
 	const address = await serve(t, (req, res) => {
 		if (req.url === '/slow') held.push(res);
@@ -93,7 +95,7 @@
 	t.true((await slow).ok);
 });
 
-test('a long answer has its whole time limit, silence only that of a short call', async (t) => {
+test('a long answer may take the whole timeout of its call; without any answer, the call fails as early as a short one', async (t) => {
 	const address = await serve(t, (req, res) => {
 		if (req.url !== '/long') return;
 		res.write('[');
@@ -113,9 +115,9 @@
 	t.true((await get('/long')).ok);
 });
 
-test('a store that is slow to answer lists is waited for longer at the second try', async (t) => {
+test('a list call to a slow store has a longer timeout at the second attempt', async (t) => {
 	const page = JSON.stringify({ items: [], has_more: false, current_rev: 1 });
-	// Longer than a short call may take, shorter than a page may.
+	// Longer than the timeout of a short call, shorter than that of a page.
 	const answerMs = 1_500;
 	const address = await serve(t, (_req, res) => {
 		setTimeout(() => res.end(page), answerMs);
@@ -124,5 +126,5 @@
 	const store = kvStore.KvStore.create(calls, calls, address);
 	t.false((await store.list('a/')).ok);
 	t.true((await store.list('a/')).ok);
-	t.false((await store.list('a/')).ok, 'once it has answered, silence is found out early again');
+	t.false((await store.list('a/')).ok, 'after an answer, the short timeout applies again');
 });
--- a/test/lease-ends.test.ts
+++ b/test/lease-ends.test.ts
@@ -1,4 +1,6 @@
-/** What a box takes from the owner's answers about silent workers, and when it is void. */
+/**
+ * The lease expiries of unresponsive workers that a box takes from the owner's answers, and when they are no longer valid.
+ */
 import test from 'ava';
 import * as leaseEnds from '../src/core/box/lease-expiries.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
@@ -11,7 +13,7 @@
 	return { generation, storeReachable: true, strongest: 1, silent };
 }
 
-test('an end counts from the arrival of the answer, for the next owner and the same roster only', async (t) => {
+test('an expiry counts from the arrival of the answer, and is valid for the next owner and the same roster only', async (t) => {
 	const clock = time.VirtualClock.create();
 	const ends = leaseEnds.LeaseExpiries.create(() => clock.now());
 	ends.update(reply({ rosterVersion, leftMs: { w1: 4_000 } }));
@@ -24,7 +26,7 @@
 	t.is(ends.validFor(generation + 1, rosterVersion + 1).size, 0);
 });
 
-test('each answer replaces the one before, also one without silent workers', (t) => {
+test('each answer replaces the one before, also one without unresponsive workers', (t) => {
 	const ends = leaseEnds.LeaseExpiries.create(() => 0);
 	ends.update(reply({ rosterVersion, leftMs: { w1: 4_000 } }));
 	ends.update(reply({ rosterVersion, leftMs: { w2: 1_000 } }));
--- a/test/listed-ends.test.ts
+++ b/test/listed-ends.test.ts
@@ -1,4 +1,6 @@
-/** What is recorded of ends that workers list: when they are stored, when they are forgotten, and which still wait. */
+/**
+ * What is recorded of exits that workers list: when they are stored and acknowledged, and which are still unacknowledged.
+ */
 import test from 'ava';
 import * as listedEnds from '../src/core/dispatch/unacknowledged-exits.js';
 import * as world from './fixtures/dispatching.js';
@@ -14,7 +16,7 @@
 	}));
 }
 
-test('each end is timed once, from the first report that lists it', (t) => {
+test('each exit is timed once, from the first report that lists it', (t) => {
 	const times: string[] = [];
 	const ends = listedEnds.UnacknowledgedExits.create((name, ms) => times.push(`${name} ${String(ms)}`));
 	ends.noteReported(endsUpTo(1), 100);
@@ -27,7 +29,7 @@
 	t.is(ends.oldestAt, 100);
 	ends.noteAcknowledging(1);
 	t.is(ends.oldestAt, 150);
-	// Without an answer it is not known to have been carried out.
+	// Without an answer, the acknowledgement may not have been carried out.
 	ends.noteAcknowledging(0);
 	t.is(ends.oldestAt, 100);
 	ends.noteAcknowledging(2);
@@ -36,7 +38,7 @@
 	t.deepEqual(times, ['end_stored 70', 'end_stored 20', 'end_forgotten 100', 'end_forgotten 50']);
 });
 
-test('a lease that ran out is told of, with whose delay it was', async (t) => {
+test('an expired lease is logged with the number of runs and how long the worker was unresponsive', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 'endless', how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
--- a/test/listening.test.ts
+++ b/test/listening.test.ts
@@ -1,4 +1,4 @@
-/** How a box closes the address of its callers. */
+/** How a box closes the address at which callers reach it. */
 import * as http from 'node:http';
 import * as net from 'node:net';
 import test from 'ava';
@@ -8,16 +8,16 @@
 import * as reading from '../src/core/after-pending-reads.js';
 import type * as service from '../src/core/box/job-service.js';
 
-/** A whole request. */
+/** A complete request. */
 const question = 'GET / HTTP/1.1\r\nhost: a\r\n\r\n';
 
-/** Nothing reaches it where no configuration is known. */
+/** Never called: without a configuration, no request reaches the service. */
 const unusedService = undefined as unknown as service.JobService;
 
 /** Longer than any test: only answers end the wait. */
 const longMs = 100_000;
 
-test('closing an address answers the request that is half sent, and takes no new connection', async (t) => {
+test('closing an address answers the request that is half sent, and accepts no new connection', async (t) => {
 	const server = http.createServer((req, res) => {
 		req.resume().on('end', () => {
 			res.writeHead(200, { connection: 'close' }).end('done');
@@ -37,7 +37,8 @@
 });
 
 for (const count of [1, 10, 100]) {
-	// Guards against requests that are reset without an answer: the kernel had established their connections, and nobody accepted them.
+	// Guards against requests that are reset without an answer: the kernel has established their connections, and the
+	// process has not accepted them.
 	test(`closing an address answers the requests of ${count} callers whose connections are not accepted yet`, async (t) => {
 		const server = http.createServer((_req, res) => {
 			res.writeHead(200, { connection: 'close' }).end('done');
@@ -56,7 +57,7 @@
 	});
 }
 
-test('an address is closed in time where connections never cease', async (t) => {
+test('an address is closed in time although new connections never cease', async (t) => {
 	const server = net.createServer((socket) => {
 		// Each connection brings the next.
 		const next = net.connect(listening.toListenOptions(address));
@@ -70,7 +71,7 @@
 	server.close();
 });
 
-test('closing an address ends idle connections', async (t) => {
+test('closing an address closes idle connections', async (t) => {
 	const server = http.createServer((_req, res) => {
 		res.end('done');
 	});
@@ -83,8 +84,9 @@
 	t.regex(await closed, /done/);
 });
 
-// Guards against stops that last as long as they may: a connection that never carried a request isn't idle to `http.Server`.
-test('closing an address ends connections that never carried a request', async (t) => {
+// Guards against stops that take all the time that they may: to `http.Server`, a connection that never carried a request
+// isn't idle.
+test('closing an address closes connections that never carried a request', async (t) => {
 	const server = http.createServer();
 	const address = await listening.listen(server, '127.0.0.1:0');
 	const caller = net.connect(listening.toListenOptions(address));
@@ -95,8 +97,9 @@
 });
 
 for (const when of ['after a pause', 'first on its connection'] as const) {
-	// Guards against requests of far callers that are cut off: they are on their way when their connection is ended.
-	test(`a request that is sent ${when}, as that is ended, is answered as not run`, async (t) => {
+	// Guards against requests of distant callers that are cut off: the requests are in flight when the box closes the
+	// connection.
+	test(`a request that is sent ${when}, as the connection is closed, is answered as not run`, async (t) => {
 		const target = {
 			leaving: true,
 			queues: undefined,
@@ -105,7 +108,7 @@
 		};
 		const server = ingress.serveCallers(target);
 		const address = await listening.listen(server, '127.0.0.1:0');
-		// The end reaches a far caller after it has sent the request.
+		// The end of the stream reaches a distant caller after it has sent the request.
 		const caller = net.connect({ ...listening.toListenOptions(address), allowHalfOpen: true });
 		const ended = new Promise((resolve) => caller.once('end', resolve));
 		const all = received(caller);
@@ -142,7 +145,7 @@
 	t.is((await all).match(/done/g)?.length, 2);
 });
 
-test('a question over an idle connection is not cut off when its box closes its address', async (t) => {
+test('a request over an idle connection is not cut off when its box closes its address', async (t) => {
 	const target = { leaving: false, queues: undefined, isConfigurationInDoubt: false, service: unusedService };
 	const server = ingress.serveCallers(target);
 	const address = await listening.listen(server, '127.0.0.1:0');
@@ -152,7 +155,7 @@
 	await new Promise((resolve) => caller.once('data', resolve));
 	target.leaving = true;
 	const finished = listening.finish(server, longMs, longMs);
-	// Whatever a close ends at once is ended by then.
+	// By this time everything that a close ends at once has ended.
 	await new Promise<void>((resolve) => {
 		reading.afterPendingReads(resolve);
 	});
@@ -166,7 +169,7 @@
 
 for (const closes of [false, true]) {
 	const when = closes ? 'after its address was closed' : 'while its address is open';
-	test(`a request that was under way when its box was told to stop, answered ${when}, is the last on its connection`, async (t) => {
+	test(`a request that was in flight when its box was told to stop, answered ${when}, is the last on its connection`, async (t) => {
 		const target = {
 			leaving: false,
 			queues: undefined,
@@ -191,7 +194,7 @@
 	});
 }
 
-/** All that comes over a connection until its end; empty if it breaks. */
+/** Everything that arrives over a connection until it closes; empty if the connection fails. */
 function received(socket: net.Socket): Promise<string> {
 	return new Promise((resolve) => {
 		const chunks: Buffer[] = [];
@@ -205,7 +208,7 @@
 	});
 }
 
-/** Whether an address takes a connection. */
+/** Whether an address accepts a connection. */
 function accepts(address: string): Promise<boolean> {
 	return new Promise((resolve) => {
 		const socket = net.connect(listening.toListenOptions(address));
--- a/test/loads.test.ts
+++ b/test/loads.test.ts
@@ -1,4 +1,6 @@
-/** Loads of lasting steps: told apart from disturbances, predicted from their waves, and handed to the next owner. */
+/**
+ * Loads of long-running steps: distinguished from interference, predicted from their waves, and passed to the next owner.
+ */
 import test from 'ava';
 import * as interference from '../src/core/dispatch/interference.js';
 import * as ledger from '../src/core/ledger/index.js';
@@ -13,12 +15,12 @@
 const tasks = 6;
 const reportGapMs = 400;
 
-/** The load that all tasks of the step have at a time. */
+/** The load of each of the step's tasks at a time. */
 function loadAt(at: number): number {
 	return 0.5 + 0.2 * Math.sin((2 * Math.PI * at) / periodMs);
 }
 
-/** Reports of all tasks for so long; each in turn is disturbed for two seconds. */
+/** Adds reports of all tasks over a time; interference affects each task in turn for two seconds. */
 function report(wave: loadWave.LoadWave, from: number, to: number, seed: number): void {
 	const next = random.seeded(seed);
 	for (let now = from; now < to; now += reportGapMs) {
@@ -39,7 +41,7 @@
 	return worst;
 }
 
-test('a load that swings is predicted a period ahead, though some of its tasks are always disturbed', (t) => {
+test('a periodic load is predicted a period ahead, although interference always affects some of its tasks', (t) => {
 	const period = loadWave.LoadPeriod.create(0);
 	const wave = period.createWave();
 	report(wave, 0, 30_000, 1);
@@ -47,7 +49,7 @@
 	t.true(worstError(wave, 30_000) < 0.1, `off by ${worstError(wave, 30_000).toFixed(3)}`);
 });
 
-test('two tasks are too few to tell a load from a disturbance', (t) => {
+test('two tasks are too few to distinguish a load from interference', (t) => {
 	const wave = loadWave.LoadPeriod.create(0).createWave();
 	wave.addReading(0, 0.5, 1_000);
 	wave.addReading(1, 0.5, 1_000);
@@ -64,11 +66,11 @@
 	const sums = wave.learned(30_000);
 	const next = loadWave.LoadPeriod.restore(period.chosenIndex(30_000), 31_000).createWave(sums);
 	t.true(worstError(next, 31_000) < 0.1, `off by ${worstError(next, 31_000).toFixed(3)}`);
-	// A guess from nothing is off by the whole swing.
+	// Without learned sums, a prediction is off by the whole amplitude.
 	t.true(worstError(loadWave.LoadPeriod.create(31_000).createWave(), 31_000) > 0.19);
 });
 
-test('what an owner learnt outlasts all boxes', async (t) => {
+test('what an owner has learned outlasts all boxes', async (t) => {
 	const clock = time.VirtualClock.create();
 	const store = memory.MemoryStore.create(clock);
 	const take = async (box: string): Promise<ledger.OwnerLedger> => {
@@ -94,7 +96,7 @@
 	t.deepEqual(contents.ok ? contents.value.learnedModels : undefined, { periods: { web: 3 } });
 });
 
-test('an owner goes on from knowledge of its own form only', (t) => {
+test('an owner restores learned models of its own format only', (t) => {
 	const clock = time.VirtualClock.create();
 	const empty = interference.InterferenceModel.create(clock).exportLearned();
 	const learner = interference.InterferenceModel.create(clock);
@@ -105,7 +107,7 @@
 	t.deepEqual(other.exportLearned().periods, {});
 });
 
-test('what was learnt of a load is forgotten with its step, also when its tasks report once more', async (t) => {
+test('the learned load of a step is dropped with the step, also when its tasks report once more', async (t) => {
 	const reading = 40;
 	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({
 		ms: 'endless',
@@ -120,14 +122,14 @@
 	await clock.pass(5_000);
 	t.deepEqual(Object.keys(owner.dispatcher.exportLearnedModels().loads), ['job1.0.0', 'job2.0.0']);
 	owner.dispatcher.cancelJob('job1');
-	// The first task that has stopped brings a report that still lists the others.
+	// The exit of the first task that stops brings a report that still lists the others.
 	await clock.pass(1_000);
 	t.false(fleet.workers.get('w1')?.running.has('job1.0.0.0'));
 	t.deepEqual(Object.keys(owner.dispatcher.exportLearnedModels().loads), ['job2.0.0']);
 	owner.dispatcher.close();
 });
 
-test('nothing is kept of a load whose step ends before its tasks have reported', async (t) => {
+test('nothing is kept of the load of a step that ends before its tasks have reported', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({
 		ms: 'endless',
 		how: 'done',
@@ -145,7 +147,7 @@
 	owner.dispatcher.cancelJob('job1');
 	await clock.pass(1_000);
 	t.is(w1.running.size, 0);
-	// The first task that has stopped brings a report that still lists the others, the first with readings.
+	// The exit of the first task that stops brings a report that still lists the others: the first report with readings.
 	t.deepEqual(Object.keys(owner.dispatcher.exportLearnedModels().periods), ['web']);
 	t.deepEqual(owner.dispatcher.exportLearnedModels().loads, {});
 	owner.dispatcher.close();
--- a/test/narrow-links.test.ts
+++ b/test/narrow-links.test.ts
@@ -1,4 +1,4 @@
-/** A connection over a slow link that others filled went silent for good, as if its way were dead. */
+/** Guards against connections over a saturated slow link that receive nothing for good, as if the link were cut. */
 import events from 'node:events';
 import * as net from 'node:net';
 import test from 'ava';
@@ -8,7 +8,7 @@
 const connections = 8;
 const answerBytes = 400_000;
 
-test('a link that connections fill at once brings each of them all of its answer', async (t) => {
+test('a link that several connections saturate delivers to each of them its whole answer', async (t) => {
 	const server = net.createServer((socket) => {
 		socket.write(Buffer.alloc(answerBytes));
 	});
--- a/test/operators.test.ts
+++ b/test/operators.test.ts
@@ -1,4 +1,4 @@
-/** Operators who race, waves of cancellations, workers that fail everything, jobs that can never run, bad input. */
+/** Concurrent operators, mass cancellations, workers that fail every task, jobs that can never run, and invalid input. */
 import * as fs from 'node:fs';
 import * as net from 'node:net';
 import * as os from 'node:os';
@@ -46,7 +46,7 @@
 		const config = await client.call('getConfig', {});
 		t.true(config.ok);
 		if (!config.ok) return;
-		// Each accepted change is in the history under its own version, and nothing came twice.
+		// Each accepted change is in the history under its own version, and none is there twice.
 		t.is(new Set(accepted).size, accepted.length);
 		const by = config.value.history.map((change) => change.by);
 		t.is(new Set(by).size, by.length);
@@ -144,7 +144,8 @@
 			program.process.lines
 				.filter((line) => line.name === 'wire.rejected')
 				.map((line) => (line.fields as { reason: string }).reason);
-		// Log and connections reach this process by different ways; a fifth line would show in the snapshot.
+		// The log and the connections reach this process independently of each other; a fifth line would show in the
+		// snapshot.
 		await operate.until('every connection is told of', () => Promise.resolve(reasons().length >= 4));
 		t.snapshot(reasons());
 		await operate.submit(client, operate.batch('after', 1, 10));
@@ -166,7 +167,7 @@
 	});
 }
 
-/** Runs a binary to its end. */
+/** Runs a program until it exits. */
 async function runToEnd(
 	relative: string,
 	args: string[],
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,4 +1,4 @@
-/** A burst that asks for more than the owner's processor has: once it is gone the owner keeps up again, also a new one. */
+/** A burst that needs more than the owner's processor: after it the owner catches up, also one that took over during it. */
 import test from 'ava';
 import * as ownership from '../src/core/owner/index.js';
 import * as patterns from '../stand-ins/fleet/load-patterns.js';
@@ -9,23 +9,23 @@
 const lengthMs = 22_000;
 const seed = 7;
 
-/** The burst of the pattern ends then, in seconds of its traffic. */
+/** When the pattern's burst ends, in seconds of its traffic. */
 const burstEndS = 10;
 
-/** By so many seconds after it, operators expect an owner to keep up again. */
+/** How soon after the burst operators expect an owner to have caught up, in seconds. */
 const recoveryS = 10;
 
-/** Each call's parts: nine tenths of the processor under the pattern's usual traffic. */
+/** Processor time of each call, in milliseconds: nine tenths of the processor under the pattern's usual traffic. */
 const costs = { send: 1.4, answer: 1.4 };
 
-/** Lasting jobs find their places before the traffic begins, in milliseconds. */
+/** Time for the long-running jobs to be placed before the traffic begins, in milliseconds. */
 const settleMs = 3_000;
 
 function jobOf({ record }: patterns.Arrival): ReturnType<typeof world.job> {
 	return world.job(record.id, record.steps, { queue: record.queue });
 }
 
-/** Plays the pattern, with a takeover at the beginning of that second if one is given; the load of each second. */
+/** Runs the pattern, with a takeover at the beginning of that second if one is given; returns the load of each second. */
 async function play(takeOverAtS?: number): Promise<dispatch.DispatchLoad[]> {
 	const pattern = patterns.createPattern('large-workers-burst', workers, lengthMs, seed);
 	const { clock, fleet, takeOverBusy, submit } = world.createWorld((task) => ({
@@ -62,10 +62,10 @@
 }
 
 for (const takeOverAtS of [undefined, 7])
-	test(`an owner keeps up again within ten seconds of a burst${takeOverAtS === undefined ? '' : ' in which it took over'}`, async (t) => {
+	test(`an owner catches up within ten seconds of a burst${takeOverAtS === undefined ? '' : ' in which it took over'}`, async (t) => {
 		const loads = await play(takeOverAtS);
 		const last = loads.at(-1);
-		// What waits is less than what a second finishes, and ends are taken note of within a second.
+		// Fewer tasks wait than finish in a second, and exits are handled within a second.
 		t.true((last?.waitingShort ?? Infinity) <= (last?.finished ?? 0), JSON.stringify(last));
 		t.true((last?.oldestEndMs ?? Infinity) <= 1_000, JSON.stringify(last));
 		const before = loads.slice(0, 4).reduce((sum, load) => sum + load.finished, 0);
@@ -76,7 +76,7 @@
 		);
 	});
 
-test('a new owner that hundreds of workers answer does not hold up its renewals', async (t) => {
+test('a new owner that receives answers from hundreds of workers does not delay its renewals', async (t) => {
 	const { clock, fleet, takeOver, takeOverBusy, submit } = world.createWorld(() => ({
 		ms: 300,
 		how: 'done',
@@ -95,7 +95,7 @@
 		longestMs = Math.max(longestMs, processor.queueMs);
 		await clock.pass(10);
 	}
-	// A renewal waits behind what is asked of the processor; after a gap between two of them it comes still in time.
+	// A renewal waits behind the calls that are queued for the processor; delayed by one interval, it is still in time.
 	t.true(longestMs <= ownership.settings.renewalIntervalMs, `${String(longestMs)} ms`);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	owner.dispatcher.close();
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -1,4 +1,4 @@
-/** Which of several boxes of unlike strength dispatches, in memory and under a virtual clock. */
+/** Which of several boxes with different processors dispatches, in memory and on a virtual clock. */
 import test from 'ava';
 import * as events from '../src/core/events/index.js';
 import * as memory from '../stand-ins/fleet/memory-store.js';
@@ -9,31 +9,31 @@
 const weak = 0.3;
 const strong = 1.35;
 
-/** A box without callers or workers: its part in the race only. */
+/** A box without callers or workers, reduced to its part in the election. */
 interface TestBox {
 	race: ownership.Ownership;
 	owns: boolean;
 	isDown: boolean;
-	/** It answers nothing, and nothing answers it. */
+	/** It is cut off from the other boxes and from the store. */
 	isCut: boolean;
 	/** The store does not answer it. */
 	lacksStore: boolean;
-	/** Boxes that it does not answer. */
+	/** Boxes whose pings it does not answer. */
 	readonly silentTo: Set<string>;
 }
 
-/** Boxes that ask each other as real ones do. */
+/** Boxes that ping each other as real ones do. */
 class Boxes {
 	readonly clock = time.VirtualClock.create();
 	readonly store = memory.MemoryStore.create(this.clock);
 	private readonly boxes = new Map<string, TestBox>();
-	/** Who asked which box. */
+	/** The candidates that pinged each box. */
 	private readonly candidates = new Map<string, ownership.Candidates>();
-	/** Who dispatched, in turn. */
+	/** Boxes that became the owner, in order. */
 	readonly owners: string[] = [];
 
 	private constructor() {
-		// Built by `create`, like every class here.
+		// Instances are created by `create`.
 	}
 
 	static create(): Boxes {
@@ -48,7 +48,7 @@
 		return { boxes, owner };
 	}
 
-	/** Starts a box; `storeDelayMs`: how long its calls to the store are on their way. */
+	/** Starts a box; `storeDelayMs`: delay before each of its calls to the store. */
 	start(name: string, processor: number, storeDelayMs = 0): TestBox {
 		const { clock } = this;
 		const candidates = ownership.Candidates.create(() => clock.now());
@@ -88,13 +88,13 @@
 				box.owns = false;
 				strongest = candidates.strongest(processor);
 			},
-			// Without a head start the weak are first.
+			// Strong boxes wait the longest: without the delay for weaker boxes, a weak one would be first.
 			random: (below) => (processor === strong ? below : 0),
 		});
 		return box;
 	}
 
-	/** A store whose calls are carried out so much later, in any number at once. */
+	/** A store that carries out calls after a delay, any number of them at once. */
 	private delayed(store: platform.RecordStore, ms: number): platform.RecordStore {
 		const later = async <T>(call: () => Promise<T>): Promise<T> => {
 			await this.sleep(ms);
@@ -136,7 +136,7 @@
 	}
 }
 
-/** Why a box does not answer as owner; undefined: it does. */
+/** Why a box does not answer as the owner; undefined: it does. */
 function endOf(box: TestBox): ownership.PingOutcome | undefined {
 	if (box.isDown) return 'refused';
 	return box.owns ? undefined : 'not-owner';
@@ -197,7 +197,7 @@
 	boxes.start('weak-1', weak);
 	await boxes.clock.pass(3_000);
 	first.isCut = true;
-	// The lease was last renewed up to one gap between renewals ago.
+	// The lease was last renewed up to one renewal interval before.
 	await boxes.clock.pass(ownership.settings.leaseMs + 100);
 	t.snapshot(boxes.owners);
 });
@@ -207,7 +207,7 @@
 	boxes.start('strong-2', strong);
 	boxes.start('weak-1', weak);
 	await boxes.clock.pass(3_000);
-	// Busy with other things, it renews its lease no more, and answers one box for longer than the other.
+	// Busy with other work, the owner no longer renews its lease, and it answers one box for longer than the other.
 	first.lacksStore = true;
 	first.silentTo.add('weak-1');
 	await boxes.clock.pass(ownership.settings.leaseMs - ownership.settings.renewalIntervalMs);
