--- a/test/address-reuse.test.ts
+++ b/test/address-reuse.test.ts
@@ -1,7 +1,8 @@
 /**
  * Guards against tasks that run twice at once after a takeover. A worker crashes, and its next incarnation is listed at the
- * same address before the entry of the dead one has lapsed. A successor that reads both entries at once must not presume the
- * live worker lost because another incarnation is listed at its address, and start its tasks elsewhere.
+ * same address before the entry of the dead one has lapsed. A successor reads both entries at once, and the live worker has
+ * not answered it yet. It must not presume that worker lost because another incarnation is listed at its address, and start
+ * its tasks elsewhere.
  */
 import test from 'ava';
 import * as real from './fixtures/real-boxes.js';
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -28,7 +28,7 @@
 	world.step({ count: 40, estimateMs: 1_700, after: [0] }),
 ];
 
-/** A box with this backlog as its view. */
+/** A box that knows of this backlog. */
 function createBox(
 	store: memory.MemoryStore,
 	clock: time.VirtualClock,
--- a/test/advice.test.ts
+++ b/test/advice.test.ts
@@ -8,7 +8,7 @@
 
 const workerCount = 90;
 
-/** One worker in three is good. */
+/** Every third worker is good. */
 const goodEvery = 3;
 
 const advised: jobs.QueuePolicy = { ...world.queue, advised: true };
--- a/test/crashing-tasks.test.ts
+++ b/test/crashing-tasks.test.ts
@@ -1,8 +1,8 @@
 /**
  * Guards against tasks that crash each worker that starts them and are started again and again. Two such tasks were started
- * six times within twenty seconds, and each crash lost up to fifteen other tasks, which were placed together with one of
- * them again: 67 tasks were lost within 3.6 s, sixteen of them twice and seven three times. Nothing counted a task's
- * crashes.
+ * six times within twenty seconds. With each crash up to fifteen other tasks were lost, and placed together with one of the
+ * two again: 67 losses within 3.6 s, sixteen of them the second of a task and seven the third. Nothing counted the losses of
+ * a task.
  */
 import test from 'ava';
 import * as crashes from './fixtures/crashes.js';
--- a/test/decoders.test.ts
+++ b/test/decoders.test.ts
@@ -1,6 +1,6 @@
 /**
- * Every decoder of `platform/`, fed with what other programs may have written: no decoder throws, and none returns values
- * outside its type.
+ * Every decoder of `platform/`, fed with what other programs may have written: no decoder throws, and none returns an
+ * invalid value.
  */
 import * as fc from 'fast-check';
 import test from 'ava';
--- a/test/evacuations.test.ts
+++ b/test/evacuations.test.ts
@@ -8,7 +8,7 @@
 import * as time from '../stand-ins/fleet/virtual-clock.js';
 import * as world from './fixtures/dispatching.js';
 
-/** A start has to respect an evacuation that was stored this long before it, in milliseconds. */
+/** A start has to respect an evacuation that was stored at least this long before it, in milliseconds. */
 const evacuateMs = 5_000;
 
 /** An environment with two workers in each of two zones. */
--- a/test/hanging-runs.test.ts
+++ b/test/hanging-runs.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against runs that are stopped as hung, and their workers quarantined, although they make progress: the report
- * requests to those workers have no answer meanwhile.
+ * Guards against healthy runs that are stopped as hung, and their workers quarantined, because report requests to those
+ * workers have no answer.
  */
 import test from 'ava';
 import * as results from '../src/core/result.js';
--- a/test/harm.test.ts
+++ b/test/harm.test.ts
@@ -36,7 +36,7 @@
 	const runs = [...fleet.workers.values()].flatMap((worker) => [...worker.running]);
 	const served = runs.map(([, run]) => run);
 	for (const one of served) one.reading = calmTailMs;
-	// The load of the serving tasks has to be known before interference can be told from it.
+	// The load of the serving tasks has to be known before interference can be distinguished from it.
 	await clock.pass(60_000);
 	const beside = { milliCores: 1_600, image: 'filling', fills: true, checkpoints: true, maxPerWorker: 2 };
 	await made.submit(owner, world.job('filling', [world.step({ ...beside, count: 2 * workerCount })]));
@@ -191,7 +191,7 @@
 	owner.dispatcher.close();
 });
 
-/** Advances the clock; returns the longest time, in milliseconds, that preemptible tasks worked without a pause in it. */
+/** Advances the clock; returns the longest uninterrupted time, in milliseconds, that any preemptible task worked in it. */
 async function longestWork(made: Awaited<ReturnType<typeof besideServing>>, forMs: number): Promise<number> {
 	const { clock, working } = made;
 	const endsAt = clock.now() + forMs;
