--- a/test/address-reuse.test.ts
+++ b/test/address-reuse.test.ts
@@ -1,10 +1,8 @@
 /**
- * Users saw two tasks run twice at once: both runs of the first owner on one worker, both of its successor on two others.
- * A worker had crashed, and its next life was listed at the same address while the entry of the dead one had not lapsed
- * yet. A successor read both entries at once, took the living worker for the one that was gone, and started its tasks
- * elsewhere. Its log settled it: `worker.lost`, "another life is listed at its address", at 19.442 s for a worker that had
- * not answered it before; `task.placed` elsewhere at 19.503 s; `worker.reached` at 19.567 s, and `run.stray` for the same
- * task 3 ms later.
+ * Guards against tasks that run twice at once after a takeover. A worker crashes, and its next incarnation is listed at the
+ * same address before the entry of the dead one has lapsed. A successor reads both entries at once, and the live worker has
+ * not answered it yet. It must not presume that worker lost because another incarnation is listed at its address, and start
+ * its tasks elsewhere.
  */
 import test from 'ava';
 import * as realBoxes from './fixtures/real-boxes.js';
@@ -15,7 +13,7 @@
 	return { ms: 30_000, how: 'done' };
 }
 
-/** A worker that crashed and came back at its address under `reborn`; its new life runs two tasks of two jobs. */
+/** A worker that crashed and came back at its address as `replacementId`; the new incarnation runs two tasks of two jobs. */
 async function createAddressReuse(replacementId: string): Promise<{
 	environment: fixtures.TestEnvironment;
 	first: fixtures.TestOwner;
@@ -36,7 +34,7 @@
 	return { environment, first, liveWorker };
 }
 
-/** Lets time pass, and looks for tasks with two runs at once all the while. */
+/** Advances the clock, and checks every 10 ms that no task has two runs at once. */
 async function assertNoDoubleRuns(
 	t: { deepEqual: (a: unknown, b: unknown) => unknown },
 	environment: fixtures.TestEnvironment,
@@ -49,7 +47,7 @@
 }
 
 for (const replacementId of ['w4', 'w6'])
-	test(`a successor that reads a dead entry beside the living ${replacementId} at one address starts nothing twice`, async (t) => {
+	test(`a successor that reads a dead entry beside the live ${replacementId} at one address starts nothing twice`, async (t) => {
 		const { environment, first, liveWorker } = await createAddressReuse(replacementId);
 		t.is(liveWorker.running.size, 2);
 		first.dispatcher.close();
@@ -61,7 +59,7 @@
 		second.dispatcher.close();
 	});
 
-test('a worker that does not answer its successor at first keeps its tasks, whatever is listed at its address', async (t) => {
+test('a worker that does not answer the successor at first keeps its tasks, whatever is listed at its address', async (t) => {
 	const { environment, first, liveWorker } = await createAddressReuse('w6');
 	first.dispatcher.close();
 	environment.fleet.add('w1');
@@ -87,14 +85,14 @@
 	first.dispatcher.close();
 });
 
-test('what ran in the life before is started again as soon as the next life is listed at its address', async (t) => {
+test('runs of a previous incarnation are started again as soon as the next incarnation is listed at its address', async (t) => {
 	const environment = fixtures.createEnvironment(longPlan);
 	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await clock.pass(1_200);
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
-	// The connection hangs: the question under way is given up after a second.
+	// The connection hangs: the report request in flight times out after a second.
 	await clock.pass(300);
 	w1.fault = 'silent';
 	const w2 = fleet.add('w2', { address: w1.entry.address });
@@ -105,7 +103,7 @@
 	owner.dispatcher.close();
 });
 
-test('over real boxes: the owner dies while a dead entry is listed beside the living worker', async (t) => {
+test('over real boxes: the owner dies while a dead entry is listed beside the live worker', async (t) => {
 	const starts: workers.StartRecord[] = [];
 	let noteStart = (): void => undefined;
 	const journal: workers.FleetJournal = {
@@ -146,7 +144,8 @@
 	await owner.logged((line) => line.name === 'worker.reached' && line.fields.worker === 'i-3');
 	await owner.kill();
 	await other.logged((line) => line.name === 'takeover.settled');
-	// Its tasks are placed in the same round as what is free at that time, or in a later one.
+	// The tasks of this job are placed in the same round as all that are startable then, or in a later one: once it is
+	// completed, a second start of the first two would show.
 	t.is((await realBoxes.call(other.callers, 'POST', shortJob, body)).status, 200);
 	await realBoxes.waitUntilCompleted(other, shortJob);
 	t.deepEqual(
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -1,4 +1,7 @@
-/** Which jobs are taken in while more is owed than can be done in time, and when those turned away are to come back. */
+/**
+ * Which jobs are accepted while more work is outstanding than can be done in time, and after how long callers of refused
+ * jobs are to retry.
+ */
 import test from 'ava';
 import * as admission from '../src/core/admission/index.js';
 import * as contacts from '../src/core/platform/contact.js';
@@ -25,7 +28,7 @@
 	objectiveMs: 1_000,
 };
 
-/** A chain of two steps of 1.7 s. */
+/** Two steps of 1.7 s, one after the other. */
 const wideSteps = [
 	fixtures.step({ count: 40, estimateMs: 1_700 }),
 	fixtures.step({ count: 40, estimateMs: 1_700, after: [0] }),
@@ -52,7 +55,7 @@
 	return { box, log };
 }
 
-test('a job waits behind its own priority and those before, and no longer than it is of use', (t) => {
+test('a job waits behind jobs of its own and higher priorities, for at most as long as its result has value', (t) => {
 	const backlog = admission.estimateBacklog(
 		new Map([
 			[2, 3_000],
@@ -71,19 +74,19 @@
 		waitMs: 17_000,
 		limitMs: admission.maxWaitMs,
 	});
-	// 3 x (1.5 x 600 + 250) ms after its acceptance it is worth nothing, and it takes 600 ms.
+	// The job has no value left 3 x (1.5 x 600 + 250) ms after its acceptance, and it takes 600 ms.
 	t.is(admission.waitLimitMs({ queue: urgentQueue, steps: short }), 2_850);
 });
 
-test('without a rate nothing is known of the backlog, and all is taken in', (t) => {
+test('without a finish rate the backlog is not estimated, and every job is accepted', (t) => {
 	const rate = admission.FinishRate.create();
 	t.is(rate.tasksPerS, undefined);
-	// The first seconds of a burst: much waits, little has finished yet.
+	// The first seconds of a burst: many tasks wait, and few have finished yet.
 	for (const finished of [0, 20, 90]) rate.addSecond(finished, 2_000);
 	t.is(rate.tasksPerS, undefined);
 	rate.addSecond(90, 2_000);
 	t.is(rate.tasksPerS, 90);
-	// A second with little to wait for tells how much there was to do, not how much can be done.
+	// A second in which little waits measures how much work there was, not how much can be done.
 	rate.addSecond(5, 3);
 	t.is(rate.tasksPerS, 90);
 	rate.addSecond(5, 0);
@@ -91,7 +94,7 @@
 	t.deepEqual(admission.estimateBacklog(new Map([[0, 10_000]]), rate.tasksPerS), []);
 });
 
-test('a load that goes on above what can be started: the backlog stays bounded, urgent work is never refused', (t) => {
+test('under a lasting overload the backlog stays bounded, and urgent jobs are never refused', (t) => {
 	const rate = admission.FinishRate.create();
 	const finishedPerS = 110;
 	const outstanding = new Map<number, number>([
@@ -102,7 +105,7 @@
 	let longestBacklogS = 0;
 	for (let second = 0; second < 60; second += 1) {
 		const backlog = admission.estimateBacklog(outstanding, rate.tasksPerS);
-		// Each second 24 urgent tasks and four wide jobs of 80 tasks: three times what is finished.
+		// Each second brings 24 urgent tasks and four wide jobs of 80 tasks: three times what is finished.
 		const isAdmitted = (queue: jobs.QueuePolicy, steps: jobs.StepSpec[]): boolean =>
 			admission.decide({ queue, steps }, backlog).type === 'admit';
 		if (isAdmitted(urgentQueue, [fixtures.step({ estimateMs: 600 })]))
@@ -119,11 +122,11 @@
 	}
 	t.is(refused.urgent, 0);
 	t.true(refused.wide > 100);
-	// Without a limit 14,000 tasks, more than two minutes' work, would be owed at the end.
+	// Without a limit 14,000 tasks, more than two minutes' work, would be outstanding at the end.
 	t.true(longestBacklogS < 16, `the backlog came to ${longestBacklogS.toFixed(1)} s`);
 });
 
-test('callers come back by what they wait for, spread, those of urgent queues first', (t) => {
+test('the time to retry follows the cause of the refusal, is spread, and is shorter for urgent queues', (t) => {
 	const { retryAfterS } = admission;
 	t.is(retryAfterS({ type: 'outage', ageMs: 0 }, 2, 0), 1);
 	t.is(retryAfterS({ type: 'outage', ageMs: 4_000 }, 0, 1), 1);
@@ -135,7 +138,7 @@
 	t.is(retryAfterS({ type: 'backlog', excessMs: 600_000 }, 2, 0), 30);
 });
 
-test('a job that is turned away is not stored; one that was stored before is never called refused', async (t) => {
+test('a refused job is not stored; one that was stored before is never reported as refused', async (t) => {
 	const clock = time.VirtualClock.create();
 	const store = memory.MemoryStore.create(clock);
 	let backlog: admission.Backlog = [];
--- a/test/advice.test.ts
+++ b/test/advice.test.ts
@@ -1,4 +1,4 @@
-/** The adviser's word on which workers may run a step, and how much of the fleet it is asked about. */
+/** The adviser's answers on which workers may run a step, and how many workers each question to it names. */
 import test from 'ava';
 import * as adviserCall from '../platform/adviser-call.js';
 import * as fixtures from './fixtures/dispatching.js';
@@ -21,7 +21,7 @@
 	});
 };
 
-/** Plays a job of one step, whose tasks take a whole worker each, under the adviser. */
+/** Runs a job of one step under the adviser; by default each task takes a whole worker. */
 async function runJob(spec: Partial<jobs.StepSpec>): Promise<jobs.JobState | undefined> {
 	const environment = fixtures.createEnvironment(() => ({ ms: 500, how: 'done' }), undefined, adviser);
 	for (let index = 0; index < workerCount; index += 1) environment.fleet.add(`w${String(index)}`);
@@ -40,15 +40,15 @@
 	t.is(await runJob({ count: 17, gang: true }), 'completed');
 });
 
-test('a step that may have few tasks on a worker is done beyond the good workers of one answer', async (t) => {
+test('a step that may have few tasks on a worker completes on more good workers than one answer names', async (t) => {
 	t.is(await runJob({ count: 25, milliCores: 100, maxPerWorker: 1 }), 'completed');
 });
 
-test('a step of as many tasks as there are good workers is done', async (t) => {
+test('a step with as many tasks as there are good workers completes', async (t) => {
 	t.is(await runJob({ count: 30 }), 'completed');
 });
 
-test('the adviser hears the names of workers, and its tickets are for the lives that were asked about', async (t) => {
+test('the adviser is sent the names of workers, and its tickets are for the incarnations that were asked about', async (t) => {
 	const requests: unknown[] = [];
 	const body = { good: [['i-2', 'a ticket']], validity_ms: 5_000 };
 	const client: Pick<http.JsonClient, 'send'> = {
--- a/test/call-repeater.test.ts
+++ b/test/call-repeater.test.ts
@@ -1,4 +1,7 @@
-/** Calls to workers that were left without an answer blinded their owner until they were given up. */
+/**
+ * Guards against owners that know nothing of a worker for a whole call timeout because one call to it has no answer: calls
+ * that are unusually late are repeated long before they time out.
+ */
 import test from 'ava';
 import * as delays from '../src/core/dispatch/answer-delays.js';
 import * as settings from '../src/core/dispatch/settings.js';
@@ -6,10 +9,10 @@
 
 const workerCount = 12;
 
-/** Calls are given up after so long, in milliseconds. */
+/** Calls time out after this, in milliseconds. */
 const callTimeoutMs = 1_000;
 
-/** An owner of workers that each run a task which lasts. */
+/** An owner of workers that each run a long-running task. */
 async function createWithLongRunning() {
 	const environment = fixtures.createEnvironment(() => ({ ms: 'endless', how: 'done' }));
 	const { clock, fleet } = environment;
@@ -24,7 +27,7 @@
 	return { ...environment, owner, worker };
 }
 
-test('a question that is carried out late is asked once more, long before it is given up', async (t) => {
+test('a report request that is carried out late is repeated long before it times out', async (t) => {
 	const { clock, owner, worker } = await createWithLongRunning();
 	const hold = worker.hold.bind(worker);
 	let lastPolledAt = clock.now();
@@ -45,7 +48,7 @@
 	owner.dispatcher.close();
 });
 
-test('starts that are carried out late are sent again long before they are given up', async (t) => {
+test('starts that are carried out late are repeated long before they time out', async (t) => {
 	const { clock, fleet, owner, submit } = await createWithLongRunning();
 	const count = 2 * workerCount;
 	const before = fleet.starts.length;
@@ -68,7 +71,7 @@
 	owner.dispatcher.close();
 });
 
-test('an owner whose processor is full repeats nothing', async (t) => {
+test('an owner whose processor is saturated repeats nothing', async (t) => {
 	const { clock, fleet, takeOverBusy, submit } = fixtures.createEnvironment(() => ({ ms: 300, how: 'done' }));
 	for (let number = 0; number < 200; number += 1) fleet.add(`w${String(number)}`);
 	const { owner, processor } = await takeOverBusy({ send: 1, answer: 2 });
@@ -80,12 +83,12 @@
 		maxQueueMs = Math.max(maxQueueMs, processor.queueMs);
 		repeats += owner.dispatcher.load().repeats;
 	}
-	t.true(maxQueueMs > 200, 'the processor was full');
+	t.true(maxQueueMs > 200, 'the processor was saturated');
 	t.is(repeats, 0);
 	owner.dispatcher.close();
 });
 
-test('where no worker answers any more, a few are asked once more', async (t) => {
+test('when no worker answers any more, only the requests to a few are repeated', async (t) => {
 	const { clock, fleet, owner } = await createWithLongRunning();
 	for (const worker of fleet.workers.values()) worker.fault = 'silent';
 	await clock.pass(settings.pollWaitMs + callTimeoutMs + 200);
@@ -94,7 +97,7 @@
 	owner.dispatcher.close();
 });
 
-test('a worker that stays silent is asked no more than a few times for each question', async (t) => {
+test('a request to a worker that stays unresponsive is repeated a few times at most', async (t) => {
 	const { clock, owner, worker } = await createWithLongRunning();
 	worker.fault = 'silent';
 	await clock.pass(settings.pollWaitMs + callTimeoutMs + 200);
@@ -105,7 +108,7 @@
 	owner.dispatcher.close();
 });
 
-test('answers are unusually late above four times what they vary by', (t) => {
+test('answers are unusually late beyond their smoothed delay and four times its variation', (t) => {
 	const answerDelays = delays.AnswerDelays.create();
 	for (let number = 0; number < 100; number += 1) answerDelays.addSample(100);
 	t.true(answerDelays.usualDelayMs > 99 && answerDelays.usualDelayMs < 110);
--- a/test/cancelled-runs.test.ts
+++ b/test/cancelled-runs.test.ts
@@ -1,9 +1,9 @@
-/** What runs of a cancelled job, however it came to run: it is stopped soon after it began. */
+/** Runs of a cancelled job are stopped soon after they begin, however they came to run. */
 import test from 'ava';
 import * as ledger from '../src/core/ledger/index.js';
 import * as fixtures from './fixtures/dispatching.js';
 
-/** A run of a cancelled job ends within this, in milliseconds: a report that lists it, and its stop. */
+/** How long a run of a cancelled job may last, in milliseconds: until a report lists it and its stop is carried out. */
 const maxRunAfterCancelMs = 1_500;
 
 const longPlan = { ms: 60_000, how: 'done' as const };
@@ -17,7 +17,7 @@
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	await clock.pass(50);
 	owner.dispatcher.cancelJob('job1');
-	// Only the start comes late: from now on the worker answers.
+	// Only the start comes late: from here on the worker answers.
 	w1.fault = 'none';
 	let runningMs = 0;
 	for (let passed = 0; passed < 15_000; passed += 50) {
@@ -28,7 +28,7 @@
 	owner.dispatcher.close();
 });
 
-test('what a removed owner started is stopped by its successor if the job was cancelled meanwhile', async (t) => {
+test('a run that a replaced owner started is stopped by its successor if the job was cancelled meanwhile', async (t) => {
 	const { clock, store, fleet, takeOver, submit } = fixtures.createEnvironment(() => longPlan);
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
@@ -46,7 +46,7 @@
 	second.dispatcher.close();
 });
 
-test('a lasting task is not started if its job is cancelled while its worker is being stored', async (t) => {
+test('a long-running task is not started if its job is cancelled while its worker is being stored', async (t) => {
 	let fault: 'none' | 'down' = 'none';
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => longPlan);
 	fleet.add('w1');
@@ -62,7 +62,7 @@
 	owner.dispatcher.close();
 });
 
-test('a run of a cancelled job that a successor finds keeps its room until it has ended', async (t) => {
+test('a run of a cancelled job that a successor finds keeps its capacity until it has exited', async (t) => {
 	const { clock, store, fleet, takeOver, submit } = fixtures.createEnvironment(() => longPlan);
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -1,7 +1,7 @@
 /**
- * Where a waiting read goes silent as it begins, its wait, the time for a late answer and the reading of the list have to
- * fit into the time that a confirmed configuration may take; 2,500 + 800 + 250 ms did not fit into 2,000, nor into the
- * 3,000 after which a box counts as in touch again.
+ * Guards against configurations that take effect too late because a long poll stops responding as it begins. Its wait, the
+ * grace period for its answer and the list that follows have to fit into the time that a confirmed configuration may take to
+ * be in force: 2,500 + 800 + 250 ms do not fit into 2,000, nor into the 3,000 after which a box counts as in contact again.
  */
 import test from 'ava';
 import * as boxConfiguration from '../src/core/box/configuration.js';
@@ -15,24 +15,24 @@
 import * as time from '../stand-ins/fleet/virtual-clock.js';
 import type * as platform from '../src/core/platform/types.js';
 
-/** Bounds of the users' deployments, in milliseconds, and some between. */
+/** Time limits for applying a configuration, in milliseconds: those of the users' deployments, and some between. */
 const applyBoundsMs = [1_500, 2_000, 2_500, 3_000, 4_000];
 
-/** What a call over a new connection takes in the store's slow hours, in milliseconds. */
+/** Duration of a call over a new connection in the store's slow hours, in milliseconds. */
 const slowAnswerMs = 250;
 
-/** A follower of the configuration under a virtual clock, whose connection to the store can go silent. */
+/** A follower of the configuration on a virtual clock; its connection to the store can stop responding. */
 class TestFollower {
 	readonly clock = time.VirtualClock.create();
 	readonly store = memory.MemoryStore.create(this.clock);
 	readonly log = events.EventLog.create('entry-1', this.clock);
-	/** Whether the store answers this box, as its other calls tell. */
+	/** Whether the store answers this box's other calls. */
 	readonly contact = { reachable: true };
-	/** The next waits never come to an answer. */
+	/** The next wait for changes times out. */
 	nextWaitHangs = false;
-	/** The store answers nothing. */
+	/** The store fails every call. */
 	isStoreDown = false;
-	/** Waits are answered with the newest revision and without the changes up to it. */
+	/** Waits are answered with the latest revision and without the changes up to it. */
 	omitsChanges = false;
 	readonly follower: boxConfiguration.ConfigurationFollower;
 
@@ -94,7 +94,7 @@
 	}
 }
 
-test('a wait that goes silent at any time puts a confirmed configuration out of force for no longer than allowed', async (t) => {
+test('a long poll that stops responding at any time does not delay a confirmed configuration beyond the time limit', async (t) => {
 	for (const applyMs of applyBoundsMs)
 		for (let phaseMs = 0; phaseMs < applyMs; phaseMs += 125) {
 			const harness = TestFollower.create(applyMs);
@@ -102,11 +102,15 @@
 			harness.nextWaitHangs = true;
 			harness.write(2);
 			await harness.clock.pass(applyMs);
-			t.is(harness.follower.version, 2, `${String(applyMs)} ms allowed, silent after ${String(phaseMs)}`);
+			t.is(
+				harness.follower.version,
+				2,
+				`${String(applyMs)} ms allowed, unresponsive after ${String(phaseMs)}`,
+			);
 		}
 });
 
-test('a configuration that the store does not confirm in time is logged, again and again, until it is', async (t) => {
+test('a configuration that the store does not confirm in time is logged repeatedly until it is confirmed', async (t) => {
 	const harness = TestFollower.create(2_000);
 	await harness.clock.pass(3_000);
 	t.is(harness.countLogged('config.unconfirmed'), 0);
@@ -120,12 +124,12 @@
 	t.true(harness.follower.ageMs < 2_000);
 });
 
-/** The owner is not asked. */
+/** Stands for the owner where it must not be asked. */
 function failIfOwnerAsked(): Promise<Uint8Array | undefined> {
 	throw new Error('the owner is asked though the store answers');
 }
 
-test('a change that no wait brought is found as soon as another box tells of it', async (t) => {
+test('a change that no long poll returned is found as soon as another box advertises it', async (t) => {
 	for (const advertise of [
 		(harness: TestFollower) =>
 			void harness.follower.onAdvertised({ version: 2, ageMs: 0 }, harness.clock.now(), failIfOwnerAsked),
@@ -137,7 +141,7 @@
 		harness.write(2);
 		await harness.clock.pass(3_000);
 		t.is(harness.follower.version, 1);
-		t.false(harness.follower.mayBeStale, 'the store answers, so nothing tells this box');
+		t.false(harness.follower.mayBeStale, 'the store answers, so nothing indicates the missed change');
 		advertise(harness);
 		t.true(harness.follower.mayBeStale);
 		await harness.clock.pass(2 * slowAnswerMs);
@@ -146,7 +150,7 @@
 	}
 });
 
-test('where the list does not bring what the owner told of, the owner gives it', async (t) => {
+test('when the list does not return the version that the owner advertised, the box fetches it from the owner', async (t) => {
 	const harness = TestFollower.create(2_000);
 	await harness.clock.pass(500);
 	const { follower, clock } = harness;
@@ -161,7 +165,7 @@
 	t.is(harness.follower.version, 2);
 });
 
-test('without the store a box takes over what the owner gives, and what it confirms', async (t) => {
+test('without the store a box applies the configuration that the owner sends, and relies on its confirmation', async (t) => {
 	const harness = TestFollower.create(2_000);
 	await harness.clock.pass(500);
 	harness.isStoreDown = true;
@@ -172,10 +176,10 @@
 	await follower.onAdvertised({ version: 1, ageMs: 300 }, clock.now() - 500, () =>
 		Promise.resolve(configurations.storedConfiguration(9)),
 	);
-	t.is(follower.ageMs, 800, 'as old as the owner says, and as the answer may be');
+	t.is(follower.ageMs, 800, 'the age that the owner reports, and the time since the request was sent');
 	t.false(follower.mayBeStale);
 	await follower.onAdvertised({ version: 2, ageMs: 300 }, clock.now(), () => Promise.resolve(undefined));
-	t.true(follower.mayBeStale, 'the owner gave nothing');
+	t.true(follower.mayBeStale, 'the owner sent nothing');
 	await follower.onAdvertised({ version: 2, ageMs: 300 }, clock.now(), () =>
 		Promise.resolve(configurations.storedConfiguration(2)),
 	);
@@ -184,10 +188,10 @@
 	await follower.onAdvertised({ version: 3, ageMs: 300 }, clock.now(), () =>
 		Promise.resolve(configurations.storedConfiguration(1)),
 	);
-	t.is(harness.follower.version, 2, 'never back');
+	t.is(harness.follower.version, 2, 'an older version is never applied');
 });
 
-test('an owner gives a large configuration to one box after another', (t) => {
+test('an owner sends a large configuration to one box after another', (t) => {
 	let now = 0;
 	const rateLimit = sharing.SharingRateLimit.create(() => now);
 	const largeConfiguration = Buffer.alloc(350_000);
@@ -198,18 +202,18 @@
 	t.truthy(rateLimit.tryShare(largeConfiguration));
 });
 
-test('a wait of the owner that goes silent is repeated before its box counts as in touch again', (t) => {
+test('a long poll of the owner that stops responding is repeated before its box counts as in contact again', (t) => {
 	const contactMs = 3_000;
 	t.true(limits.ownerLongPollMs + limits.longPollGraceMs + slowAnswerMs < contactMs);
 });
 
-test('a box that was suspended is in doubt of its configuration until that is confirmed', async (t) => {
+test('the configuration of a box that was suspended may be stale until it is confirmed', async (t) => {
 	const harness = TestFollower.create(2_000);
 	await harness.clock.pass(1_000);
 	t.false(harness.follower.mayBeStale);
 	harness.clock.resume();
 	t.true(harness.follower.mayBeStale);
-	// The answer to the wait that was under way may have been given before.
+	// The answer to the wait that was in flight may be from before the suspension.
 	await harness.clock.pass(4_000);
 	t.false(harness.follower.mayBeStale);
 });
--- a/test/crashing-tasks.test.ts
+++ b/test/crashing-tasks.test.ts
@@ -1,9 +1,8 @@
 /**
- * Two tasks that crash each worker that starts them were started six times within twenty seconds, and each time up to
- * fifteen other tasks went down with them, which were placed together again and met the same culprit. Nothing counted
- * the losses: the owner's log has `task.lost` for run 5 of the first at 27.033 s ("another life of the worker answers at
- * its address"), `task.placed` for run 6 0.6 ms later on a worker with 13 other tasks, and that worker's last sign of life
- * 5 ms after that. Sixty-seven tasks were lost within 3.6 s: sixteen for the second time, seven for the third.
+ * Guards against tasks that crash each worker that starts them and are started again and again. Two such tasks were started
+ * six times within twenty seconds. With each crash up to fifteen other tasks were lost, and placed together with one of the
+ * two again: 67 losses within 3.6 s, sixteen of them the second of a task and seven the third. Nothing counted the losses of
+ * a task.
  */
 import test from 'ava';
 import * as crashes from './fixtures/crashes.js';
@@ -15,21 +14,24 @@
 import type * as jobs from '../src/core/jobs/index.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-/** Jobs that crash nothing are to be done so long after they were handed in, in milliseconds. */
+/** Time within which jobs that crash nothing have to be completed after their submission, in milliseconds. */
 const soundTimeoutMs = 60_000;
 
 const soundJobCount = 24;
 
 const soundStep = fixtures.step({ count: 6, milliCores: 4_000, estimateMs: 1_500 });
 
-/** A world of ten workers; tasks of jobs whose names begin with `bad` crash theirs, the first of a job if it is a gang. */
+/**
+ * An environment of ten workers. Tasks of jobs whose names begin with `bad` crash their workers; of jobs whose names begin
+ * with `half`, only the first task of each step does.
+ */
 function createCrashEnvironment(crashMs: number, soundMs = 1_500): fixtures.TestEnvironment {
 	const environment = fixtures.createEnvironment((task) => planOf(task, crashMs, soundMs));
 	for (let index = 0; index < 10; index += 1) environment.fleet.add(`w${String(index)}`);
 	return environment;
 }
 
-/** A worker's entry that leaves no task a place. */
+/** A worker's entry without free capacity. */
 function withoutCapacity(entry: fleetTypes.WorkerEntry): fleetTypes.WorkerEntry {
 	return { ...entry, capacity: { ...entry.capacity, milliCores: 0 } };
 }
@@ -42,7 +44,7 @@
 		: { ms: soundMs, how: 'done' };
 }
 
-/** Owners of a world that follow one another; the newest hears of the workers that crash and come back. */
+/** Owners that succeed one another; the current one is notified of workers that crash and come back. */
 class OwnerSuccession {
 	private constructor(
 		private readonly environment: fixtures.TestEnvironment,
@@ -73,7 +75,7 @@
 	}
 }
 
-/** Hands in the jobs that crash nothing, one every 250 ms. */
+/** Submits the jobs that crash nothing, one every 250 ms. */
 async function submitSound(
 	environment: fixtures.TestEnvironment,
 	succession: OwnerSuccession,
@@ -86,7 +88,7 @@
 	return ids;
 }
 
-/** The jobs of these that are not in this state. */
+/** Which of these jobs are not in this state. */
 function notInState(succession: OwnerSuccession, ids: string[], state: jobs.JobState): string[] {
 	return ids.filter((id) => succession.owner.dispatcher.stateOf(id) !== state);
 }
@@ -95,7 +97,7 @@
 	['at once', 10],
 	['after a while', 900],
 ] as const)
-	test(`a task that crashes each worker ${title} is given up, and jobs beside it are done`, async (t) => {
+	test(`a task that crashes each worker ${title} is abandoned, and other jobs are completed`, async (t) => {
 		const environment = createCrashEnvironment(crashMs);
 		const succession = await OwnerSuccession.start(environment);
 		await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
@@ -107,7 +109,7 @@
 		succession.close();
 	});
 
-test('a task that crashes each worker at once is given up after the second crash', async (t) => {
+test('a task that crashes each worker at once is abandoned after the second crash', async (t) => {
 	const environment = createCrashEnvironment(10);
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
@@ -117,7 +119,7 @@
 	succession.close();
 });
 
-test('a successor goes on counting, whenever its predecessor dies', async (t) => {
+test('a successor continues the count of crashes, whenever its predecessor dies', async (t) => {
 	for (const crashMs of [10, 900])
 		for (const tenureMs of [400, 1_700, 2_900, 5_000]) {
 			const environment = createCrashEnvironment(crashMs);
@@ -135,13 +137,13 @@
 		}
 });
 
-test('a crash that no owner saw counts, though the next owner dies before it starts the task again', async (t) => {
+test('a crash that no owner observed counts, even if the next owner dies before it starts the task again', async (t) => {
 	const environment = createCrashEnvironment(300);
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
 	await environment.clock.pass(290);
 	await succession.replaceOwner();
-	// It learns that the worker went down, and has no room for the task.
+	// The new owner learns that the worker crashed, and has no free capacity for the task.
 	const { onListed, workers } = environment.fleet;
 	environment.fleet.onListed = (added, removed) => {
 		succession.owner.dispatcher.setWorkers(added.map(withoutCapacity), removed, false);
@@ -156,11 +158,15 @@
 	await succession.replaceOwner();
 	await environment.clock.pass(soundTimeoutMs);
 	t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
-	t.is(crashes.crashCountsOf(environment, 'bad.0.0.0').crashes, 4, 'the one that nobody saw among them');
+	t.is(
+		crashes.crashCountsOf(environment, 'bad.0.0.0').crashes,
+		4,
+		'including the one that no owner observed',
+	);
 	succession.close();
 });
 
-test('several tasks that crash their workers, handed in with everything else, are each given up', async (t) => {
+test('several tasks that crash their workers, submitted among other jobs, are each abandoned', async (t) => {
 	const environment = createCrashEnvironment(10);
 	const succession = await OwnerSuccession.start(environment);
 	const bad = ['bad0', 'bad1', 'bad2'];
@@ -174,7 +180,7 @@
 	succession.close();
 });
 
-test('a lasting task that crashes each worker is given up', async (t) => {
+test('a long-running task that crashes each worker is abandoned', async (t) => {
 	const environment = createCrashEnvironment(10);
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step({ lasting: true })]));
@@ -186,7 +192,7 @@
 	succession.close();
 });
 
-test('a gang of which one member crashes its worker is given up', async (t) => {
+test('a gang of which one member crashes its worker is abandoned', async (t) => {
 	const environment = createCrashEnvironment(10);
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('half', [fixtures.step({ count: 3, gang: true })]));
@@ -196,19 +202,19 @@
 	succession.close();
 });
 
-test('a job of many tasks that crash their workers does not take the workers down again and again', async (t) => {
+test('a job of many tasks that crash their workers does not crash the workers again and again', async (t) => {
 	const environment = createCrashEnvironment(10);
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step({ count: 200 })]));
 	await environment.clock.pass(soundTimeoutMs);
 	t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
-	// All ten may go down before the first loss is known; after that, one suspect at a time.
+	// All ten workers may crash before the first loss is known; after that, one suspect runs at a time.
 	t.true(environment.fleet.crashes.length <= 12, String(environment.fleet.crashes.length));
 	succession.close();
 });
 
 for (const dark of [false, true])
-	test(`workers that crash by chance, ${dark ? 'without power' : 'alone or three at a time'}, cost no job`, async (t) => {
+	test(`workers that crash at random, ${dark ? 'without power' : 'alone or three at a time'}, make no job fail`, async (t) => {
 		const draw = random.seeded(dark ? 2 : 1);
 		const environment = createCrashEnvironment(10);
 		const { clock, fleet } = environment;
@@ -234,7 +240,7 @@
 		succession.close();
 	});
 
-test('a caller is told why a job has failed, by its owner and by the store', async (t) => {
+test('the reason why a job has failed is available from its owner and from the store', async (t) => {
 	const environment = createCrashEnvironment(10);
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
@@ -248,7 +254,7 @@
 	succession.close();
 });
 
-test('starts that were never sent, as their owners died, are not held against a task', async (t) => {
+test('starts that were never sent, because their owners died, do not count against a task', async (t) => {
 	const environment = createCrashEnvironment(10, 500);
 	const { clock, fleet } = environment;
 	let owner = await environment.takeOver();
@@ -264,7 +270,7 @@
 	for (let deaths = 0; deaths < 4; deaths += 1) {
 		owner.dispatcher.close();
 		let hasTakenOver = false;
-		// The store takes what is written from its placing on, and its answers are lost: the start is not sent.
+		// Once the start is placed, the store carries out writes but its answers are lost: the start is not sent.
 		owner = await environment.takeOver(undefined, () =>
 			hasTakenOver && placedCount() > 0 ? 'lost' : 'none',
 		);
--- a/test/decoders.test.ts
+++ b/test/decoders.test.ts
@@ -1,4 +1,7 @@
-/** Everything that `platform/` decodes, fed with what others may have written: no decoder throws, and none invents. */
+/**
+ * Every decoder of `platform/`, fed with what other programs may have written: no decoder throws, and none returns an
+ * invalid value.
+ */
 import * as fc from 'fast-check';
 import test from 'ava';
 import * as configurations from './fixtures/configurations.js';
@@ -8,7 +11,7 @@
 import * as waves from '../platform/waves.js';
 import * as workerEntries from '../platform/worker-list.js';
 
-/** Each run of the tests tries the same values. */
+/** Every run of the tests tries the same values. */
 const params = { seed: 20_261, numRuns: 500 };
 
 /** A field as its writer meant it, missing, or of any other type. */
@@ -63,7 +66,7 @@
 	max_runs: amountField,
 });
 
-/** A value as JSON, or any bytes at all. */
+/** A value as JSON, or arbitrary bytes. */
 function encoded(value: fc.Arbitrary<unknown>): fc.Arbitrary<Uint8Array> {
 	const text = value.map((one) => Buffer.from(JSON.stringify(one)) as Uint8Array);
 	return fc.oneof({ weight: 3, arbitrary: text }, fc.uint8Array());
@@ -100,7 +103,7 @@
 	t.pass();
 });
 
-test('jobs that callers hand in', (t) => {
+test('jobs that callers submit', (t) => {
 	const property = fc.property(encoded(job), (value) => {
 		const decoded = jobBody.decodeJob(value);
 		if (!decoded.ok) return;
@@ -110,7 +113,7 @@
 	t.pass();
 });
 
-test('any bytes as JSON', (t) => {
+test('arbitrary bytes as JSON', (t) => {
 	fc.assert(
 		fc.property(fc.uint8Array(), (value) => {
 			t.notThrows(() => json.parseJson(value));
@@ -119,14 +122,14 @@
 	);
 });
 
-test('a configuration whose last queue was dropped is taken, however its empty lists are written', (t) => {
+test('a configuration whose last queue was removed is accepted, however its empty lists are written', (t) => {
 	for (const empty of [{}, { routes: null, services: null }, { routes: [], services: [] }]) {
 		const decoded = configuration.decodeConfiguration(configurations.storedConfiguration(8, empty));
 		t.true(decoded.ok && decoded.value.routes.length === 0, JSON.stringify(empty));
 	}
 });
 
-test('fields of a queue or a pool that are null count as left out', (t) => {
+test('fields of a queue or a pool that are null count as absent', (t) => {
 	const route = { name: 'r', host: 'h', path_prefix: '/p/' };
 	const nulls = { slo_ms: null, priority: null, service: null, attempts: null, stretch: null };
 	const omitted = configuration.decodeConfiguration(
@@ -142,7 +145,7 @@
 	t.deepEqual(explicitNulls, omitted);
 });
 
-test('a queue that can not be read does not keep the others of its version out of force', (t) => {
+test('a queue that cannot be decoded does not keep the others of its version from taking effect', (t) => {
 	const good = { name: 'r', host: 'h', path_prefix: '/p/' };
 	const decoded = configuration.decodeConfiguration(
 		configurations.storedConfiguration(8, { routes: [good, { name: 'bad' }], services: [] }),
--- a/test/hung-runs.test.ts
+++ b/test/hung-runs.test.ts
@@ -1,19 +1,22 @@
-/** Sound runs were stopped as hanging, and their workers set aside, while questions to those workers had no answer. */
+/**
+ * Guards against healthy runs that are stopped as hung, and their workers quarantined, because report requests to those
+ * workers have no answer.
+ */
 import test from 'ava';
 import * as results from '../src/core/result.js';
 import * as settings from '../src/core/dispatch/settings.js';
 import * as fixtures from './fixtures/dispatching.js';
 
-/** Questions have no answer for so long, in milliseconds. */
+/** How long report requests have no answer, in milliseconds. */
 const unansweredMs = 2 * settings.hungAfterMs;
 
-/** Stops of runs that were taken for hanging. */
+/** Number of stops of runs that were presumed hung. */
 function countHungStops(owner: fixtures.TestOwner): number {
 	const stops = owner.events.select(({ name }) => name === 'task.stop');
 	return stops.filter(({ fields }) => fields.reason === 'hangs').length;
 }
 
-/** A worker whose runs report that progress, with orders to it that are answered all the while. */
+/** A worker whose runs report this progress; commands to it are answered all the while. */
 async function startOne(percent: number) {
 	const environment = fixtures.createEnvironment((task) => ({
 		ms: task.startsWith('brief') ? 100 : 60_000,
@@ -34,7 +37,7 @@
 	return { ...environment, w1, owner, sendCommands };
 }
 
-test('a run is not taken for hanging while nothing is heard of it', async (t) => {
+test('a run is not presumed hung while nothing is reported of it', async (t) => {
 	const environment = await startOne(40);
 	const { clock, w1, owner, sendCommands } = environment;
 	const hold = w1.hold.bind(w1);
@@ -48,7 +51,7 @@
 	owner.dispatcher.close();
 });
 
-test('a run that a worker reports again and again without progress is taken for hanging', async (t) => {
+test('a run that a worker repeatedly reports without progress is presumed hung', async (t) => {
 	const environment = await startOne(40);
 	await environment.submit(environment.owner, fixtures.job('job1', [fixtures.step()]));
 	await environment.sendCommands(2 * settings.hungAfterMs);
--- a/test/inherited-runs.test.ts
+++ b/test/inherited-runs.test.ts
@@ -1,4 +1,7 @@
-/** What a successor makes of runs that it finds and doesn't want: none is doubled, and no worker is filled over its cores. */
+/**
+ * What a successor does with runs that it finds and doesn't need: no task has two runs at once, and no worker has more cores
+ * in use than it has.
+ */
 import test from 'ava';
 import * as fencing from '../src/core/dispatch/fencing-tokens.js';
 import * as ledger from '../src/core/ledger/index.js';
@@ -11,7 +14,7 @@
 
 const longPlan = { ms: 60_000, how: 'done' as const };
 
-/** Lets time pass; `check` is asked every ten milliseconds. */
+/** Advances the clock, and calls `check` every ten milliseconds. */
 async function checkWhile(
 	clock: fixtures.TestEnvironment['clock'],
 	ms: number,
@@ -30,12 +33,12 @@
 	await cancelling;
 }
 
-/** A job with one big task. */
+/** A job with one large task. */
 function bigJob(id: string): ReturnType<typeof fixtures.job> {
 	return fixtures.job(id, [fixtures.step({ milliCores: bigMilliCores })]);
 }
 
-/** An owner's job runs on a worker that does not hear that it was cancelled; its end is stored, and the owner goes. */
+/** A job runs on a worker that does not receive its cancellation; the job's end is stored, and the owner stops. */
 async function leaveEndedJob(environment: fixtures.TestEnvironment, w1: workers.FakeWorker): Promise<void> {
 	const first = await environment.takeOver();
 	await environment.submit(first, bigJob('job1'));
@@ -49,7 +52,7 @@
 	w1.fault = 'none';
 }
 
-test('a run of a job whose end is stored keeps its room until it has ended', async (t) => {
+test('a run of a job whose end is stored keeps its capacity until it has exited', async (t) => {
 	const environment = fixtures.createEnvironment(() => longPlan);
 	const w1 = environment.fleet.add('w1');
 	await leaveEndedJob(environment, w1);
@@ -63,7 +66,7 @@
 	second.dispatcher.close();
 });
 
-test('the end of a run of a job whose end is stored is not stored again', async (t) => {
+test('the exit of a run of a job whose end is stored is not stored again', async (t) => {
 	const environment = fixtures.createEnvironment(() => longPlan);
 	const w1 = environment.fleet.add('w1');
 	await leaveEndedJob(environment, w1);
@@ -76,10 +79,10 @@
 	second.dispatcher.close();
 });
 
-/** How far the clock of an owner is ahead of its successor's, at least, in milliseconds. */
+/** How far an owner's clock is ahead of its successor's, at least, in milliseconds. */
 const clockAheadMs = 60;
 
-/** A job that runs twice, and the order that an owner whose clock is ahead gives for its second time. */
+/** A job with two occurrences, and the start command that an owner whose clock is ahead sends for the second. */
 function repeatedJob(firstAt: number): {
 	record: ReturnType<typeof fixtures.job>;
 	command: fleet.StartCommand;
@@ -89,7 +92,7 @@
 	return { record, command: startCommandFor('job1.1.0.0', 1) };
 }
 
-/** A start as an earlier owner gave it. */
+/** A start command as an earlier owner sent it. */
 function startCommandFor(task: string, epoch: number): fleet.StartCommand {
 	return {
 		task,
@@ -102,7 +105,7 @@
 	};
 }
 
-/** Plays a job's first time, and its second by an owner whose clock is ahead; the next owner takes over. */
+/** Runs a job's first occurrence; an owner whose clock is ahead starts the second; the next owner takes over. */
 async function takeOverEarly(environment: fixtures.TestEnvironment): Promise<fixtures.TestOwner> {
 	const { clock, fleet } = environment;
 	const [, , w3] = ['w1', 'w2', 'w3'].map((id) => fleet.add(id));
@@ -117,7 +120,7 @@
 	return environment.takeOver();
 }
 
-test("a run of a time that has not come by the successor's clock goes on, and is the only one", async (t) => {
+test("a run of an occurrence that is not due yet by the successor's clock continues, and is the only one", async (t) => {
 	const environment = fixtures.createEnvironment((task) => ({
 		ms: task === 'job1.0.0.0' ? 100 : 60_000,
 		how: 'done',
@@ -128,7 +131,7 @@
 	second.dispatcher.close();
 });
 
-test("a task that is done before its time has come by the successor's clock is not run again", async (t) => {
+test("a task that is done before its occurrence is due by the successor's clock is not run again", async (t) => {
 	const environment = fixtures.createEnvironment(() => ({ ms: 10, how: 'done' }));
 	const second = await takeOverEarly(environment);
 	await environment.clock.pass(5_000);
@@ -137,7 +140,7 @@
 	second.dispatcher.close();
 });
 
-test("what is stored of a time that has not come by an owner's clock is not lost when that owner stores the job", async (t) => {
+test("stored progress of an occurrence that is not due yet by an owner's clock is not lost when that owner stores the job", async (t) => {
 	const environment = fixtures.createEnvironment(() => ({ ms: 1_000, how: 'done' }));
 	environment.fleet.add('w1');
 	const first = await environment.takeOver();
@@ -169,7 +172,7 @@
 	third.dispatcher.close();
 });
 
-test('a worker with a run of a job that is not kept any more gets no new work until that run has ended', async (t) => {
+test('a worker with a run of a job that is no longer stored gets no new work until that run has exited', async (t) => {
 	const environment = fixtures.createEnvironment(() => longPlan);
 	const w1 = environment.fleet.add('w1');
 	const first = await environment.takeOver();
@@ -183,7 +186,7 @@
 	second.dispatcher.close();
 });
 
-test('a worker with an old run of a task that is placed elsewhere gets no new work until that run has ended', async (t) => {
+test('a worker with an old run of a task that is placed elsewhere gets no new work until that run has exited', async (t) => {
 	const environment = fixtures.createEnvironment(() => longPlan);
 	const w1 = environment.fleet.add('w1');
 	const owner = await environment.takeOver();
@@ -195,7 +198,7 @@
 	environment.fleet.add('w2', { labels: ['other'] });
 	owner.dispatcher.setWorkers(environment.fleet.entries(), [], true);
 	await environment.clock.pass(500);
-	// A worker that stood still past its leases shows what ran there for a moment when it goes on.
+	// A worker that was suspended past its leases reports for a moment what ran there, when it resumes.
 	w1.start({ ...startCommandFor('job1.0.0.0', 1), token: fixtures.firstToken(1) });
 	await environment.clock.pass(1_100);
 	await environment.submit(owner, bigJob('job2'));
@@ -204,7 +207,7 @@
 	owner.dispatcher.close();
 });
 
-test('a task with an old run somewhere is started only once that run has ended', async (t) => {
+test('a task with an old run on any worker is started only once that run has exited', async (t) => {
 	const plan = (_task: string, run: number): workers.RunPlan =>
 		run === 2 ? { ms: 10, how: 'failed' } : longPlan;
 	const environment = fixtures.createEnvironment(plan);
@@ -222,13 +225,13 @@
 	second.dispatcher.close();
 });
 
-/** A job's stored state. */
+/** A job's stored state; undefined if none is stored. */
 async function storedState(environment: fixtures.TestEnvironment, id: string): Promise<string | undefined> {
 	const stored = await readStored(environment, id);
 	return stored?.progress?.state;
 }
 
-/** Version of a job's stored progress. */
+/** Version of a job's stored progress; undefined if none is stored. */
 async function progressVersion(
 	environment: fixtures.TestEnvironment,
 	id: string,
@@ -237,7 +240,7 @@
 	return stored?.progressVersion;
 }
 
-/** All that is kept of a job. */
+/** Everything that is stored of a job; undefined if nothing is, or if the read fails. */
 async function readStored(
 	{ clock, store }: fixtures.TestEnvironment,
 	id: string,
--- a/test/interference-under-faults.test.ts
+++ b/test/interference-under-faults.test.ts
@@ -1,20 +1,24 @@
 /**
- * Seeded plays of users beside batch work, while workers are silent, lose answers and carry orders out late and owners
- * change: what fills never keeps a task over its target for longer than users allow once its worker is in touch.
+ * Seeded runs of serving tasks beside preemptible ones, while workers become unresponsive, lose answers and carry out
+ * commands late, and owners change. Preemptible tasks must not keep a serving task over its target for longer than users
+ * allow, once its worker is in contact again.
  */
 import test from 'ava';
 import * as random from '../dev/random.js';
 import * as fixtures from './fixtures/dispatching.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-/** Users' latency target, and the longest that a task may stay over it by what fills beside it, in milliseconds. */
+/** Users' latency target, and the longest time that preemptible tasks may keep a serving task over it, in milliseconds. */
 const targetMs = 150;
 const maxSloViolationMs = 4_000;
 
-/** A stretch counts if the worker had no fault for so long, in milliseconds. */
+/** A period over the target counts once the worker has had no fault for this long, in milliseconds. */
 const minContactMs = 4_000;
 
-/** Tail of a serving task that nothing disturbs, and how much each loud neighbour adds to it at full pace. */
+/**
+ * Tail latency of a serving task without interference, in milliseconds, and the multiple of it that each `loud` neighbour at
+ * full pace adds.
+ */
 const undisturbedTailMs = 60;
 const interferencePerNeighbour = 2;
 
@@ -23,22 +27,24 @@
 const warmUpMs = 4_000;
 const checkIntervalMs = 50;
 
-/** What happens to workers, each for up to so long, in milliseconds. */
+/** Faults of workers, and the longest time that each lasts, in milliseconds. */
 const faults = ['silent', 'lost', 'late', 'delays-paces', 'ignores-stops'] as const;
 const maxFaultMs = 3_000;
 
-/** Between two faults, two jobs that fill and two changes of the owner, in milliseconds at most. */
+/** Maximum intervals between two faults, two preemptible jobs and two changes of the owner, in milliseconds. */
 const maxFaultIntervalMs = 2_500;
 const maxJobIntervalMs = 500;
 const maxOwnerIntervalMs = 30_000;
 
-/** How a worker stands, as the judge sees it. */
+/** The checker's state of one worker. */
 interface WatchedWorker {
-	/** Since when its users have been over their target beside work that fills; undefined: they are not. */
+	/**
+	 * Since when its serving tasks have been over their target beside running preemptible tasks; undefined: they are not.
+	 */
 	overSince: number | undefined;
-	/** What disturbed them at the last look. */
+	/** Preemptible runs that interfered with them at the last check. */
 	interfering: readonly string[];
-	/** Until when a fault lasts. */
+	/** When the latest fault ends. */
 	faultUntil: number;
 }
 
@@ -49,7 +55,7 @@
 	else worker.fault = isOn ? fault : 'none';
 }
 
-/** Runs that fill and work beside users of a worker that are over their target; none: they are not. */
+/** Preemptible runs at work beside serving tasks that are over their target; empty if none is over its target. */
 function interferingRunsOn(worker: workers.FakeWorker): string[] {
 	const isOver = worker
 		.report()
@@ -59,7 +65,7 @@
 	return working.map(([task, { run }]) => `${task}#${String(run)}`);
 }
 
-/** Plays one seed; returns what the judge saw. */
+/** Runs one seed; returns the SLO violations that were too long. */
 async function runSeed(seed: number): Promise<string[]> {
 	const draw = random.seeded(seed);
 	const environment = fixtures.createEnvironment((task) => {
@@ -105,7 +111,7 @@
 	return violations;
 }
 
-/** Something happens to a worker for a while. */
+/** Injects a fault into a worker for some time. */
 function injectFault(
 	clock: fixtures.TestEnvironment['clock'],
 	watched: ReadonlyMap<workers.FakeWorker, WatchedWorker>,
@@ -121,7 +127,7 @@
 	state.faultUntil = Math.max(state.faultUntil, clock.now() + forMs);
 }
 
-/** A job whose tasks fill, and disturb users or do not. */
+/** A job of preemptible tasks that interfere with serving tasks or do not. */
 function preemptibleJob(number: number, draw: () => number): ReturnType<typeof fixtures.job> {
 	const image = draw() < 0.5 ? 'loud' : 'quiet';
 	const count = random.between(draw, 1, 6);
@@ -140,7 +146,8 @@
 	violations: string[],
 ): void {
 	const interfering = interferingRunsOn(worker);
-	// Where all of them have gone, the users were under their target before others came: these tails follow at once.
+	// If none of the previous ones is left, the serving tasks were under their target before the others came: these tails
+	// change at once.
 	const isContinuing = interfering.some((run) => state.interfering.includes(run));
 	state.overSince = interfering.length === 0 ? undefined : isContinuing ? state.overSince : now;
 	state.interfering = interfering;
@@ -150,10 +157,10 @@
 		violations.push(`${worker.name} at ${String(now)}: for ${String(overMs)} ms`);
 }
 
-/** The first seeds; as many as the variable says, by hand. */
+/** Seeds 1 to 24; the variable sets another number for runs by hand. */
 const seeds = Array.from({ length: Number(process.env.WOODCROSS_HARM_SEEDS ?? 24) }, (_, index) => index + 1);
 
 for (const seed of seeds)
-	test(`users are not harmed beside batch work under faults, seed ${String(seed)}`, async (t) => {
+	test(`preemptible tasks keep no serving task over its target for too long under faults, seed ${String(seed)}`, async (t) => {
 		t.deepEqual(await runSeed(seed), []);
 	});
--- a/test/partial-knowledge.test.ts
+++ b/test/partial-knowledge.test.ts
@@ -1,6 +1,7 @@
 /**
- * What an owner takes for known of runs that it can't see: jobs it was told of a second time, workers that have not
- * answered it, times that its wall clock has not reached, starts that may still be under way, reports that are not whole.
+ * What an owner may conclude about runs that it can't observe: of jobs that were submitted a second time, on workers that
+ * have not answered, for times that its wall clock has not reached, with starts that may still be in flight, or with reports
+ * that are not complete.
  */
 import test from 'ava';
 import * as contacts from '../src/core/platform/contact.js';
@@ -20,7 +21,7 @@
 	return { ms: 500, how: 'done' };
 }
 
-/** Lets time pass; returns the tasks that had two runs at once in that time. */
+/** Advances the clock; returns the tasks that had two runs at once in that time. */
 async function findDoubleRuns(environment: fixtures.TestEnvironment, ms: number): Promise<string[]> {
 	const doubleRuns = new Set<string>();
 	for (let passed = 0; passed < ms; passed += 10) {
@@ -30,7 +31,7 @@
 	return [...doubleRuns];
 }
 
-/** A box; `tell`: what it tells the owner, `generation`: of the owner that it knows. */
+/** A box; `notify`: receives its requests to the owner; `generation`: of the owner that the box knows. */
 function createBox(
 	environment: fixtures.TestEnvironment,
 	generation: () => number,
@@ -54,7 +55,7 @@
 	});
 }
 
-/** Hands a job in at a box. */
+/** Submits a job at a box. */
 async function submitAt(
 	environment: fixtures.TestEnvironment,
 	box: service.JobService,
@@ -65,15 +66,15 @@
 	return answer;
 }
 
-/** What keeps the second owner from the workers and from the store. */
+/** What keeps the second owner from the worker `w1` and from the store. */
 interface SecondOwnerFaults {
 	isCut: () => boolean;
 	fault: () => memory.StoreFault;
 }
 
 /**
- * A second owner has read the store. Then a box that still knows the first owner stores a job and tells that one, which
- * starts it; and the job is handed in once more, at a box that knows the second owner.
+ * A second owner has loaded the store. Then a box that still knows the first owner stores a job and notifies that owner,
+ * which starts it; and the job is submitted once more, at a box that knows the second owner.
  */
 async function submitTwice(
 	faults: SecondOwnerFaults,
@@ -107,11 +108,8 @@
 	return { environment, close };
 }
 
-test('a hand-in repeated at a box of the new owner does not start what runs on a worker that has not answered', async (t) => {
-	const { environment, close } = await submitTwice({
-		isCut: () => true,
-		fault: () => 'none',
-	});
+test('a submission repeated at a box of the new owner does not start a task that runs on a worker that has not answered', async (t) => {
+	const { environment, close } = await submitTwice({ isCut: () => true, fault: () => 'none' });
 	t.deepEqual(
 		environment.fleet.starts.slice(0, 1).map((one) => [one.worker, one.epoch]),
 		[['w1', 1]],
@@ -120,7 +118,7 @@
 	close();
 });
 
-test('a repeated hand-in tells the owner the record that is stored, or nothing', async (t) => {
+test('a repeated submission sends the owner the record that is stored, or nothing', async (t) => {
 	const environment = fixtures.createEnvironment(longPlan);
 	const notifiedGenerations: number[] = [];
 	let generation = 1;
@@ -137,7 +135,7 @@
 	t.deepEqual([...new Set(notifiedGenerations)], [1]);
 });
 
-test('tasks on a worker that is silent for seconds do not count as at work when another worker is emptied', async (t) => {
+test('tasks on a worker that has been unresponsive for seconds do not count as working when another worker is vacated', async (t) => {
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(longPlan);
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
@@ -147,19 +145,19 @@
 	await clock.pass(1_000);
 	t.deepEqual(fleet.starts.map((one) => one.worker).sort(), ['w1', 'w2']);
 	w2.fault = 'silent';
-	// Longer than users take to notice that a task is away, shorter than the lease.
+	// Longer than users take to notice that a task is down, shorter than the lease.
 	await clock.pass(5_000);
 	t.is(owner.dispatcher.vacate('w1'), 'protected');
 	owner.dispatcher.close();
 });
 
-/** A job of one time that is due a second from now. */
+/** A job with one occurrence, a second from the call. */
 function scheduled(environment: fixtures.TestEnvironment): Parameters<fixtures.TestEnvironment['submit']>[1] {
 	const schedule = { times: 1, firstAt: environment.clock.wall() + 1_000, intervalMs: 1_000 };
 	return fixtures.job('timed', [fixtures.step({ milliCores: 20_000 })], { schedule });
 }
 
-test('the end of a scheduled task is not forgotten by an owner whose wall clock is behind', async (t) => {
+test('the exit of a scheduled task is not lost under an owner whose wall clock is behind', async (t) => {
 	const environment = fixtures.createEnvironment(halfSecondPlan);
 	const { clock, fleet, takeOver, submit } = environment;
 	fleet.add('w1');
@@ -176,7 +174,7 @@
 	second.dispatcher.close();
 });
 
-test('a scheduled run goes on under an owner whose wall clock is behind', async (t) => {
+test('a scheduled run continues under an owner whose wall clock is behind', async (t) => {
 	const environment = fixtures.createEnvironment(longPlan);
 	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1');
@@ -186,7 +184,7 @@
 	t.is(w1.running.size, 1);
 	first.dispatcher.close();
 	fleet.add('w2');
-	// Its clock reaches the time just after it has heard of the run, on a worker that takes no more work.
+	// The successor's clock reaches the time just after the run was reported to it, on a worker that accepts no more work.
 	const second = await takeOver(undefined, undefined, undefined, -300);
 	second.dispatcher.setWorkers([{ ...w1.entry, draining: true, remainingMs: 60_000 }], [], false);
 	const doubled = await findDoubleRuns(environment, 3_000);
@@ -194,14 +192,14 @@
 	second.dispatcher.close();
 });
 
-/** More small tasks on one worker than a report lists ends. */
+/** More small tasks on one worker than a report lists exits. */
 const smallTaskCount = 700;
 
 function manySmallTasks(): Parameters<fixtures.TestEnvironment['submit']>[1] {
 	return fixtures.job('many', [fixtures.step({ count: smallTaskCount, milliCores: 40, memoryMb: 1 })]);
 }
 
-test('a run that a full report does not list may have ended', async (t) => {
+test('a run that a full report does not list may have exited', async (t) => {
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 3_000, how: 'done' }));
 	fleet.add('w1');
 	const owner = await takeOver();
@@ -212,7 +210,7 @@
 	owner.dispatcher.close();
 });
 
-test('a successor starts nothing whose end a full first report leaves out', async (t) => {
+test('a successor starts no task whose exit a full first report omits', async (t) => {
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 3_000, how: 'done' }));
 	fleet.add('w1');
 	const first = await takeOver();
@@ -227,7 +225,7 @@
 	second.dispatcher.close();
 });
 
-test('a job that could not be cleared away is not run again when the store is listed anew', async (t) => {
+test('a job whose record could not be deleted is not run again when the store is listed again', async (t) => {
 	let fault: memory.StoreFault = 'none';
 	const { clock, fleet, store, takeOver, submit } = fixtures.createEnvironment(halfSecondPlan);
 	fleet.add('w1');
@@ -246,7 +244,7 @@
 	owner.dispatcher.close();
 });
 
-test('another worker at the address that a living one had before is no proof of its end', async (t) => {
+test('another worker at the previous address of a live one does not prove that the live one is gone', async (t) => {
 	const environment = fixtures.createEnvironment(longPlan);
 	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1');
--- a/test/preemptible-tasks.test.ts
+++ b/test/preemptible-tasks.test.ts
@@ -1,4 +1,4 @@
-/** Tasks that fill: none waits for ever because of what it would disturb. */
+/** Preemptible tasks: none waits for ever because of the interference that it would cause. */
 import test from 'ava';
 import * as events from '../src/core/events/index.js';
 import * as fencing from '../src/core/dispatch/fencing-tokens.js';
@@ -12,7 +12,9 @@
 import * as workers from '../stand-ins/fleet/workers.js';
 import type * as dispatchTypes from '../src/core/dispatch/types.js';
 
-/** Users' latency target of the serving tasks, and what they report: close to it whatever stands beside them. */
+/**
+ * Latency target of the serving tasks, and the tail latency that they report: close to the target whatever runs beside them.
+ */
 const targetMs = 150;
 const tailMs = 140;
 
@@ -21,7 +23,10 @@
 	return { ms: 1_000, how: 'done', reading: 3_400 };
 }
 
-/** Two workers whose serving tasks any filling one would disturb; under half of the cores are reserved. */
+/**
+ * Two workers on which any preemptible task would interfere with the serving tasks; less than half of their cores are
+ * reserved.
+ */
 async function createServingEnvironment(): Promise<fixtures.TestEnvironment & { owner: fixtures.TestOwner }> {
 	const environment = fixtures.createEnvironment(plan);
 	environment.fleet.add('w1');
@@ -34,7 +39,7 @@
 	return { ...environment, owner };
 }
 
-/** A session with a worker that does not answer. */
+/** A session with a worker that never answers. */
 function createSession(clock: time.VirtualClock, id: string): sessions.WorkerSession {
 	const fleet = workers.FakeFleet.create({ clock, maxLeaseMs: fixtures.maxLeaseMs, plan });
 	const deps = {
@@ -61,7 +66,7 @@
 	return sessions.WorkerSession.create({ id, address: `${id}:1` }, undefined, deps, handlers, -Infinity);
 }
 
-test('a filling step that would disturb serving tasks on every worker is done in the end', async (t) => {
+test('a preemptible step that would interfere with serving tasks on every worker completes in the end', async (t) => {
 	const { clock, submit, owner } = await createServingEnvironment();
 	const preemptible = { count: 9, milliCores: 3_400, fills: true, image: 'filling', checkpoints: true };
 	await submit(owner, fixtures.job('filling', [fixtures.step(preemptible)]));
@@ -70,7 +75,7 @@
 	owner.dispatcher.close();
 });
 
-test('so is a gang that fills', async (t) => {
+test('a preemptible gang that would interfere with serving tasks on every worker completes in the end', async (t) => {
 	const { clock, submit, owner } = await createServingEnvironment();
 	const preemptibleGang = { count: 2, milliCores: 3_400, fills: true, gang: true, image: 'filling' };
 	await submit(owner, fixtures.job('filling', [fixtures.step(preemptibleGang)]));
@@ -79,7 +84,7 @@
 	owner.dispatcher.close();
 });
 
-test('few tasks are exempt at once: one of a step, one on a worker, a tenth of the workers, more with the wait', (t) => {
+test('few tasks are exempt at once: one of a step, one on a worker, on a tenth of the workers, on more after a longer wait', (t) => {
 	const clock = time.VirtualClock.create();
 	const exemptionTracker = exemptions.InterferenceExemptions.create();
 	const steps = [1, 2, 3].map((number) => {
@@ -98,11 +103,12 @@
 	exemptionTracker.grant(session, placement);
 	t.true(placement.exempt);
 	t.true(exemptionTracker.hasExemption(session));
-	// A tenth of ten workers is taken; after twice the wait there is one more, but not for the same step.
+	// The exemptions for a tenth of ten workers are in use; after twice the wait one more is allowed, but not to the same
+	// step.
 	t.false(exemptionTracker.mayGrant(two.step, waitedMs, workerCount));
 	t.true(exemptionTracker.mayGrant(two.step, 2 * waitedMs, workerCount));
 	t.false(exemptionTracker.mayGrant(one.step, 2 * waitedMs, workerCount));
-	// One that stands still harms nobody.
+	// A paused task interferes with nobody.
 	placement.pace = 0;
 	t.true(exemptionTracker.mayGrant(two.step, waitedMs, workerCount));
 	session.free(placement);
@@ -110,7 +116,10 @@
 	session.close();
 });
 
-/** Workers on which a filling task of a quarter of one keeps a third of a serving task over its target. */
+/**
+ * Workers on which a preemptible task that takes a quarter of the cores is expected to cause a third of an SLO violation:
+ * one serving task over its target for a third of the time.
+ */
 async function createLoadedEnvironment(): Promise<fixtures.TestEnvironment & { owner: fixtures.TestOwner }> {
 	const loadedTailMs = 100;
 	const environment = fixtures.createEnvironment((task) =>
@@ -126,11 +135,11 @@
 	return { ...environment, owner };
 }
 
-/** By the first guess of its slope it raises what is busy there by a sixth. */
+/** At the initial estimate of its slope, it raises the load of a serving task beside it by a sixth. */
 const interferingStep = { milliCores: 8_000, fills: true, image: 'filling' };
 
 for (const count of [1, 20])
-	test(`of ${String(count)} filling tasks that wait, the first is placed after a few seconds of harm that is put up with`, async (t) => {
+	test(`of ${String(count)} waiting preemptible tasks, the first is placed after a few seconds, once its interference is tolerated`, async (t) => {
 		const { clock, fleet, owner, submit } = await createLoadedEnvironment();
 		const before = fleet.starts.length;
 		await submit(owner, fixtures.job('filling', [fixtures.step({ ...interferingStep, count })]));
--- a/test/slo-violations.test.ts
+++ b/test/slo-violations.test.ts
@@ -1,26 +1,26 @@
 /**
- * A task that serves users stayed over its target for 4.5 s by what filled beside it, which worked on. Bounds are the
- * users' `harm_ms`; what is judged is whether what fills still works by then.
+ * Guards against preemptible tasks that keep working beside a serving task over its latency target: one kept it over the
+ * target for 4.5 s. The limit is the users' `harm_ms`; the tests check whether preemptible tasks still work by then.
  */
 import test from 'ava';
 import * as fixtures from './fixtures/dispatching.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 
-/** Users' latency target, and the longest that a task may stay over it by what fills beside it, in milliseconds. */
+/** Users' latency target, and the longest time that preemptible tasks may keep a serving task over it, in milliseconds. */
 const targetMs = 150;
 const maxSloViolationMs = 4_000;
 
-/** Tails of a task that is idle, at work and over its target. */
+/** Tail latency of a serving task that is idle, at work under its target, and over its target, in milliseconds. */
 const idleTailMs = 25;
 const underTargetTailMs = 60;
 const overTargetTailMs = 400;
 
-/** So long a task is to be under its target before what fills beside it goes on, in milliseconds. */
+/** How long a serving task has to be under its target before the preemptible tasks beside it continue, in milliseconds. */
 const underTargetMs = 700;
 
 const workerCount = 4;
 
-/** Workers with a serving task each and two that fill beside it and have not disturbed it so far. */
+/** Workers with one serving task each and two preemptible tasks beside it that have not interfered with it so far. */
 async function createColocated(restoreMs?: number, fault?: () => memory.StoreFault) {
 	const environment = fixtures.createEnvironment((task) => {
 		if (task.startsWith('serving')) return { ms: 'endless', how: 'done', reading: idleTailMs };
@@ -39,7 +39,7 @@
 	const runs = [...fleet.workers.values()].flatMap((worker) => [...worker.running]);
 	const servingRuns = runs.map(([, run]) => run);
 	for (const one of servingRuns) one.reading = underTargetTailMs;
-	// Their load has to be known before what stands beside them can be told from it.
+	// The load of the serving tasks has to be known before interference can be distinguished from it.
 	await clock.pass(60_000);
 	const preemptible = {
 		milliCores: 1_600,
@@ -59,16 +59,16 @@
 	const setTail = (ms: number): void => {
 		serving.reading = ms;
 	};
-	/** Tasks that fill beside the one whose tail is set, and work. */
+	/** Preemptible tasks that work beside the serving task whose tail is set. */
 	const working = (): string[] =>
 		[...observedWorker.running]
 			.filter(([task, one]) => !task.startsWith('serving') && one.pace > 0)
 			.map(([task]) => task);
-	if (working().length !== 2) throw new Error('the filling tasks do not run');
+	if (working().length !== 2) throw new Error('the preemptible tasks do not run');
 	return { ...environment, owner, observedWorker, setTail, working };
 }
 
-test('what fills stands still before a task beside it is harmed', async (t) => {
+test('preemptible tasks are paused before a serving task is over its target for too long', async (t) => {
 	const { clock, owner, setTail, working } = await createColocated();
 	setTail(overTargetTailMs);
 	await clock.pass(maxSloViolationMs);
@@ -79,7 +79,7 @@
 	owner.dispatcher.close();
 });
 
-test('what an earlier owner let fill at full pace stands still before a task beside it is harmed', async (t) => {
+test('preemptible tasks that a previous owner ran at full pace are paused before a serving task is over its target for too long', async (t) => {
 	const { clock, owner, takeOver, setTail, working } = await createColocated();
 	owner.dispatcher.close();
 	setTail(overTargetTailMs);
@@ -89,7 +89,7 @@
 	next.dispatcher.close();
 });
 
-test('what fills stands still in time beside a task that a new owner finds over its target', async (t) => {
+test('preemptible tasks are paused in time beside a serving task that a new owner finds over its target', async (t) => {
 	const { clock, owner, takeOver, setTail, working } = await createColocated();
 	owner.dispatcher.close();
 	setTail(overTargetTailMs);
@@ -100,7 +100,7 @@
 	next.dispatcher.close();
 });
 
-test('what fills stands still beside a task over its target though its worker also runs a job that the store does not tell of', async (t) => {
+test('preemptible tasks are paused beside a serving task over its target although the worker also runs a job that the store does not return', async (t) => {
 	const { clock, owner, observedWorker, takeOver, setTail, working } = await createColocated();
 	const record = fixtures.job('stranger', [fixtures.step({ count: 2 * workerCount, lasting: true })]);
 	owner.dispatcher.addJob({ ...record, acceptedUnder: owner.ledger.generation });
@@ -123,7 +123,7 @@
 	next.dispatcher.close();
 });
 
-test('what an earlier owner let stand still goes on only after the new one has seen calm for a while', async (t) => {
+test('preemptible tasks that a previous owner paused continue only after the new one has seen the serving task under its target for some time', async (t) => {
 	const { clock, owner, takeOver, setTail, working } = await createColocated();
 	setTail(overTargetTailMs);
 	await clock.pass(maxSloViolationMs);
@@ -137,7 +137,7 @@
 	next.dispatcher.close();
 });
 
-test('what fills stands still though one reading of a task over its target lies just under it', async (t) => {
+test('preemptible tasks are paused although one reading of a serving task over its target is just under it', async (t) => {
 	const { clock, owner, setTail, working } = await createColocated();
 	const startedAt = clock.now();
 	while (clock.now() - startedAt < maxSloViolationMs) {
@@ -150,7 +150,7 @@
 	owner.dispatcher.close();
 });
 
-test('what fills stands still in time though the owner takes in reports late', async (t) => {
+test('preemptible tasks are paused in time although the owner receives reports late', async (t) => {
 	const { clock, fleet, owner, setTail, working } = await createColocated();
 	fleet.reportDelayMs = 1_200;
 	await clock.pass(5_000);
@@ -160,7 +160,7 @@
 	owner.dispatcher.close();
 });
 
-/** When, after a task went over its target, its worker falls silent, and for how long, in milliseconds. */
+/** When the worker becomes unresponsive, counted from the beginning of the overload, and for how long, in milliseconds. */
 const outages = [
 	[0, 1_500],
 	[0, 2_000],
@@ -170,7 +170,7 @@
 ] as const;
 
 for (const [fromMs, forMs] of outages)
-	test(`what fills stands still in time though its worker is silent for ${String(forMs)} ms, ${String(fromMs)} ms after the overload began`, async (t) => {
+	test(`preemptible tasks are paused in time although their worker is unresponsive for ${String(forMs)} ms, ${String(fromMs)} ms after the overload began`, async (t) => {
 		const { clock, owner, observedWorker, setTail, working } = await createColocated();
 		setTail(overTargetTailMs);
 		await clock.pass(fromMs);
@@ -182,7 +182,7 @@
 		owner.dispatcher.close();
 	});
 
-test('what stands still goes on only after the task beside it was heard to be under its target for a while', async (t) => {
+test('paused tasks continue only after the serving task has been reported under its target for some time', async (t) => {
 	const { clock, owner, observedWorker, setTail, working } = await createColocated();
 	setTail(overTargetTailMs);
 	await clock.pass(maxSloViolationMs);
@@ -203,7 +203,7 @@
 	owner.dispatcher.close();
 });
 
-/** Lets time pass; returns the longest stretch of it, in milliseconds, in which anything that fills worked. */
+/** Advances the clock; returns the longest uninterrupted time, in milliseconds, that any preemptible task worked in it. */
 async function longestWorkMs(
 	environment: Awaited<ReturnType<typeof createColocated>>,
 	forMs: number,
@@ -220,11 +220,11 @@
 	return longestMs;
 }
 
-/** How long after the work was told to go on, without an answer, the next overload begins, in milliseconds. */
+/** Time from a command to continue that has no answer until the next overload begins, in milliseconds. */
 const pauses = [1_500, 3_000, 4_500] as const;
 
 for (const pauseMs of pauses)
-	test(`what fills stands still though an order to go on of ${String(pauseMs)} ms before is carried out late`, async (t) => {
+	test(`preemptible tasks are paused although a command to continue, sent ${String(pauseMs)} ms before, is carried out late`, async (t) => {
 		const environment = await createColocated();
 		const { clock, owner, observedWorker, setTail, working } = environment;
 		setTail(overTargetTailMs);
@@ -240,7 +240,7 @@
 		owner.dispatcher.close();
 	});
 
-test('what fills goes on though an order to stand still of before is carried out late', async (t) => {
+test('preemptible tasks continue although an earlier command to pause is carried out late', async (t) => {
 	const { clock, owner, observedWorker, setTail, working } = await createColocated();
 	observedWorker.delaysPaces = true;
 	setTail(overTargetTailMs);
@@ -252,7 +252,7 @@
 	owner.dispatcher.close();
 });
 
-test('an order on pace that fails after a newer one was answered changes nothing', async (t) => {
+test('a pace command that fails after a newer one was answered changes nothing', async (t) => {
 	const { clock, owner, observedWorker, setTail, working } = await createColocated();
 	const pacedCount = (): number => owner.events.select(({ name }) => name === 'task.paced').length;
 	observedWorker.delaysPaces = true;
@@ -265,7 +265,7 @@
 	owner.dispatcher.close();
 });
 
-test('what fills stands still beside a task that is about to be harmed while its stop is not answered', async (t) => {
+test('preemptible tasks whose stop is not answered are paused before a serving task is over its target for too long', async (t) => {
 	const { clock, owner, observedWorker, setTail, working } = await createColocated();
 	observedWorker.ignoresStops = true;
 	owner.dispatcher.cancelJob('filling');
@@ -275,7 +275,7 @@
 	owner.dispatcher.close();
 });
 
-test('what stands still goes on in time though ends wait for the store after each report', async (t) => {
+test('paused tasks continue in time although exits wait for the store after each report', async (t) => {
 	let fault: memory.StoreFault = 'none';
 	const { clock, owner, observedWorker, setTail, working, submit } = await createColocated(
 		undefined,
@@ -292,13 +292,13 @@
 	const underTargetAt = clock.now();
 	const isPaused = (): boolean => working().every((task) => task.startsWith('short'));
 	while (isPaused() && clock.now() - underTargetAt < 5_000) await clock.pass(50);
-	// A report comes each 0.8 s at the latest: half of it is waited for by the owner, half by the worker.
+	// A report comes every 0.8 s at the latest: the owner waits for half of that time, and the worker for the other half.
 	t.true(clock.now() - underTargetAt <= underTargetMs + 2 * 800, `${String(clock.now() - underTargetAt)} ms`);
 	t.true(observedWorker.ended.length > 0);
 	owner.dispatcher.close();
 });
 
-test('nothing more that fills is started beside a task that is about to be harmed', async (t) => {
+test('no further preemptible task is started beside a serving task that stays over its target', async (t) => {
 	const { clock, owner, setTail, working } = await createColocated();
 	setTail(overTargetTailMs);
 	const overloadedAt = clock.now();
@@ -314,28 +314,28 @@
 	owner.dispatcher.close();
 });
 
-/** How long a load's peak keeps a task over its target, in milliseconds: about half a period. */
+/** How long a load's peak keeps a serving task over its target, in milliseconds: about half a period. */
 const peakMs = 3_000;
 
-/** Another worker comes, on which nothing serves. */
+/** Adds another worker, without serving tasks. */
 async function addFreeWorker(environment: Awaited<ReturnType<typeof createColocated>>): Promise<void> {
 	environment.fleet.add('free');
 	environment.owner.dispatcher.setWorkers(environment.fleet.entries(), [], true);
 	await environment.clock.pass(2_000);
 }
 
-/** Many wait that would take any place that comes free, if it were large enough. */
+/** Adds many waiting tasks that would take any capacity that is freed, if it were large enough. */
 async function addBacklog(environment: Awaited<ReturnType<typeof createColocated>>): Promise<void> {
 	const backlogStep = { milliCores: 1_600, image: 'filling', fills: true, count: 40, memoryMb: 200_000 };
 	await environment.submit(environment.owner, fixtures.job('crowd', [fixtures.step(backlogStep)]));
 	await environment.clock.pass(2_000);
 }
 
-/** What going on from a checkpoint takes, in milliseconds, of tasks that are estimated at 500. */
+/** How long a restore from a checkpoint takes, in milliseconds, of tasks with an estimate of 500 ms. */
 const expensiveRestoreMs = 150;
 const cheapRestoreMs = 30;
 
-test('while many wait and a move is dear, what stands still beside a load that peaks stays where it is', async (t) => {
+test('while many tasks wait and a migration is costly, tasks that are paused for a load peak are not migrated', async (t) => {
 	const environment = await createColocated(expensiveRestoreMs);
 	const { clock, fleet, owner, setTail, working } = environment;
 	await addFreeWorker(environment);
@@ -350,19 +350,22 @@
 	owner.dispatcher.close();
 });
 
-/** What is moved, though others wait or a move is dear, once a task beside it has been over its target for so long. */
+/**
+ * Cases in which tasks are migrated, although others wait or a migration is costly, once a serving task beside them has been
+ * over its target for `afterMs`.
+ */
 const migrations: Record<string, { restoreMs: number; hasBacklog: boolean; afterMs: number }> = {
-	'while many wait and a move is dear, what would stand still for long is moved': {
+	'while many tasks wait and a migration is costly, tasks that would be paused for long are migrated': {
 		restoreMs: expensiveRestoreMs,
 		hasBacklog: true,
 		afterMs: 4 * peakMs,
 	},
-	'while none waits, what stands still is moved within a load that peaks': {
+	'while no task waits, paused tasks are migrated within a load peak': {
 		restoreMs: expensiveRestoreMs,
 		hasBacklog: false,
 		afterMs: peakMs + 1_000,
 	},
-	'while many wait and a move is cheap, what stands still is moved within a load that peaks': {
+	'while many tasks wait and a migration is cheap, paused tasks are migrated within a load peak': {
 		restoreMs: cheapRestoreMs,
 		hasBacklog: true,
 		afterMs: peakMs + 1_000,
@@ -383,7 +386,7 @@
 		owner.dispatcher.close();
 	});
 
-test('a fleet whose work shifts is found out within two seconds, both ways: a dear move waits in a backlog only', async (t) => {
+test('a backlog is noticed within two seconds, as is its end: a costly migration is delayed only in a backlog', async (t) => {
 	const environment = await createColocated(expensiveRestoreMs);
 	const { clock, fleet, owner, setTail } = environment;
 	await addFreeWorker(environment);
--- a/test/stale-configuration.test.ts
+++ b/test/stale-configuration.test.ts
@@ -1,4 +1,4 @@
-/** What a box tells callers of a queue that it doesn't know, when its configuration may be out of date. */
+/** A box's answer to calls for a queue that it doesn't know, when its configuration may be out of date. */
 import test from 'ava';
 import * as configurations from './fixtures/configurations.js';
 import * as configuration from '../platform/queue-configuration.js';
@@ -10,7 +10,7 @@
 
 const knownRoute = { name: 'r', host: 'proofs.example', path_prefix: '/known/' };
 
-/** Status and Retry-After of a question for a queue's count. */
+/** Status and `Retry-After` of a request for a queue's number of pending jobs. */
 async function requestCount(isConfigurationInDoubt: boolean, path: string): Promise<[number, unknown]> {
 	const value = configurations.storedConfiguration(1, { routes: [knownRoute], services: [] });
 	const decoded = configuration.decodeConfiguration(value);
@@ -30,11 +30,11 @@
 	return [res.statusCode, res.headers['retry-after']];
 }
 
-test('a queue that is not known is called unknown only by a configuration that is confirmed', async (t) => {
+test('a box answers that a queue is unknown only if its configuration is confirmed', async (t) => {
 	t.deepEqual(await requestCount(false, '/added/'), [404, undefined]);
 	t.deepEqual(await requestCount(true, '/added/'), [503, '1']);
 });
 
-test('a queue that is known is served whatever the age of the configuration', async (t) => {
+test('a known queue is served whatever the age of the configuration', async (t) => {
 	t.deepEqual(await requestCount(true, '/known/'), [200, undefined]);
 });
--- a/test/unacknowledged-exits.test.ts
+++ b/test/unacknowledged-exits.test.ts
@@ -1,4 +1,6 @@
-/** What is recorded of ends that workers list: when they are stored, when they are forgotten, and which still wait. */
+/**
+ * What is recorded of exits that workers list: when they are stored and acknowledged, and which are still unacknowledged.
+ */
 import test from 'ava';
 import * as unacknowledgedExits from '../src/core/dispatch/unacknowledged-exits.js';
 import * as fixtures from './fixtures/dispatching.js';
@@ -14,7 +16,7 @@
 	}));
 }
 
-test('each end is timed once, from the first report that lists it', (t) => {
+test('each exit is timed once, from the first report that lists it', (t) => {
 	const times: string[] = [];
 	const exits = unacknowledgedExits.UnacknowledgedExits.create((name, ms) =>
 		times.push(`${name} ${String(ms)}`),
@@ -29,7 +31,7 @@
 	t.is(exits.oldestAt, 100);
 	exits.noteAcknowledging(1);
 	t.is(exits.oldestAt, 150);
-	// Without an answer it is not known to have been carried out.
+	// Without an answer, the acknowledgement may not have been carried out.
 	exits.noteAcknowledging(0);
 	t.is(exits.oldestAt, 100);
 	exits.noteAcknowledging(2);
@@ -38,7 +40,7 @@
 	t.deepEqual(times, ['end_stored 70', 'end_stored 20', 'end_forgotten 100', 'end_forgotten 50']);
 });
 
-test('a lease that ran out is told of, with whose delay it was', async (t) => {
+test('an expired lease is logged with the number of runs and how long the worker was unresponsive', async (t) => {
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({
 		ms: 'endless',
 		how: 'done',
