--- a/test/restarted-workers.test.ts
+++ b/test/restarted-workers.test.ts
@@ -1,4 +1,4 @@
-/** Workers that start again under the name that they had. */
+/** Workers that restart under the same name. */
 import test from 'ava';
 import * as crashes from './fixtures/crashes.js';
 import * as crashing from '../dev/soak/crashing.js';
@@ -7,7 +7,10 @@
 import type * as fleetTypes from '../src/core/fleet/types.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-/** Workers crash for so long after the trial's start, in milliseconds; then all jobs are to be done within the rest. */
+/**
+ * How long workers crash after the trial's start, and the time after that within which all jobs have to end, in
+ * milliseconds.
+ */
 const crashingMs = 40_000;
 const calmMs = 30_000;
 
@@ -17,15 +20,15 @@
 const workerCount = 10;
 const jobCount = 60;
 
-/** What the workers' own accounts say against the owner. */
+/** Records, from the workers' own journals, tasks that the owner started twice. */
 class Witness {
-	/** Starts of tasks of which an end as done had been forgotten, as the owner asked, or which ran already. */
+	/** Starts of tasks that were running already, or whose exit as done had been discarded as the owner requested. */
 	readonly again: string[] = [];
 	private readonly done = new Set<string>();
 	private readonly running = new Set<string>();
 
 	private constructor() {
-		// Built by `create`, like every class here.
+		// Instances are made by `create`, as for every class here.
 	}
 
 	static create(): Witness {
@@ -50,12 +53,12 @@
 	}
 }
 
-/** Owners of a world that follow one another; the newest hears of the workers that come and go. */
+/** Successive owners of one environment. The newest is notified of workers that join and leave. */
 interface Trial {
 	made: world.TestWorld;
 	witness: Witness;
 	owner: () => world.TestOwner;
-	/** The owner dies, and another takes over. */
+	/** The owner dies, and another one takes over. */
 	change: () => Promise<void>;
 	close: () => void;
 }
@@ -84,13 +87,16 @@
 	downMs: number;
 	dark?: boolean;
 	taskMs?: number;
-	/** Between two takeovers, in milliseconds; absent: one owner. */
+	/** Interval between takeovers, in milliseconds; absent: there is one owner. */
 	reignMs?: number;
-	/** Workers leave orders unanswered for a while before each crash, and carry them out late. */
+	/** Workers leave commands unanswered for a while before each crash, and carry them out late. */
 	late?: boolean;
 }
 
-/** Jobs are handed in while one worker after the other crashes and comes back; returns those that should be done and are not. */
+/**
+ * Submits jobs while one worker after another crashes and restarts. Returns the jobs that should have completed and have
+ * not.
+ */
 async function play(trial: Trial, course: Course): Promise<string[]> {
 	const { made } = trial;
 	const { clock, fleet } = made;
@@ -126,7 +132,7 @@
 	return ids.filter((id) => !isSettled(trial, id));
 }
 
-/** Whether a job is done, or was given up under a task that may be: so many workers crashed under it. */
+/** Whether a job completed, or was abandoned with a reason: enough workers had crashed under one of its tasks. */
 function isSettled({ made, owner }: Trial, id: string): boolean {
 	const state = owner().dispatcher.stateOf(id);
 	if (state !== 'failed') return state === 'completed';
@@ -134,7 +140,7 @@
 	return tasks.some((task) => crashes.historyOf(made, task).crashes >= crashing.crashesBeforeGivingUp);
 }
 
-/** Resolves as the test's clock passes. */
+/** Resolves after `ms` milliseconds of the test's clock. */
 function passes(clock: world.TestWorld['clock'], ms: number): Promise<void> {
 	return new Promise((resolve) => {
 		clock.after(ms, resolve);
@@ -152,7 +158,7 @@
 };
 
 for (const [title, course] of Object.entries(courses))
-	test(`work that ended on a worker is not done again, and all is done, as workers restart ${title}`, async (t) => {
+	test(`finished work is not repeated, and all jobs complete, as workers restart ${title}`, async (t) => {
 		const trial = await begin(() => ({ ms: course.taskMs ?? 700, how: 'done' }));
 		t.deepEqual(await play(trial, course), []);
 		t.deepEqual(trial.witness.again, []);
@@ -160,7 +166,7 @@
 	});
 
 for (const crashMs of [10, 900])
-	test(`a task that crashes each worker ${String(crashMs)} ms after its start is given up where workers restart`, async (t) => {
+	test(`a task that crashes each worker ${String(crashMs)} ms after its start is abandoned where workers restart`, async (t) => {
 		const trial = await begin((task) =>
 			task.startsWith('bad') ? { ms: 'endless', how: 'done', crashMs } : { ms: 1_500, how: 'done' },
 		);
@@ -183,7 +189,7 @@
 		trial.close();
 	});
 
-test('a worker that had drained takes work again once it has restarted', async (t) => {
+test('a worker that had drained gets work again once it has restarted', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 500, how: 'done' }));
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
@@ -204,7 +210,7 @@
 	owner.dispatcher.close();
 });
 
-test('a worker that upkeep had closed takes work again once it has restarted', async (t) => {
+test('a worker that upkeep had closed gets work again once it has restarted', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 500, how: 'done' }));
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
@@ -221,7 +227,7 @@
 	owner.dispatcher.close();
 });
 
-test('an end is not forgotten by a question that was put to the life before', async (t) => {
+test('an exit is not acknowledged by a poll that was sent to the incarnation before', async (t) => {
 	const witness = Witness.create();
 	const made = world.createWorld(() => ({ ms: 100, how: 'done' }), witness.journal);
 	const { clock, fleet, takeOver, submit } = made;
@@ -230,7 +236,7 @@
 	await clock.pass(1_200);
 	await submit(owner, world.job('before', [world.step({ count: 3 })]));
 	await clock.pass(1_000);
-	// Nothing tells of the restart: the question under way hangs, and the list of workers is not read.
+	// Nothing reports the restart: the poll in flight hangs, and the list of workers is not read.
 	fleet.crash(w1, { downMs: 100, dark: true, keepsName: true });
 	await clock.pass(150);
 	await submit(owner, world.job('after', [world.step({ count: 2 })]));
@@ -242,7 +248,7 @@
 	owner.dispatcher.close();
 });
 
-test('a run that a restarted worker has by an order to the life before is not lost before its lease is', async (t) => {
+test('a run that a restarted worker got by a command to the incarnation before is not presumed lost before its lease expires', async (t) => {
 	const witness = Witness.create();
 	const made = world.createWorld(() => ({ ms: 5_500, how: 'done' }), witness.journal);
 	const { clock, fleet, takeOver, submit } = made;
@@ -264,7 +270,7 @@
 	owner.dispatcher.close();
 });
 
-test('over real boxes: the ends of a worker that has restarted are read', async (t) => {
+test('with real boxes: the exits of a restarted worker are read', async (t) => {
 	const starts: workers.StartRecord[] = [];
 	const { journal } = Witness.create();
 	const started = (start: workers.StartRecord): void => void starts.push(start);
--- a/test/roster.test.ts
+++ b/test/roster.test.ts
@@ -1,4 +1,4 @@
-/** What the roster says of a worker that gets no new work. */
+/** What the roster records about a worker that gets no new work. */
 import test from 'ava';
 import * as events from '../src/core/events/index.js';
 import * as fencing from '../src/core/dispatch/fencing-tokens.js';
@@ -13,7 +13,7 @@
 import type * as ledger from '../src/core/ledger/index.js';
 import type * as types from '../src/core/dispatch/types.js';
 
-/** A pool of the workers of a fleet under an owner, and the rosters that it wrote. */
+/** Creates the pool of a fleet's workers under an owner. Returns it with the rosters that it wrote. */
 function createPool(
 	clock: time.VirtualClock,
 	fleet: workers.FakeFleet,
@@ -52,7 +52,7 @@
 	return { pool, written };
 }
 
-test('a closed entry names tasks whose ends are not stored, until they are', async (t) => {
+test('a closed entry names tasks until their exits are stored', async (t) => {
 	const clock = time.VirtualClock.create();
 	const fleet = workers.FakeFleet.create({
 		clock,
@@ -91,7 +91,7 @@
 	pool.close();
 });
 
-test('a dead worker stays on the roster with what went down there until that is stored', async (t) => {
+test('a crashed worker stays on the roster with the tasks that crashed there until they are stored', async (t) => {
 	const clock = time.VirtualClock.create();
 	const fleet = workers.FakeFleet.create({
 		clock,
@@ -106,12 +106,12 @@
 	const job = jobs.ActiveJob.create(fixtures.job('job1', [fixtures.step()]), undefined, start);
 	const [task] = job.openNextOccurrence(clock.now());
 	const session = pool.get('w1');
-	if (task === undefined || session === undefined) throw new Error('nothing to lose');
+	if (task === undefined || session === undefined) throw new Error('no task or no session');
 	session.place(task, 1, 'running');
 	fleet.crash(worker, { downMs: 500, dark: false });
 	await clock.pass(1_500);
 	t.true(session.hasEnded);
-	// Another worker comes, so the roster is written.
+	// Another worker joins, so the roster is written.
 	pool.setWorkers([fleet.add('w2').entry], [], false);
 	await clock.pass(10);
 	t.deepEqual(written.at(-1), [
@@ -125,7 +125,7 @@
 	pool.close();
 });
 
-test('an owner of the version before makes what is stored of lasting tasks unsure for all jobs until then', async (t) => {
+test('after an owner of the previous version, stored workers of long-running tasks are unreliable for all jobs until then', async (t) => {
 	const { clock, store, takeOver } = fixtures.createWorld(() => ({ ms: 500, how: 'done' }));
 	const first = await takeOver();
 	first.dispatcher.close();
@@ -154,7 +154,7 @@
 		now: 0,
 		age: 0,
 	};
-	// An owner of the version before may have started it without storing where.
+	// An owner of the previous version may have started it without storing where.
 	t.false(jobs.ActiveJob.create(record, progress, start).workersStored);
 	t.true(jobs.ActiveJob.create(record, progress, { ...start, workersStored: true }).workersStored);
 });
--- a/test/run-log.test.ts
+++ b/test/run-log.test.ts
@@ -1,11 +1,11 @@
-/** What the log tells of runs that an owner inherits, and of those that it takes for over without an end. */
+/** What the log reports of runs that an owner inherits, and of runs that it presumes to be over without an exit. */
 import test from 'ava';
 import * as world from './fixtures/dispatching.js';
 import type * as events from '../src/core/events/index.js';
 
 const told: events.LoggedEvent['name'][] = ['task.placed', 'takeover.heard', 'worker.lost', 'task.lost'];
 
-/** Lines of these names as an owner logged them, without what depends on the moment. */
+/** Events with one of `eventNames` that an owner logged, without the values that depend on timing. */
 function linesOf(owner: world.TestOwner): unknown[] {
 	const lines = owner.events.select((event) => told.includes(event.name));
 	return lines.map(({ name, fields }) => {
--- a/test/scheduler-failures.test.ts
+++ b/test/scheduler-failures.test.ts
@@ -1,4 +1,4 @@
-/** Owners that die or freeze at each step, workers that die or are cut off; judged by the workers' journals. */
+/** Owners that die or freeze at each step, and workers that die or are cut off. The workers' journals show what ran. */
 import test from 'ava';
 import * as clusters from '../dev/cluster.js';
 import * as fixtures from './fixtures/clusters.js';
@@ -17,7 +17,7 @@
 
 const taskCount = 12;
 
-/** The scheduler that logs an event, as soon as it does. */
+/** Resolves with the first scheduler that logs an event, as soon as it does. */
 async function firstToLog(cluster: clusters.Cluster, name: string): Promise<clusters.Program> {
 	const waiting = cluster.of('scheduler').map(async (program) => {
 		await processes.waitLine(program.process, (line) => line.name === name, 30_000);
@@ -149,6 +149,6 @@
 	const evicted = ran.filter((one) => one.how === 'stopped by command');
 	t.is(evicted.length, 1);
 	const resumed = ran.find((one) => one.task === evicted[0]?.task && one.attempt === 2);
-	// It goes on where it stopped: the second attempt does not work for the whole time again.
+	// It resumes where it stopped: the second attempt does not work for the whole time again.
 	t.true(resumed !== undefined && resumed.to - resumed.from < 3000 - (evicted[0]?.progressMs ?? 0) + 500);
 });
--- a/test/shrinking-rooms.test.ts
+++ b/test/shrinking-rooms.test.ts
@@ -1,7 +1,7 @@
 /**
- * A worker's capacity may shrink while it runs, and its entry in the platform's list says so. Places are checked against
- * the capacity when they are taken; a start may be sent much later, after it has waited for the store or was not answered,
- * and a list that is not read any more tells of no change at all.
+ * A worker's capacity may shrink while it runs, and its entry in the platform's list shows it. A placement is checked
+ * against the capacity when it is made. Its start may be sent much later, after it has waited for the store or an earlier
+ * attempt was not answered. A list that is not read any more shows no change at all.
  */
 import test from 'ava';
 import * as world from './fixtures/dispatching.js';
@@ -10,16 +10,16 @@
 
 const long = { ms: 60_000, how: 'done' as const };
 
-/** A task that fills most of a worker, in thousandths of a core, and what a worker shrinks to. */
+/** CPU demand of a task that takes most of a worker, in thousandths of a core, and the capacity that a worker shrinks to. */
 const milliCores = 20_000;
 const shrunk: fleet.Capacity = { milliCores: 16_000, memoryMb: 128_000, accelerators: 0 };
 
-/** The list says that a worker's room has shrunk. */
+/** Applies a list in which a worker's capacity has shrunk. */
 function shrink(owner: world.TestOwner, entry: fleet.WorkerEntry): void {
 	owner.dispatcher.setWorkers([{ ...entry, capacity: shrunk }], [], false);
 }
 
-test('a start that waited for the store is not sent to a worker whose room has shrunk meanwhile', async (t) => {
+test('a start that waited for the store is not sent to a worker whose capacity has shrunk meanwhile', async (t) => {
 	const made = world.createWorld(() => long);
 	const { clock, fleet: all } = made;
 	const w1 = all.add('w1');
@@ -43,7 +43,7 @@
 	owner.dispatcher.close();
 });
 
-test('a start without an answer is not repeated at a worker whose room has shrunk meanwhile', async (t) => {
+test('an unanswered start is not repeated at a worker whose capacity has shrunk meanwhile', async (t) => {
 	const { made, owner, w1 } = await world.leaveUnanswered(world.step({ milliCores }));
 	const { clock, fleet: all } = made;
 	shrink(owner, w1.entry);
@@ -54,7 +54,7 @@
 	owner.dispatcher.close();
 });
 
-test('no start is sent by a list of workers that has not been read for long', async (t) => {
+test('no start is sent by a list of workers that was read too long ago', async (t) => {
 	const made = world.createWorld(() => long);
 	const { clock, fleet: all } = made;
 	all.add('w1');
@@ -73,7 +73,7 @@
 	owner.dispatcher.close();
 });
 
-test('a room that is over-full takes nothing more, and what runs there goes on', async (t) => {
+test('a worker over its capacity gets nothing more, and its runs go on', async (t) => {
 	const made = world.createWorld(() => long);
 	const { clock, fleet: all } = made;
 	const w1 = all.add('w1');
--- a/test/silent-connections.test.ts
+++ b/test/silent-connections.test.ts
@@ -1,12 +1,12 @@
 /**
- * Boxes answered from an older configuration than the one that had been confirmed two seconds before. Their open
- * connections to the store had gone silent, without a reset, while new ones worked. The waiting read of the configuration
- * was given up after 3.3 s and repeated over another kept connection, which was as dead; the next one found the next:
+ * Boxes answered from an older configuration than the one that had been confirmed two seconds before. Their open connections
+ * to the store carried nothing any more, without a reset, while new ones worked. The long poll for the configuration was
+ * abandoned after 3.3 s and repeated over another kept connection, which was as dead, and so on:
  *
  *     10.55 s call.unanswered /api/kv-watch?path_prefix=op%2F waitedMs 3300, bytes 0, quietMs 161
  *     10.81 s config.applied  version 9, confirmed at 7.53 s
  *
- * "quietMs" says that the same address had answered on another connection 161 ms before.
+ * `quietMs` shows that the same address had answered on another connection 161 ms before.
  */
 import test from 'ava';
 import * as boxes from '../stand-ins/box-process.js';
@@ -15,28 +15,28 @@
 import * as real from './fixtures/real-boxes.js';
 import * as users from '../stand-ins/users-platform/server.js';
 
-/** A confirmed version is in force after so long, in milliseconds, at boxes without trouble (`config_apply_ms`). */
+/** Time within which a confirmed version is in force at boxes without faults, in milliseconds (`config_apply_ms`). */
 const applyMs = 2_000;
 
-/** After trouble at a box it has so long, in milliseconds, to be as good as any other (`contact_ms`). */
+/** Time within which a box has to work as well as any other after a fault, in milliseconds (`contact_ms`). */
 const contactMs = 3_000;
 
-/** Requests at once: each takes a connection to the store of its own, and all of these are kept. */
+/** Number of concurrent requests. Each takes its own connection to the store, and all these connections are kept. */
 const requestsAtOnce = 6;
 
-/** What the slowest stated link of a box carries, 7 Mbit/s, in bytes a second. */
+/** Bandwidth of the slowest link that is stated for a box, 7 Mbit/s, in bytes per second. */
 const slowLinkBytesPerS = 875_000;
 
-/** What waits on such a link, in bytes: as a connection's window, beyond which a sender has to wait. */
+/** Bytes that may wait on such a link, like a connection's window. A sender has to wait beyond that. */
 const windowBytes = 65_536;
 
-/** A box, and its way to the store. */
+/** A box, and the proxy between it and the store. */
 interface LinkedBox {
 	box: boxes.BoxProcess;
 	store: proxies.FaultProxy;
 }
 
-/** Boxes that have the configuration, each with a way of its own to the store. */
+/** Starts boxes that have the configuration, each with its own proxy to the store. */
 async function setUp(
 	t: { teardown: (fn: () => Promise<void>) => void },
 	names: [string, ...string[]],
@@ -65,7 +65,7 @@
 	return box.logged((line) => line.name === 'config.applied' && line.fields.version === version);
 }
 
-/** Whether something happens by `dueAt`, on the machine's clock. */
+/** Whether `event` happens by `dueAt`, a time of `performance.now()`. */
 async function isInTime(happens: Promise<unknown>, dueAt: number): Promise<boolean> {
 	let timer: NodeJS.Timeout | undefined;
 	const late = new Promise<boolean>((resolve) => {
@@ -86,16 +86,16 @@
 	await Promise.all(ids.map((id) => real.call(box.callers, 'POST', id, real.body)));
 }
 
-/** Status of a question for a queue's count. */
+/** Requests a queue's count, and returns the status of the answer. */
 async function ask(box: boxes.BoxProcess, prefix: string): Promise<number> {
 	return (await real.call(box.callers, 'GET', '', undefined, prefix)).status;
 }
 
-test('kept connections go silent: queues added and dropped meanwhile are in force in time', async (t) => {
+test('kept connections go dead: queues added and removed meanwhile are in force in time', async (t) => {
 	const { platform, linked } = await setUp(t, ['entry-1', 'entry-2']);
 	await Promise.all(linked.map(({ box }, number) => openConnections(box, 0xa0 + number * 0x10)));
 	platform.configure(4, real.host, ['/jobs/', '/old/']);
-	// A new read waits from here on: it goes silent as it begins, which is found out last.
+	// A new read waits from here on. Its connection is silenced as the read begins, which is detected last.
 	await Promise.all(linked.map(({ box }) => applied(box, 4)));
 	for (const { store } of linked) store.silence();
 	const silentAt = performance.now();
@@ -109,7 +109,7 @@
 	);
 });
 
-test('one change after another once kept connections went silent: each is in force in time', async (t) => {
+test('several changes after kept connections went dead: each is in force in time', async (t) => {
 	const { platform, linked } = await setUp(t, ['entry-1']);
 	const [{ box, store }] = linked;
 	await openConnections(box, 0xa0);
@@ -125,12 +125,12 @@
 	}
 });
 
-test('a box that stood still takes the newest configuration over as it wakes', async (t) => {
+test('a box that was frozen applies the newest configuration as it resumes', async (t) => {
 	const { platform, linked } = await setUp(t, ['entry-1']);
 	const [{ box }] = linked;
 	box.process.kill('SIGSTOP');
 	platform.configure(4, real.host, ['/jobs/', '/new/']);
-	// Longer than any waiting read: its time limit has passed when the process wakes, and its answer lies in the socket.
+	// Longer than any long poll: its timeout has passed when the process resumes, and its answer is in the socket.
 	await new Promise((resolve) => setTimeout(resolve, 4_000));
 	box.process.kill('SIGCONT');
 	const wokenAt = performance.now();
@@ -143,7 +143,7 @@
 	const create = (): narrow.NarrowLink => narrow.NarrowLink.create(slowLinkBytesPerS, windowBytes);
 	store.set({ kind: 'narrow', links: { request: create(), answer: create() } });
 	box.process.kill('SIGSTOP');
-	// 3,000 queues take about 0.6 MB in the store's spelling: eight versions are 5 MB, six seconds of this link.
+	// 3,000 queues take about 0.6 MB in the store's encoding: eight versions are 5 MB, six seconds of this link.
 	const many = Array.from({ length: 3_000 }, (_, number) => `/${number.toString().padStart(60, '0')}/`);
 	const last = 11;
 	for (let version = 4; version <= last; version += 1) platform.configure(version, real.host, many);
@@ -168,14 +168,14 @@
 	t.is(await ask(other.box, '/new/'), 200);
 });
 
-test('a way to the store that was cut, and whose connections stay dead, is found again in time', async (t) => {
+test('a box reaches the store again in time after a cut, although its connections stay dead', async (t) => {
 	const { platform, linked } = await setUp(t, ['entry-1']);
 	const [{ box, store }] = linked;
 	await openConnections(box, 0xa0);
 	store.set({ kind: 'drop-answers' });
 	await box.logged((line) => line.name === 'config.unconfirmed');
 	platform.configure(4, real.host, ['/jobs/', '/new/']);
-	// A connection that was opened during the cut is no better than those from before it.
+	// A connection that was opened during the cut is as dead as those from before it.
 	store.silence();
 	store.set({ kind: 'pass' });
 	t.true(await isInTime(applied(box, 4), performance.now() + contactMs));
--- a/test/slow-links.test.ts
+++ b/test/slow-links.test.ts
@@ -1,4 +1,4 @@
-/** Real boxes over narrow links: an owner that is slow stays the owner, and finishes what it was given. */
+/** Real boxes over narrow links: a slow owner stays the owner and finishes its jobs. */
 import test from 'ava';
 import * as boxes from '../stand-ins/box-process.js';
 import * as linking from '../dev/soak/links.js';
@@ -7,10 +7,10 @@
 import * as real from './fixtures/real-boxes.js';
 import * as users from '../stand-ins/users-platform/server.js';
 
-/** What a box's link carries each way, in bytes a second. */
+/** Bandwidth of a box's link in each direction, in bytes per second. */
 const bytesPerS = 200_000;
 
-/** So many that a burst goes out at once: a box keeps six connections to a worker. */
+/** Enough workers for a burst to be sent at once: a box keeps six connections to a worker. */
 const workerCount = 40;
 
 const names = ['entry-1', 'entry-2'];
@@ -19,7 +19,7 @@
 const burst = { spec: 'x'.repeat(3_000), steps: [{ count: 200, cpu: 6_000, mem_mb: 10, estimate_ms: 100 }] };
 const ids = ['00000000000000a1', '00000000000000a2'];
 
-/** Two boxes, each with a narrow link to the store and to the workers. */
+/** Starts two boxes, each with a narrow link to the store and the workers. */
 async function setUp(t: { teardown: (fn: () => Promise<void>) => void }): Promise<boxes.BoxProcess[]> {
 	const platform = users.UsersPlatform.create({ plan: () => ({ ms: 100, how: 'done' }) });
 	const links = linking.Links.create(names);
@@ -55,7 +55,7 @@
 	return { kind: 'narrow', links: { request: create(), answer: create() } };
 }
 
-test('a burst of starts over a narrow link leads to no takeover, and is finished', async (t) => {
+test('a burst of starts over a narrow link causes no takeover and completes', async (t) => {
 	const [owner, other] = await setUp(t);
 	if (owner === undefined || other === undefined) return;
 	for (const id of ids) t.is((await real.call(other.callers, 'POST', id, burst)).status, 200);
