--- a/test/start-window.test.ts
+++ b/test/start-window.test.ts
@@ -1,10 +1,13 @@
-/** Many starts at once over a link or processor that can't carry them: what else the owner sends, and what comes first. */
+/**
+ * Many starts at once over a link or a processor that can't carry them: what becomes of the owner's other calls, and which
+ * starts are sent first.
+ */
 import test from 'ava';
 import * as windows from '../src/core/dispatch/start-window.js';
 import * as world from './fixtures/dispatching.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 
-/** A link of two megabits a second: with the fields around it, a start of such a job takes 6.4 ms on it. */
+/** A link of 2 Mbit/s, in bytes per second. With the fields around the text, a start of such a job takes 6.4 ms on it. */
 const bytesPerS = 250_000;
 const text = 'x'.repeat(1_200);
 
@@ -12,7 +15,7 @@
 	return { ms: 300, how: 'done' };
 }
 
-test('a burst of starts over a slow link does not hold up calls to the store', async (t) => {
+test('a burst of starts over a slow link does not delay calls to the store', async (t) => {
 	const { clock, fleet, takeOverLinked, submit } = world.createWorld(brief);
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner, link } = await takeOverLinked(bytesPerS);
@@ -29,7 +32,7 @@
 	owner.dispatcher.close();
 });
 
-test('an urgent task that comes while a burst is sent is started before the rest of it', async (t) => {
+test('an urgent task that arrives while a burst is sent is started before the rest of it', async (t) => {
 	const { clock, fleet, takeOverLinked, submit } = world.createWorld(brief);
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner } = await takeOverLinked(bytesPerS);
@@ -46,7 +49,7 @@
 	owner.dispatcher.close();
 });
 
-test('workers that fall silent in a burst do not hold up starts at the others', async (t) => {
+test('workers that stop answering in a burst do not delay starts on the others', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(brief);
 	const added = Array.from({ length: 30 }, (_, number) => fleet.add(`w${String(number)}`));
 	const owner = await takeOver();
@@ -55,12 +58,13 @@
 	const steps = [world.step({ count: 400, milliCores: 4_000, memoryMb: 10 })];
 	await submit(owner, world.job('burst', steps));
 	await clock.pass(4_000);
-	// 80 at once on ten workers, for 300 ms each: what is left after 160 places at silent workers takes a second.
+	// Ten workers run 80 tasks at once, for 300 ms each. The tasks left after 160 placements on unresponsive workers take a
+	// second.
 	t.true(fleet.starts.length >= 240, `${String(fleet.starts.length)} were started`);
 	owner.dispatcher.close();
 });
 
-test('short tasks are started in an outage of the store beside lasting ones that have to wait for it', async (t) => {
+test('short tasks are started in an outage of the store beside long-running ones that have to wait for it', async (t) => {
 	const { clock, fleet, takeOver, submit, store } = world.createWorld((task) =>
 		task.startsWith('lasting') ? { ms: 'endless', how: 'done' } : brief(),
 	);
@@ -81,7 +85,7 @@
 	owner.dispatcher.close();
 });
 
-test('the limit follows what the answers take, within its bounds', (t) => {
+test('the limit follows the answer times, within its bounds', (t) => {
 	const { nextLimit, targetMs, minLimit, maxLimit } = windows;
 	t.is(nextLimit(100, { medianMs: targetMs / 4, wasFull: true }), 150);
 	t.is(nextLimit(100, { medianMs: targetMs / 4, wasFull: false }), 100);
@@ -96,7 +100,7 @@
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner, processor } = await takeOverBusy({ send: 0.1, answer: 0.1 });
 	await clock.pass(1_000);
-	// Whatever is asked of the processor waits for this long, as it does where it is full of reports.
+	// Everything that needs the processor waits for this time, as it does on a processor that is full of reports.
 	processor.delayMs = 150;
 	const before = fleet.starts.length;
 	const steps = [world.step({ count: 2_000, milliCores: 100, memoryMb: 10 })];
@@ -106,7 +110,7 @@
 	owner.dispatcher.close();
 });
 
-test('starts to silent workers take up no room once others have overtaken them', (t) => {
+test('starts to unresponsive workers take no slots once others have overtaken them', (t) => {
 	let now = 0;
 	const window = windows.StartWindow.create(() => now);
 	const first = window.free;
--- a/test/suspended.test.ts
+++ b/test/suspended.test.ts
@@ -1,13 +1,14 @@
 /**
- * A machine may be suspended for seconds, and its monotonic clock does not count them: an owner that wakes finds its right
- * to act as young as before, while a successor may be at work. Only the wall clock tells, and it also jumps by itself.
+ * A machine may be suspended for seconds, which its monotonic clock does not count. An owner that resumes finds its right to
+ * act as recent as before, while a successor may be at work. Only the wall clock shows the suspension, and it also jumps for
+ * other reasons.
  */
 import test from 'ava';
 import * as clocks from '../src/core/clock.js';
 import * as world from './fixtures/dispatching.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 
-/** Two clocks that a test moves, and what is made of them. */
+/** Creates two clocks that a test moves, and a detector that compares them. */
 function watched(): { pass: (steadyMs: number, wallMs: number) => void; look: () => number } {
 	let now = 1_000;
 	let wall = 5_000_000;
@@ -24,7 +25,7 @@
 	};
 }
 
-test('a wall clock that runs ahead of the monotonic one tells of a suspension', (t) => {
+test('a wall clock that jumps ahead of the monotonic one shows a suspension', (t) => {
 	const { pass, look } = watched();
 	pass(500, 500);
 	t.is(look(), -Infinity);
@@ -34,7 +35,7 @@
 	t.is(look(), 1_501);
 });
 
-test('a wall clock that is set back, or drifts, tells of none', (t) => {
+test('a wall clock that is set back, or drifts, shows no suspension', (t) => {
 	const { pass, look } = watched();
 	pass(10, -3_000);
 	t.is(look(), -Infinity);
@@ -44,7 +45,7 @@
 	}
 });
 
-test('an owner that was suspended starts nothing before the store has shown its epoch in force', async (t) => {
+test('an owner that was suspended starts nothing before the store has confirmed its epoch', async (t) => {
 	const made = world.createWorld(() => ({ ms: 1_000, how: 'done' }));
 	const { clock, fleet } = made;
 	fleet.add('w1');
--- a/test/takeover.test.ts
+++ b/test/takeover.test.ts
@@ -1,18 +1,18 @@
-/** What a successor starts at once, and what it has to wait for, when workers are gone or silent. */
+/** What a successor starts at once, and what it has to wait for, when workers are gone or unresponsive. */
 import test from 'ava';
 import * as world from './fixtures/dispatching.js';
 import type * as jobs from '../src/core/jobs/index.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-/** Time that a takeover and a start take, with room to spare; far less than any lease. */
+/** Time that a takeover and a start take, with a margin, in milliseconds; far less than any lease. */
 const soonMs = 2_000;
 
 function endless(): { ms: 'endless'; how: 'done' } {
 	return { ms: 'endless', how: 'done' };
 }
 
-/** A step of lasting tasks, of which a worker holds one. */
+/** A step of long-running tasks. A worker has capacity for one of them. */
 function lasting(count: number): jobs.StepSpec[] {
 	return [world.step({ count, milliCores: 20_000, lasting: true })];
 }
@@ -22,7 +22,7 @@
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const first = await takeOver();
-	// Short tasks and lasting ones alike: these end by themselves, if nobody stops them.
+	// The same holds for short and long-running tasks. These are short: they exit by themselves unless they are stopped.
 	await submit(first, world.job('job1', [world.step({ count: 2, milliCores: 20_000 })]));
 	await clock.pass(3_000);
 	t.is(fleet.starts.length, 2);
@@ -41,7 +41,7 @@
 	second.dispatcher.close();
 });
 
-test('a lasting task waits only for the worker where it was last started', async (t) => {
+test('a long-running task waits only for the worker where it was last started', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(endless);
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
@@ -55,7 +55,7 @@
 	await submit(first, world.job('never-started', lasting(1)));
 	await clock.pass(1_000);
 	t.is(w2.running.size, 0);
-	// The owner and a worker fail in the same moment: nothing could be stored about the worker.
+	// The owner and a worker fail at the same moment, so nothing could be stored about the worker.
 	w3.fault = 'silent';
 	first.dispatcher.close();
 	fleet.add('w4');
@@ -78,7 +78,7 @@
 	second.dispatcher.close();
 });
 
-test('an owner takes nothing for lost whose lease its successor may have renewed', async (t) => {
+test('an owner presumes no run lost whose lease its successor may have renewed', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 30_000, how: 'done' }));
 	fleet.add('w1');
 	let isCut = false;
@@ -89,7 +89,7 @@
 	const w2 = fleet.add('w2');
 	first.dispatcher.setWorkers(fleet.entries(), [], true);
 	isCut = true;
-	// The lease given to w1 has a second left, and the first owner's last call to the store is less than that old.
+	// The lease granted to w1 has a second left, and the first owner's last call to the store is more recent than that.
 	await clock.pass(5_000);
 	const second = await takeOver((worker) => worker === 'w2');
 	for (let passed = 0; passed < 6_000; passed += 50) {
@@ -101,7 +101,7 @@
 	second.dispatcher.close();
 });
 
-/** A world whose only worker runs a lasting task and has just become silent. */
+/** Creates an environment whose only worker runs a long-running task and has just become unresponsive. */
 async function silentWorld(
 	fault?: () => memory.StoreFault,
 ): Promise<world.TestWorld & { owner: world.TestOwner; w1: workers.FakeWorker }> {
@@ -114,12 +114,12 @@
 	return { ...made, owner, w1 };
 }
 
-/** Ends of leases as a box takes them from an owner's answer. */
+/** Clock times at which leases end, by worker, as a box computes them from the times left in an owner's answer. */
 function endsFrom(leftMs: Record<string, number>, now: number): Map<string, number> {
 	return new Map(Object.entries(leftMs).map(([worker, left]) => [worker, now + left]));
 }
 
-test('a successor waits for a silent worker no longer than its predecessor would have', async (t) => {
+test('a successor waits for an unresponsive worker no longer than its predecessor would have', async (t) => {
 	const { clock, fleet, takeOver, owner: first } = await silentWorld();
 	await clock.pass(4_000);
 	const ends = endsFrom(first.dispatcher.unresponsiveLeases(), clock.now());
@@ -134,7 +134,7 @@
 	second.dispatcher.close();
 });
 
-test('a worker whose lease was stated gets none before the roster has changed', async (t) => {
+test('a worker whose lease end was published gets no lease before the roster has changed', async (t) => {
 	let fault: 'none' | 'down' = 'none';
 	const { clock, owner, w1 } = await silentWorld(() => fault);
 	await clock.pass(3_300);
@@ -146,7 +146,7 @@
 	owner.dispatcher.close();
 });
 
-test('a worker whose lease was stated is renewed once the roster has changed', async (t) => {
+test('a worker whose lease end was published is renewed once the roster has changed', async (t) => {
 	const { clock, fleet, owner, w1 } = await silentWorld();
 	await clock.pass(3_300);
 	t.deepEqual(Object.keys(owner.dispatcher.unresponsiveLeases()), ['w1']);
@@ -157,7 +157,10 @@
 	owner.dispatcher.close();
 });
 
-/** A worker whose last start is on its way for longer than the lease that it brings; it is silent, and another one is there. */
+/**
+ * Sets up a worker whose last start is in flight for longer than the lease that it brings. The worker is unresponsive, and
+ * there is another one.
+ */
 async function startUnderWay(): Promise<
 	world.TestWorld & { owner: world.TestOwner; w1: workers.FakeWorker }
 > {
@@ -166,7 +169,7 @@
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await clock.pass(1_200);
-	// The first tries are lost on their way.
+	// The first attempts are lost in transit.
 	w1.fault = 'silent';
 	await submit(owner, world.job('job1', [world.step()]));
 	await clock.pass(2_300);
@@ -178,7 +181,7 @@
 	return { ...made, owner, w1 };
 }
 
-test('a start that is carried out after its run was taken for lost does not begin', async (t) => {
+test('a start that is carried out after its run was presumed lost has no effect', async (t) => {
 	const { clock, fleet, owner, w1 } = await startUnderWay();
 	await clock.pass(3_700);
 	t.is(fleet.starts.length, 1);
@@ -191,7 +194,7 @@
 	owner.dispatcher.close();
 });
 
-test('a start in doubt is not forgotten when its worker leaves the list and comes back', async (t) => {
+test('an unconfirmed run is not forgotten when its worker leaves the list and comes back', async (t) => {
 	const { clock, fleet, owner, w1 } = await startUnderWay();
 	owner.dispatcher.setWorkers([], ['w1'], false);
 	await clock.pass(3_700);
@@ -206,7 +209,7 @@
 	owner.dispatcher.close();
 });
 
-test('a worker that has not answered a new owner is not taken for empty', async (t) => {
+test('a worker that has not answered a new owner is not presumed empty', async (t) => {
 	const { takeOver, clock, owner: first, w1 } = await silentWorld();
 	first.dispatcher.close();
 	const second = await takeOver();
@@ -217,7 +220,7 @@
 	second.dispatcher.close();
 });
 
-test('owners that follow each other quickly do not begin the wait for a silent worker anew', async (t) => {
+test('owners that follow each other quickly do not restart the wait for an unresponsive worker', async (t) => {
 	const { clock, fleet, takeOver, owner: first } = await silentWorld();
 	await clock.pass(3_500);
 	const ends = endsFrom(first.dispatcher.unresponsiveLeases(), clock.now());
@@ -234,7 +237,7 @@
 	third.dispatcher.close();
 });
 
-test('a gang waits as long as any member may run somewhere', async (t) => {
+test('a gang waits as long as any of its tasks may run somewhere', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 60_000, how: 'done' }));
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
@@ -244,7 +247,7 @@
 	await clock.pass(1_000);
 	t.is(fleet.starts.length, 2);
 	const [lostName] = [...(fleet.workers.get('w1')?.running.keys() ?? [])];
-	// Cut off while it runs on, so its entry is closed; and then the other worker starts anew.
+	// w2 is cut off while its task runs on, so its roster entry is closed. Then the other worker restarts.
 	w2.fault = 'silent';
 	await clock.pass(3_000);
 	first.dispatcher.close();
@@ -259,7 +262,7 @@
 	second.dispatcher.close();
 });
 
-test('a lasting task that was stopped does not wait for the worker where it ran', async (t) => {
+test('a long-running task that was stopped does not wait for the worker where it ran', async (t) => {
 	const { clock, fleet, takeOver, submit } = world.createWorld(endless);
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
@@ -270,7 +273,7 @@
 	await clock.pass(1_000);
 	const stopped = [0, 1, 2, 3].map((index) => `job1.0.0.${index}`).filter((name) => !w1.running.has(name));
 	t.true(stopped.length > 0);
-	// The owner and the worker fail in the same moment.
+	// The owner and the worker fail at the same moment.
 	w1.fault = 'silent';
 	first.dispatcher.close();
 	const w2 = fleet.add('w2');
@@ -280,7 +283,7 @@
 	second.dispatcher.close();
 });
 
-test('a lasting task is not started on a worker that began to drain while it was being stored', async (t) => {
+test('a long-running task is not started on a worker that began to drain while it was being stored', async (t) => {
 	let fault: 'none' | 'down' = 'none';
 	const { clock, fleet, takeOver, submit } = world.createWorld(endless);
 	const w1 = fleet.add('w1');
--- a/test/two-beliefs.test.ts
+++ b/test/two-beliefs.test.ts
@@ -1,6 +1,6 @@
 /**
- * Two owners, or an owner before and after a silence, that believe different things of one worker. All in one shape: two
- * tasks of two jobs on one worker, and two others that would take one each.
+ * Two owners, or one owner before and after a time without contact, whose views of one worker differ. The setup is the same
+ * in all tests: two tasks of two jobs on one worker, and two other workers with capacity for one task each.
  */
 import test from 'ava';
 import * as contacts from '../src/core/platform/contact.js';
@@ -14,7 +14,7 @@
 const steps = [world.step({ milliCores: 20_000 })];
 const ids = ['job1', 'job2'];
 
-/** The worker that both tasks run on at first. */
+/** The worker that runs both tasks at first. */
 const held = 'w0';
 
 interface Check {
@@ -25,7 +25,7 @@
 	return { ms: 60_000, how: 'done' };
 }
 
-/** A world with an owner and a worker that holds both tasks; `fault`: what the store does to the owner. */
+/** Sets up an owner and a worker that has capacity for both tasks. `fault`: what the store does to the owner. */
 async function heldWorld(fault?: () => memory.StoreFault): Promise<{
 	made: world.TestWorld;
 	first: world.TestOwner;
@@ -48,7 +48,7 @@
 	made.fleet.add('w2');
 }
 
-/** Lets time pass, and looks for tasks with two runs at once all the while. */
+/** Lets time pass, and checks all the while that no task has two runs at once. */
 async function watchRuns(t: Check, made: world.TestWorld, ms: number): Promise<void> {
 	for (let passed = 0; passed < ms; passed += 10) {
 		await made.clock.pass(10);
@@ -56,7 +56,7 @@
 	}
 }
 
-test('generation 2 frees nothing on a worker that it does not reach any more and generation 3 renews', async (t) => {
+test('generation 2 frees nothing on a worker that it no longer reaches and that generation 3 renews', async (t) => {
 	const { made, first, worker } = await heldWorld();
 	await submitBoth(made, first);
 	await made.clock.pass(1_000);
@@ -67,7 +67,8 @@
 	await made.clock.pass(1_000);
 	t.is(worker.running.size, 2);
 	isCut = true;
-	// Its lease there has seconds left, and its last call to the store is less than that old when generation 3 comes.
+	// The lease that generation 2 granted there has seconds left. Generation 2's last call to the store is more recent than
+	// that when generation 3 takes over.
 	await watchRuns(t, made, 5_500);
 	const third = await made.takeOver((id) => id !== held);
 	await watchRuns(t, made, 8_000);
@@ -75,7 +76,7 @@
 	third.dispatcher.close();
 });
 
-test('a worker closed by a late roster write and listed again keeps what it gets from then on', async (t) => {
+test('a worker closed by a late roster write and listed again keeps the tasks that it gets afterwards', async (t) => {
 	let now: memory.StoreFault = 'none';
 	const { made, first, worker } = await heldWorld(() => now);
 	now = 'late';
@@ -86,7 +87,7 @@
 	await submitBoth(made, first);
 	await watchRuns(t, made, 3_000);
 	t.is(worker.running.size, 2);
-	// The late write comes with its worker silent, so that only the roster tells its successor.
+	// The late write is carried out while its worker is unresponsive, so only the roster informs the successor.
 	worker.fault = 'silent';
 	await watchRuns(t, made, 1_000);
 	first.dispatcher.close();
@@ -99,7 +100,7 @@
 	second.dispatcher.close();
 });
 
-test('a worker that was dropped from the list begins no run that was taken for lost, once it is listed again', async (t) => {
+test('a worker that was removed from the list begins no run that was presumed lost, once it is listed again', async (t) => {
 	const { made, first, worker } = await heldWorld();
 	worker.fault = 'late';
 	await submitBoth(made, first);
@@ -110,18 +111,18 @@
 	first.dispatcher.setWorkers([], [held], false);
 	await watchRuns(t, made, 3_700);
 	t.is(made.fleet.starts.length, 2);
-	// It is back before the second tries of both starts, which are on their way for 6 s.
+	// The worker is back before the second attempts of both starts, which are in flight for 6 s, arrive.
 	worker.fault = 'none';
 	first.dispatcher.setWorkers([worker.entry], [], false);
 	await watchRuns(t, made, 8_000);
 	first.dispatcher.close();
 });
 
-test('a job that is handed in again is not new to an owner that has not read it yet', async (t) => {
+test('a job that is submitted again is not new to an owner that has not read it yet', async (t) => {
 	const { made, first, worker } = await heldWorld();
 	addOthers(made);
 	const second = await made.takeOver((id) => id === held);
-	// Stored after the second owner has read all jobs, and started by the first one, which is not turned away yet.
+	// The jobs are stored after the second owner has read all jobs. The first owner, which is not refused yet, starts them.
 	await submitBoth(made, first);
 	await made.clock.pass(20);
 	t.is(worker.running.size, 2);
@@ -130,7 +131,7 @@
 		clock: made.clock,
 		events: second.events,
 		dispatcher: () => second.dispatcher,
-		callOwner: () => Promise.resolve(results.fail({ sent: false, reason: 'this box owns' })),
+		callOwner: () => Promise.resolve(results.fail({ sent: false, reason: 'this box is the owner' })),
 		ownerGeneration: () => second.ledger.generation,
 		backlog: () => [],
 		random: () => 0,
@@ -143,7 +144,7 @@
 });
 
 for (const fault of ['lost', 'late'] as const)
-	test(`an owner is stopped after starts whose answers are ${fault}, and its successor is quick`, async (t) => {
+	test(`an owner is stopped after starts whose answers are ${fault}, and its successor takes over at once`, async (t) => {
 		const { made, first, worker } = await heldWorld();
 		worker.fault = fault;
 		await submitBoth(made, first);
@@ -158,7 +159,7 @@
 		second.dispatcher.close();
 	});
 
-test('over real boxes: the owner is told to stop while starts have no answer yet', async (t) => {
+test('with real boxes: the owner is told to stop while starts are unanswered', async (t) => {
 	const starts: workers.StartRecord[] = [];
 	let bothStarted = (): void => undefined;
 	const started = new Promise<void>((resolve) => {
@@ -179,7 +180,7 @@
 	const { owner, other } = await startTwo();
 	const worker = platform.fleet.workers.get('i-1');
 	await owner.logged((line) => line.name === 'worker.reached');
-	// What it is told is carried out, and nobody hears of it.
+	// The worker carries out commands, and its answers are lost.
 	if (worker !== undefined) worker.fault = 'lost';
 	const body = { spec: 'a proof', steps: [{ count: 1, cpu: 10_000, mem_mb: 100, estimate_ms: 100 }] };
 	for (const id of ['00000000000000a1', '00000000000000a2'])
@@ -191,7 +192,7 @@
 	await other.logged((line) => line.name === 'worker.reached' && line.fields.worker === 'i-3');
 	if (worker !== undefined) worker.fault = 'none';
 	await other.logged((line) => line.name === 'takeover.settled');
-	// Its tasks are placed in the same round as what is free at that time, or in a later one.
+	// The tasks of this job are placed in the same round as all tasks that are free to be placed by then, or in a later one.
 	t.is((await real.call(other.callers, 'POST', shortJob, body)).status, 200);
 	await real.completed(other, shortJob);
 	t.deepEqual(
--- a/test/unnoted-ends.test.ts
+++ b/test/unnoted-ends.test.ts
@@ -1,22 +1,23 @@
 /**
- * After a zone of workers came back cold, a third of the ends that workers listed was never taken note of. Each report
- * brought new ends, storing them took longer than an answer counted as recent, and so no question named any end.
+ * Guards against exits that are never acknowledged. After the workers of a zone came back cold, this happened to a third of
+ * the exits that they listed. Each report brought new exits, and storing them took longer than an answer counts as recent,
+ * so no poll acknowledged any exit.
  */
 import test from 'ava';
 import * as real from './fixtures/real-boxes.js';
 import * as world from './fixtures/dispatching.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-/** A job of three tasks is handed in so often, in milliseconds, so that each report brings new ends. */
+/** Interval at which a job of three tasks is submitted, in milliseconds; short enough for each report to bring new exits. */
 const jobGapMs = 120;
 
-/** How long jobs are handed in, in milliseconds. */
+/** How long jobs are submitted, in milliseconds. */
 const busyMs = 8_000;
 
-/** The longest that a report waits beside the writes, in milliseconds (`dispatch/settings.ts`). */
+/** Maximum time that a report waits, apart from the writes, in milliseconds (`dispatch/settings.ts`). */
 const reportMs = 1_000;
 
-/** When each end was listed and forgotten, by task and run. */
+/** When each exit was listed and when it was acknowledged, by task and run. */
 class EndTimes {
 	private readonly listed = new Map<string, number>();
 	private readonly noted = new Map<string, number>();
@@ -39,7 +40,7 @@
 		return this.listed.size;
 	}
 
-	/** Ends that were listed more than `ms` before now and are not noted, or were noted later than that. */
+	/** Exits listed more than `ms` milliseconds ago and not acknowledged, or acknowledged later than that. */
 	overdue(ms: number): string[] {
 		const now = this.now();
 		return [...this.listed].filter(([end, at]) => (this.noted.get(end) ?? now) - at > ms).map(([end]) => end);
@@ -47,7 +48,7 @@
 }
 
 for (const writeMs of [50, 150, 250, 350, 500])
-	test(`ends are taken note of while each report brings new ones and a write takes ${String(writeMs)} ms`, async (t) => {
+	test(`exits are acknowledged while each report brings new ones and a write takes ${String(writeMs)} ms`, async (t) => {
 		let now = (): number => 0;
 		const ends = EndTimes.create(() => now());
 		const made = world.createWorld(() => ({ ms: 200, how: 'done' }), ends.journal);
@@ -62,12 +63,12 @@
 			await made.clock.pass(jobGapMs);
 		}
 		t.true(ends.count > busyMs / jobGapMs);
-		// An end waits for the write under way and for its own.
+		// An exit waits for the write in progress and for its own.
 		t.deepEqual(ends.overdue(2 * writeMs + reportMs), []);
 		owner.dispatcher.close();
 	});
 
-test('ends are taken note of while reports wait for the processor of a full owner', async (t) => {
+test('exits are acknowledged while reports wait for the processor of a busy owner', async (t) => {
 	let now = (): number => 0;
 	const ends = EndTimes.create(() => now());
 	const made = world.createWorld(() => ({ ms: 200, how: 'done' }), ends.journal);
@@ -84,12 +85,12 @@
 		await clock.pass(jobGapMs);
 	}
 	t.true(ends.count > busyMs / jobGapMs);
-	// Two reports come late: the one that lists the end, and the one after whose answer it is named.
+	// Two reports come late: the one that lists the exit, and the one after whose answer the exit is acknowledged.
 	t.deepEqual(ends.overdue(2 * store.writeMs + reportMs + 2 * fleet.reportDelayMs), []);
 	owner.dispatcher.close();
 });
 
-test('ends are taken note of on a worker that answers no stops while the start of a lost run is in doubt there', async (t) => {
+test('exits are acknowledged on a worker that answers no stops while the start of a lost run is unconfirmed there', async (t) => {
 	let now = (): number => 0;
 	const ends = EndTimes.create(() => now());
 	const made = world.createWorld(() => ({ ms: 'endless', how: 'done' }), ends.journal);
@@ -101,7 +102,7 @@
 	await clock.pass(1_200);
 	w1.fault = 'silent';
 	await submit(owner, world.job('unanswered', [world.step()]));
-	// Its leases run out, so what ran there has lapsed, and the start that was not answered is in doubt.
+	// The worker's leases expire, so its runs have lapsed, and the start that was not answered is unconfirmed.
 	await clock.pass(world.maxLeaseMs + 2_000);
 	t.is(ends.count, 3);
 	w1.ignoresStops = true;
--- a/test/unstored-progress.test.ts
+++ b/test/unstored-progress.test.ts
@@ -1,4 +1,6 @@
-/** Ends that workers list are held up by progress that is not stored: a refused job, and a flood of ended jobs. */
+/**
+ * Progress that is not stored delays the exits that workers list: progress of a refused job, and of a flood of ended jobs.
+ */
 import test from 'ava';
 import * as fixtures from './fixtures/progress.js';
 import * as time from '../stand-ins/fleet/virtual-clock.js';
@@ -7,15 +9,18 @@
 import type * as saver from '../src/core/dispatch/progress-saver.js';
 import type * as ledger from '../src/core/ledger/index.js';
 
-/** A calm store takes ends within this time, in milliseconds: half of the shortest time that operators allow. */
+/**
+ * Time within which exits are stored if nothing is wrong with the store, in milliseconds: half of the shortest time that
+ * operators allow.
+ */
 const boundMs = 2_000;
 
-/** A refused job is tried again after so long, in milliseconds. */
+/** Delay before a refused job is tried again, in milliseconds. */
 const asideMs = 5_000;
 
 const reportGapMs = 50;
 
-/** A saver whose writes take `writeMs`; `outcomeOf`: what becomes of a batch. */
+/** Creates a saver whose writes take `writeMs`. `outcomeOf`: the outcome of a batch's write. */
 function createSaver(
 	clock: time.VirtualClock,
 	writeMs: number,
@@ -27,7 +32,7 @@
 	});
 }
 
-test('a refused job that workers go on reporting costs one write each time it is tried again', async (t) => {
+test('a refused job that workers go on reporting costs one write per retry', async (t) => {
 	const clock = time.VirtualClock.create();
 	const lengthMs = 20_000;
 	const refusedAt: number[] = [];
@@ -46,7 +51,7 @@
 		for (const job of [refused, ...sound]) progress.mark(job);
 		await clock.pass(reportGapMs);
 	}
-	// The first time it stands in a whole batch, which is halved until it is alone.
+	// At first the job is in a full batch, which is halved until the job is alone.
 	const findingIt = Math.ceil(Math.log2(15)) + 1;
 	t.true(refusedAt.length <= findingIt + lengthMs / asideMs, `${String(refusedAt.length)} refused writes`);
 	const mean = sizes.reduce((sum, one) => sum + one, 0) / sizes.length;
@@ -54,7 +59,7 @@
 	progress.close();
 });
 
-test('ends of a refused job do not count as stored while it is set aside', async (t) => {
+test('exits of a refused job do not count as stored while it is postponed', async (t) => {
 	const clock = time.VirtualClock.create();
 	let isRefused = true;
 	const progress = createSaver(clock, 20, () => (isRefused ? 'refused' : 'committed'));
@@ -75,7 +80,7 @@
 	{ perS: 130, writeMs: 360 },
 	{ perS: 1_000, writeMs: 50 },
 ])
-	test(`a job with ended tasks is stored in time while ${String(perS)} jobs a second end and a write takes ${String(writeMs)} ms`, async (t) => {
+	test(`a job with exited tasks is stored in time while ${String(perS)} jobs a second end and a write takes ${String(writeMs)} ms`, async (t) => {
 		const clock = time.VirtualClock.create();
 		const progress = createSaver(clock, writeMs);
 		const gapMs = 1_000 / perS;
@@ -100,7 +105,7 @@
 		progress.close();
 	});
 
-test('ends of hundreds of jobs that go on changing are stored in time where a write takes 300 ms', async (t) => {
+test('exits of hundreds of jobs that go on changing are stored in time where a write takes 300 ms', async (t) => {
 	const clock = time.VirtualClock.create();
 	const progress = createSaver(clock, 300);
 	const running = fixtures.createJobs(500, clock.now());
@@ -120,7 +125,7 @@
 	progress.close();
 });
 
-test('an end that reports list again and again while it is being stored is stored once', async (t) => {
+test('an exit that several reports list while it is being stored is stored once', async (t) => {
 	const { clock, store, fleet, takeOver, submit } = world.createWorld(() => ({ ms: 300, how: 'done' }));
 	fleet.add('w1', {}, 1);
 	const owner = await takeOver();
@@ -128,7 +133,7 @@
 	await clock.pass(200);
 	store.writeMs = 2_000;
 	const before = store.writes;
-	// Its task ends, and is reported about five times before that is stored.
+	// The job's task exits, and about five reports list the exit before it is stored.
 	await clock.pass(250);
 	store.writeMs = 4;
 	await clock.pass(4_000);
--- a/test/unworkable-jobs.test.ts
+++ b/test/unworkable-jobs.test.ts
@@ -1,4 +1,4 @@
-/** One job that can't be worked on, however it came into the store, costs itself and nothing else, whoever owns. */
+/** A job that can't be processed, however it came into the store, affects no other job, whichever box is the owner. */
 import test from 'ava';
 import * as jobBody from '../platform/job-body.js';
 import * as ledger from '../src/core/ledger/index.js';
@@ -8,7 +8,7 @@
 
 const brief = { ms: 300, how: 'done' as const };
 
-/** A job that would have to be open a thousand million times at once. */
+/** A job of which a thousand million occurrences would have to be open at once. */
 function endless(id: string): jobs.JobRecord {
 	const schedule = { times: 1_000_000_000, firstAt: 0, intervalMs: 0 };
 	return world.job(id, [world.step()], { schedule });
@@ -17,12 +17,12 @@
 const unworkable: [string, Uint8Array][] = [
 	['bytes that are no record', Buffer.from([0xff, 0x00, 0x7b])],
 	['a record of another form', wire.encodeValue({ id: 'bad', steps: 'none' })],
-	['more times than can be held', wire.encodeValue(endless('bad'))],
+	['more occurrences than can be held', wire.encodeValue(endless('bad'))],
 	['more tasks than can be held', wire.encodeValue(world.job('bad', [world.step({ count: 2_000_000 })]))],
 ];
 
 for (const [title, value] of unworkable)
-	test(`owners go on beside a stored job of ${title}`, async (t) => {
+	test(`owners keep working beside a stored job of ${title}`, async (t) => {
 		const made = world.createWorld(() => brief);
 		made.fleet.add('w1');
 		const first = await made.takeOver();
@@ -40,7 +40,7 @@
 		second.dispatcher.close();
 	});
 
-test('owners go on beside a job of which the progress is unreadable, and do not run it anew', async (t) => {
+test('owners keep working beside a job with unreadable progress, and do not run it again', async (t) => {
 	const made = world.createWorld(() => brief);
 	made.fleet.add('w1');
 	const first = await made.takeOver();
@@ -53,14 +53,14 @@
 	await made.clock.pass(2_000);
 	t.is(second.dispatcher.stateOf('good'), 'completed');
 	t.is(made.fleet.starts.filter((one) => one.task.startsWith('bad')).length, 1);
-	// It is there, and nothing can be said of it.
+	// The job exists, but its progress can't be read.
 	const reading = ledger.readJob(made.store.view(), 'bad');
 	await made.clock.pass(50);
 	t.false((await reading).ok);
 	second.dispatcher.close();
 });
 
-test('a job that is too large for a box is turned away when it is handed in', (t) => {
+test('a job that is too large for a box is rejected when it is submitted', (t) => {
 	const body = (more: object): Uint8Array => Buffer.from(JSON.stringify({ spec: 'x', ...more }));
 	const step = { count: 10_000, cpu: 1, mem_mb: 1, estimate_ms: 1 };
 	t.true(jobBody.decodeJob(body({ steps: [step] })).ok);
--- a/test/upkeep.test.ts
+++ b/test/upkeep.test.ts
@@ -13,11 +13,11 @@
 	calls: fleet.MachineCalls;
 	states: Map<string, fleet.Machine['state']>;
 	begun: string[];
-	/** Most machines down at once. */
+	/** Maximum number of machines that were down at once. */
 	most: () => number;
 }
 
-/** Machines whose upkeep takes two seconds; the first answer of each order is lost. */
+/** Creates machines whose upkeep takes two seconds. The first answer to each command is lost. */
 function createMachines(clock: time.VirtualClock, names: string[]): Machines {
 	const states = new Map<string, fleet.Machine['state']>(names.map((name) => [name, 'up']));
 	const begun: string[] = [];
@@ -44,10 +44,9 @@
 	return { calls, states, begun, most: () => most };
 }
 
-/** What a test's upkeep is told of workers, and tells of its waves. */
+/** Callbacks that a test provides: for the state of workers, and for the progress of waves. */
 type UpkeepEnds = Pick<upkeep.UpkeepOptions, 'vacate' | 'report'> & Partial<upkeep.UpkeepOptions>;
 
-/** The upkeep of one owner. */
 function createUpkeep(clock: time.VirtualClock, machines: Machines, ends: UpkeepEnds): upkeep.Upkeep {
 	return upkeep.Upkeep.create({
 		clock,
@@ -62,7 +61,7 @@
 	});
 }
 
-test('a wave takes every machine down once, few at a time, and is completed only then', async (t) => {
+test('a wave takes every machine down once, few at a time, and completes only then', async (t) => {
 	const clock = time.VirtualClock.create();
 	const machines = createMachines(clock, ['m1', 'm2', 'm3', 'm4', 'm5']);
 	const reports: string[] = [];
@@ -136,7 +135,7 @@
 	owner.dispatcher.close();
 });
 
-test('the adviser is asked once at a time, and its tickets run out', async (t) => {
+test('the adviser gets one request at a time, and its tickets expire', async (t) => {
 	const clock = time.VirtualClock.create();
 	const record = world.job('job1', [world.step()]);
 	const opts = { cancelled: false, inherited: false, workersStored: true, now: clock.now(), age: 0 };
--- a/test/waiting-log.test.ts
+++ b/test/waiting-log.test.ts
@@ -1,4 +1,4 @@
-/** What the log tells of work that waits: why, and for whom. */
+/** What the log reports of work that waits: why it waits, and for which workers. */
 import test from 'ava';
 import * as world from './fixtures/dispatching.js';
 
--- a/test/worker-entries.test.ts
+++ b/test/worker-entries.test.ts
@@ -17,7 +17,7 @@
 	labels: ['a', 'r1'],
 };
 
-/** Entries that name no worker to use, by what is wrong with them. */
+/** Entries that describe no usable worker, by what is wrong with them. */
 const unusable: Record<string, unknown> = {
 	'no object': 7,
 	'an array': [],
@@ -71,7 +71,7 @@
 	await clock.pass(1_000);
 	store.put('servers/w1', Buffer.from('{'));
 	await clock.pass(1_000);
-	// The history is gone: the list is read again, with that entry in it.
+	// The history is gone, so the list is read again, with that entry in it.
 	store.forget();
 	await clock.pass(3_000);
 	store.put('servers/w1', bytes(good));
--- a/test/worker-silence.test.ts
+++ b/test/worker-silence.test.ts
@@ -1,4 +1,7 @@
-/** What is held against a run whose worker ceased to answer and went down later: it may have ended unheard in between. */
+/**
+ * What counts against a run whose worker ceased to answer and crashed later: the run may have exited, unreported, in
+ * between.
+ */
 import * as http from 'node:http';
 import events from 'node:events';
 import * as timers from 'node:timers/promises';
@@ -12,16 +15,16 @@
 import * as workerCalls from '../platform/worker-calls.js';
 import * as world from './fixtures/dispatching.js';
 
-test('a worker hangs once it has left a connection that it accepted without an answer', async (t) => {
+test('a worker counts as hung once it has left a poll unanswered on a connection that it accepted', async (t) => {
 	const clock = time.VirtualClock.create();
 	const silence = silences.WorkerResponsiveness.create(clock);
 	silence.noteConnected();
 	await clock.pass(1_000);
-	t.false(silence.isHanging, 'connections opened before a call failed tell nothing');
+	t.false(silence.isHanging, 'connections opened before a call failed prove nothing');
 	t.true(silence.noteFailure());
 	t.false(silence.noteFailure());
 	await clock.pass(1_000);
-	t.false(silence.isHanging, 'it may have gone down at that moment');
+	t.false(silence.isHanging, 'it may have crashed at that moment');
 	silence.noteConnected();
 	t.false(silence.isHanging, 'the answer may be on its way');
 	await clock.pass(300);
@@ -41,7 +44,7 @@
 	t.is(silence.firstFailureAt, undefined);
 });
 
-test('a worker that refuses questions is not asked again and again without a pause', async (t) => {
+test('a worker that refuses polls is not polled again and again without a pause', async (t) => {
 	const { clock, fleet, takeOver } = world.createWorld(() => ({ ms: 100, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
@@ -55,7 +58,7 @@
 	owner.dispatcher.close();
 });
 
-test('questions tell of connections that a worker accepts for them, not of those that are kept', async (t) => {
+test('polls report connections that a worker accepts for them, not those that are kept', async (t) => {
 	let answers = true;
 	const server = http.createServer((_req, res) => {
 		if (answers) res.end(JSON.stringify({ clock_ms: 1, running: [], ended: [] }));
@@ -69,7 +72,7 @@
 		let connections = 0;
 		const onConnected = (): void => void (connections += 1);
 		const res = await calls.requestReport(target, { token: 1, acknowledgeUpTo: 0, waitMs: 0, onConnected });
-		// The connection is free for the next call only after the answer has been handed on.
+		// The connection is free for the next call only after the answer has been delivered.
 		await timers.setImmediate();
 		return [res.ok, connections];
 	};
