--- a/test/restarted-workers.test.ts
+++ b/test/restarted-workers.test.ts
@@ -1,4 +1,4 @@
-/** Workers that start again under the name that they had. */
+/** Workers that restart under the same name. */
 import test from 'ava';
 import * as crashes from './fixtures/crashes.js';
 import * as crashing from '../dev/soak/crashing.js';
@@ -7,7 +7,10 @@
 import type * as fleetTypes from '../src/core/fleet/types.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-/** Workers crash for so long after the trial's start, in milliseconds; then all jobs are to be done within the rest. */
+/**
+ * How long workers crash after the trial's start, and the time after that within which all jobs have to end, in
+ * milliseconds.
+ */
 const crashPhaseMs = 40_000;
 const recoveryPhaseMs = 30_000;
 
@@ -17,15 +20,15 @@
 const workerCount = 10;
 const jobCount = 60;
 
-/** What the workers' own accounts say against the owner. */
+/** Records, from the workers' own journals, tasks that the owner started twice. */
 class RunRecorder {
-	/** Starts of tasks of which an end as done had been forgotten, as the owner asked, or which ran already. */
+	/** Starts of tasks that were running already, or whose exit as done had been discarded as the owner requested. */
 	readonly repeatedStarts: string[] = [];
 	private readonly done = new Set<string>();
 	private readonly running = new Set<string>();
 
 	private constructor() {
-		// Built by `create`, like every class here.
+		// Instances are made by `create`, as for every class here.
 	}
 
 	static create(): RunRecorder {
@@ -50,12 +53,12 @@
 	}
 }
 
-/** Owners of a world that follow one another; the newest hears of the workers that come and go. */
+/** Successive owners of one environment. The newest is notified of workers that join and leave. */
 interface Trial {
 	environment: fixtures.TestEnvironment;
 	recorder: RunRecorder;
 	owner: () => fixtures.TestOwner;
-	/** The owner dies, and another takes over. */
+	/** The owner dies, and another one takes over. */
 	replaceOwner: () => Promise<void>;
 	close: () => void;
 }
@@ -77,13 +80,7 @@
 	const close = (): void => {
 		owner.dispatcher.close();
 	};
-	return {
-		environment,
-		recorder,
-		owner: () => owner,
-		replaceOwner,
-		close,
-	};
+	return { environment, recorder, owner: () => owner, replaceOwner, close };
 }
 
 /** How workers crash, and what else happens meanwhile. */
@@ -91,13 +88,16 @@
 	downMs: number;
 	leavesConnectionsOpen?: boolean;
 	taskMs?: number;
-	/** Between two takeovers, in milliseconds; absent: one owner. */
+	/** Interval between takeovers, in milliseconds; absent: there is one owner. */
 	takeoverIntervalMs?: number;
-	/** Workers leave orders unanswered for a while before each crash, and carry them out late. */
+	/** Workers leave commands unanswered for a while before each crash, and carry them out late. */
 	late?: boolean;
 }
 
-/** Jobs are handed in while one worker after the other crashes and comes back; returns those that should be done and are not. */
+/**
+ * Submits jobs while one worker after another crashes and restarts. Returns the jobs that should have completed and have
+ * not.
+ */
 async function runScenario(trial: Trial, scenario: Scenario): Promise<string[]> {
 	const { environment } = trial;
 	const { clock, fleet } = environment;
@@ -137,7 +137,7 @@
 	return ids.filter((id) => !isCompletedOrAbandoned(trial, id));
 }
 
-/** Whether a job is done, or was given up under a task that may be: so many workers crashed under it. */
+/** Whether a job completed, or was abandoned with a reason: enough workers had crashed under one of its tasks. */
 function isCompletedOrAbandoned({ environment, owner }: Trial, id: string): boolean {
 	const state = owner().dispatcher.stateOf(id);
 	if (state !== 'failed') return state === 'completed';
@@ -149,7 +149,7 @@
 	);
 }
 
-/** Resolves as the test's clock passes. */
+/** Resolves after `ms` milliseconds of the test's clock. */
 function delay(clock: fixtures.TestEnvironment['clock'], ms: number): Promise<void> {
 	return new Promise((resolve) => {
 		clock.after(ms, resolve);
@@ -167,7 +167,7 @@
 };
 
 for (const [title, scenario] of Object.entries(scenarios))
-	test(`work that ended on a worker is not done again, and all is done, as workers restart ${title}`, async (t) => {
+	test(`finished work is not repeated, and all jobs complete, as workers restart ${title}`, async (t) => {
 		const trial = await startTrial(() => ({ ms: scenario.taskMs ?? 700, how: 'done' }));
 		t.deepEqual(await runScenario(trial, scenario), []);
 		t.deepEqual(trial.recorder.repeatedStarts, []);
@@ -175,7 +175,7 @@
 	});
 
 for (const crashMs of [10, 900])
-	test(`a task that crashes each worker ${String(crashMs)} ms after its start is given up where workers restart`, async (t) => {
+	test(`a task that crashes each worker ${String(crashMs)} ms after its start is abandoned where workers restart`, async (t) => {
 		const trial = await startTrial((task) =>
 			task.startsWith('bad') ? { ms: 'endless', how: 'done', crashMs } : { ms: 1_500, how: 'done' },
 		);
@@ -201,7 +201,7 @@
 		trial.close();
 	});
 
-test('a worker that had drained takes work again once it has restarted', async (t) => {
+test('a worker that had drained gets work again once it has restarted', async (t) => {
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 500, how: 'done' }));
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
@@ -222,7 +222,7 @@
 	owner.dispatcher.close();
 });
 
-test('a worker that upkeep had closed takes work again once it has restarted', async (t) => {
+test('a worker that upkeep had closed gets work again once it has restarted', async (t) => {
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 500, how: 'done' }));
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
@@ -239,7 +239,7 @@
 	owner.dispatcher.close();
 });
 
-test('an end is not forgotten by a question that was put to the life before', async (t) => {
+test('an exit is not acknowledged by a poll that was sent to the incarnation before', async (t) => {
 	const recorder = RunRecorder.create();
 	const environment = fixtures.createEnvironment(() => ({ ms: 100, how: 'done' }), recorder.journal);
 	const { clock, fleet, takeOver, submit } = environment;
@@ -248,7 +248,7 @@
 	await clock.pass(1_200);
 	await submit(owner, fixtures.job('before', [fixtures.step({ count: 3 })]));
 	await clock.pass(1_000);
-	// Nothing tells of the restart: the question under way hangs, and the list of workers is not read.
+	// Nothing reports the restart: the poll in flight hangs, and the list of workers is not read.
 	fleet.crash(w1, { downMs: 100, dark: true, keepsName: true });
 	await clock.pass(150);
 	await submit(owner, fixtures.job('after', [fixtures.step({ count: 2 })]));
@@ -260,7 +260,7 @@
 	owner.dispatcher.close();
 });
 
-test('a run that a restarted worker has by an order to the life before is not lost before its lease is', async (t) => {
+test('a run that a restarted worker got by a command to the incarnation before is not presumed lost before its lease expires', async (t) => {
 	const recorder = RunRecorder.create();
 	const environment = fixtures.createEnvironment(() => ({ ms: 5_500, how: 'done' }), recorder.journal);
 	const { clock, fleet, takeOver, submit } = environment;
@@ -282,7 +282,7 @@
 	owner.dispatcher.close();
 });
 
-test('over real boxes: the ends of a worker that has restarted are read', async (t) => {
+test('with real boxes: the exits of a restarted worker are read', async (t) => {
 	const starts: workers.StartRecord[] = [];
 	const { journal } = RunRecorder.create();
 	const started = (start: workers.StartRecord): void => void starts.push(start);
--- a/test/slow-links.test.ts
+++ b/test/slow-links.test.ts
@@ -1,4 +1,4 @@
-/** Real boxes over narrow links: an owner that is slow stays the owner, and finishes what it was given. */
+/** Real boxes over narrow links: a slow owner stays the owner and finishes its jobs. */
 import test from 'ava';
 import * as boxes from '../stand-ins/box-process.js';
 import * as soakLinks from '../dev/soak/links.js';
@@ -7,10 +7,10 @@
 import * as realBoxes from './fixtures/real-boxes.js';
 import * as users from '../stand-ins/users-platform/server.js';
 
-/** What a box's link carries each way, in bytes a second. */
+/** Bandwidth of a box's link in each direction, in bytes per second. */
 const bytesPerS = 200_000;
 
-/** So many that a burst goes out at once: a box keeps six connections to a worker. */
+/** Enough workers for a burst to be sent at once: a box keeps six connections to a worker. */
 const workerCount = 40;
 
 const boxNames = ['entry-1', 'entry-2'];
@@ -22,7 +22,7 @@
 };
 const jobIds = ['00000000000000a1', '00000000000000a2'];
 
-/** Two boxes, each with a narrow link to the store and to the workers. */
+/** Starts two boxes, each with a narrow link to the store and the workers. */
 async function setUp(t: { teardown: (fn: () => Promise<void>) => void }): Promise<boxes.BoxProcess[]> {
 	const platform = users.UsersPlatform.create({ plan: () => ({ ms: 100, how: 'done' }) });
 	const links = soakLinks.Links.create(boxNames);
@@ -58,7 +58,7 @@
 	return { kind: 'narrow', links: { request: create(), answer: create() } };
 }
 
-test('a burst of starts over a narrow link leads to no takeover, and is finished', async (t) => {
+test('a burst of starts over a narrow link causes no takeover and completes', async (t) => {
 	const [owner, other] = await setUp(t);
 	if (owner === undefined || other === undefined) return;
 	for (const id of jobIds) t.is((await realBoxes.call(other.callers, 'POST', id, burstBody)).status, 200);
--- a/test/suspended.test.ts
+++ b/test/suspended.test.ts
@@ -1,13 +1,14 @@
 /**
- * A machine may be suspended for seconds, and its monotonic clock does not count them: an owner that wakes finds its right
- * to act as young as before, while a successor may be at work. Only the wall clock tells, and it also jumps by itself.
+ * A machine may be suspended for seconds, which its monotonic clock does not count. An owner that resumes finds its right to
+ * act as recent as before, while a successor may be at work. Only the wall clock shows the suspension, and it also jumps for
+ * other reasons.
  */
 import test from 'ava';
 import * as clocks from '../src/core/clock.js';
 import * as fixtures from './fixtures/dispatching.js';
 import type * as memory from '../stand-ins/fleet/memory-store.js';
 
-/** Two clocks that a test moves, and what is made of them. */
+/** Creates two clocks that a test moves, and a detector that compares them. */
 function createMovableClocks(): {
 	advance: (monotonicMs: number, wallMs: number) => void;
 	resumedAt: () => number;
@@ -27,7 +28,7 @@
 	};
 }
 
-test('a wall clock that runs ahead of the monotonic one tells of a suspension', (t) => {
+test('a wall clock that jumps ahead of the monotonic one shows a suspension', (t) => {
 	const { advance, resumedAt } = createMovableClocks();
 	advance(500, 500);
 	t.is(resumedAt(), -Infinity);
@@ -37,7 +38,7 @@
 	t.is(resumedAt(), 1_501);
 });
 
-test('a wall clock that is set back, or drifts, tells of none', (t) => {
+test('a wall clock that is set back, or drifts, shows no suspension', (t) => {
 	const { advance, resumedAt } = createMovableClocks();
 	advance(10, -3_000);
 	t.is(resumedAt(), -Infinity);
@@ -47,7 +48,7 @@
 	}
 });
 
-test('an owner that was suspended starts nothing before the store has shown its epoch in force', async (t) => {
+test('an owner that was suspended starts nothing before the store has confirmed its epoch', async (t) => {
 	const environment = fixtures.createEnvironment(() => ({ ms: 1_000, how: 'done' }));
 	const { clock, fleet } = environment;
 	fleet.add('w1');
--- a/test/unnoted-ends.test.ts
+++ b/test/unnoted-ends.test.ts
@@ -1,22 +1,23 @@
 /**
- * After a zone of workers came back cold, a third of the ends that workers listed was never taken note of. Each report
- * brought new ends, storing them took longer than an answer counted as recent, and so no question named any end.
+ * Guards against exits that are never acknowledged. After the workers of a zone came back cold, this happened to a third of
+ * the exits that they listed. Each report brought new exits, and storing them took longer than an answer counts as recent,
+ * so no poll acknowledged any exit.
  */
 import test from 'ava';
 import * as realBoxes from './fixtures/real-boxes.js';
 import * as fixtures from './fixtures/dispatching.js';
 import type * as workers from '../stand-ins/fleet/workers.js';
 
-/** A job of three tasks is handed in so often, in milliseconds, so that each report brings new ends. */
+/** Interval at which a job of three tasks is submitted, in milliseconds; short enough for each report to bring new exits. */
 const jobIntervalMs = 120;
 
-/** How long jobs are handed in, in milliseconds. */
+/** How long jobs are submitted, in milliseconds. */
 const submitPhaseMs = 8_000;
 
-/** The longest that a report waits beside the writes, in milliseconds (`dispatch/settings.ts`). */
+/** Maximum time that a report waits, apart from the writes, in milliseconds (`dispatch/settings.ts`). */
 const maxReportWaitMs = 1_000;
 
-/** When each end was listed and forgotten, by task and run. */
+/** When each exit was listed and when it was acknowledged, by task and run. */
 class ExitTimes {
 	private readonly listed = new Map<string, number>();
 	private readonly acknowledged = new Map<string, number>();
@@ -39,7 +40,7 @@
 		return this.listed.size;
 	}
 
-	/** Ends that were listed more than `ms` before now and are not noted, or were noted later than that. */
+	/** Exits listed more than `ms` milliseconds ago and not acknowledged, or acknowledged later than that. */
 	overdue(ms: number): string[] {
 		const now = this.now();
 		return [...this.listed]
@@ -49,7 +50,7 @@
 }
 
 for (const writeMs of [50, 150, 250, 350, 500])
-	test(`ends are taken note of while each report brings new ones and a write takes ${String(writeMs)} ms`, async (t) => {
+	test(`exits are acknowledged while each report brings new ones and a write takes ${String(writeMs)} ms`, async (t) => {
 		let now = (): number => 0;
 		const exits = ExitTimes.create(() => now());
 		const environment = fixtures.createEnvironment(() => ({ ms: 200, how: 'done' }), exits.journal);
@@ -64,12 +65,12 @@
 			await environment.clock.pass(jobIntervalMs);
 		}
 		t.true(exits.count > submitPhaseMs / jobIntervalMs);
-		// An end waits for the write under way and for its own.
+		// An exit waits for the write in progress and for its own.
 		t.deepEqual(exits.overdue(2 * writeMs + maxReportWaitMs), []);
 		owner.dispatcher.close();
 	});
 
-test('ends are taken note of while reports wait for the processor of a full owner', async (t) => {
+test('exits are acknowledged while reports wait for the processor of a busy owner', async (t) => {
 	let now = (): number => 0;
 	const exits = ExitTimes.create(() => now());
 	const environment = fixtures.createEnvironment(() => ({ ms: 200, how: 'done' }), exits.journal);
@@ -86,12 +87,12 @@
 		await clock.pass(jobIntervalMs);
 	}
 	t.true(exits.count > submitPhaseMs / jobIntervalMs);
-	// Two reports come late: the one that lists the end, and the one after whose answer it is named.
+	// Two reports come late: the one that lists the exit, and the one after whose answer the exit is acknowledged.
 	t.deepEqual(exits.overdue(2 * store.writeMs + maxReportWaitMs + 2 * fleet.reportDelayMs), []);
 	owner.dispatcher.close();
 });
 
-test('ends are taken note of on a worker that answers no stops while the start of a lost run is in doubt there', async (t) => {
+test('exits are acknowledged on a worker that answers no stops while the start of a lost run is unconfirmed there', async (t) => {
 	let now = (): number => 0;
 	const exits = ExitTimes.create(() => now());
 	const environment = fixtures.createEnvironment(() => ({ ms: 'endless', how: 'done' }), exits.journal);
@@ -103,7 +104,7 @@
 	await clock.pass(1_200);
 	w1.fault = 'silent';
 	await submit(owner, fixtures.job('unanswered', [fixtures.step()]));
-	// Its leases run out, so what ran there has lapsed, and the start that was not answered is in doubt.
+	// The worker's leases expire, so its runs have lapsed, and the start that was not answered is unconfirmed.
 	await clock.pass(fixtures.maxLeaseMs + 2_000);
 	t.is(exits.count, 3);
 	w1.ignoresStops = true;
