--- a/dev/soak/crashing.ts
+++ b/dev/soak/crashing.ts
@@ -1,28 +1,34 @@
-/** Jobs of which the first task crashes each worker that starts it, and what may become of them. */
+/** Jobs whose first task crashes each worker that starts it, and the limits for such tasks. */
 import * as random from '../random.js';
 
-/** This part of the jobs of the fourth set of faults. */
+/** Fraction of the jobs that crash their workers, in the sets of faults that have such jobs. */
 const crashingPart = 0.015;
 
-/** How long after its start such a task brings its worker down, in milliseconds: at once, or beside others that came later. */
+/**
+ * Delay between the start of such a task and the crash of its worker, in milliseconds: at once, or beside tasks that started
+ * later.
+ */
 const crashAfterMs = [10, 900];
 
-/** A worker that was brought down is back after so long, in milliseconds. */
+/** Time after which a crashed worker is back, in milliseconds. */
 export const downMs = 3_000;
 
-/** A task under which so many workers have crashed may be given up (stated by the users). */
+/** Number of workers that have crashed under a task before it may be abandoned (stated by the users). */
 export const crashesBeforeGivingUp = 2;
 
-/** Once so many workers have crashed under such a task, it may be started so often still (stated by the users). */
+/**
+ * Once `crashesBeforeStartLimit` workers have crashed under such a task, it may be started `maxStartsAfterCrashes` more
+ * times (stated by the users).
+ */
 export const crashesBeforeBound = 3;
 export const startsAfterBound = 2;
 
-/** Whether a job has such a task. */
+/** Whether a job's first task crashes its workers. */
 export function isCrashing(job: string): boolean {
 	return random.seeded(random.hash(`${job} crashes`))() < crashingPart;
 }
 
-/** How long after its start a task brings its worker down, in milliseconds; undefined: it does not. */
+/** Delay between the start of a task and the crash of its worker, in milliseconds. Undefined: the task does not crash it. */
 export function crashMsOf(task: string): number | undefined {
 	const [job = ''] = task.split('.');
 	if (!isCrashing(job) || !task.endsWith('.0.0.0')) return undefined;
--- a/dev/soak/main.ts
+++ b/dev/soak/main.ts
@@ -1,4 +1,7 @@
-/** Randomized soak: real boxes as processes, faults from outside, and a judge of what callers and workers see. */
+/**
+ * Command line of the randomized soak: runs real boxes as processes, injects faults from outside and checks what callers and
+ * workers see.
+ */
 import * as childProcess from 'node:child_process';
 import * as cmd from 'cmd-ts';
 import * as fs from 'node:fs';
@@ -6,48 +9,48 @@
 import * as workingOff from '../work-off.js';
 import type * as worlds from './world.js';
 
-/** A seed that once failed, and why; played again in CI. */
+/** A seed that once failed, and the cause. CI runs it again. */
 interface KnownSeed {
 	seed: number;
 	seconds: number;
 	cause: string;
-	/** The set of faults with which it failed; absent: the first. */
+	/** The set of faults with which the seed failed. Absent: the first set. */
 	faults?: worlds.FaultSet;
 }
 
-/** How a seed is played; absent: as it once failed, else as usual. */
+/** How to run a seed. Absent values: as in the run that failed, else the defaults. */
 interface SeedWay {
 	seconds?: number;
 	faults?: worlds.FaultSet;
 }
 
-/** How a seed is played that never failed. */
+/** Settings for a seed that never failed. */
 const newWay: Required<SeedWay> = { seconds: 15, faults: 6 };
 
 /** Exit status of a soak that is ended by a signal. */
 const endedFromOutside = 2;
 
-/** The list of tests that are known to fail; its lines on seeds begin so. */
+/** The list of tests that are known to fail, and the beginning of its lines about seeds. */
 const redFile = 'KNOWN-RED.txt';
 const redSeedLine = /^soak seeds? ([\d, ]+)/gm;
 
-/** Seeds that once failed. */
+/** Reads the seeds that once failed. */
 function knownSeeds(): KnownSeed[] {
 	return JSON.parse(fs.readFileSync('dev/soak/seeds.json', 'utf8')) as KnownSeed[];
 }
 
-/** Of these seeds those that are not known to fail still. */
+/** Returns the seeds that are not listed as failing still. */
 function mendedOf(known: readonly KnownSeed[]): KnownSeed[] {
 	const red = redSeeds();
 	return known.filter(({ seed }) => !red.has(seed));
 }
 
-/** How a seed that once failed is played. */
+/** Settings with which a seed once failed. */
 function wayOf({ seconds, faults = 1 }: KnownSeed): Required<SeedWay> {
 	return { seconds, faults };
 }
 
-/** Seeds that are known to fail, which are passed over. */
+/** Returns the seeds that are known to fail. They are skipped. */
 function redSeeds(): Set<number> {
 	if (!fs.existsSync(redFile)) return new Set();
 	const lines = fs.readFileSync(redFile, 'utf8').matchAll(redSeedLine);
@@ -56,7 +59,7 @@
 	return seeds;
 }
 
-/** Plays seeds one after the other; returns how many of them broke a promise. */
+/** Runs seeds one after the other. Returns how many of them broke a promise. */
 async function soakAll(given: soak.SoakOptions[]): Promise<number> {
 	let broken = 0;
 	for (const opts of given) broken += (await soak.play(opts)).length > 0 ? 1 : 0;
@@ -64,8 +67,8 @@
 }
 
 /**
- * Plays several seeds at once, each in a process of its own, so that no soak's stand-ins hold up another's; returns how
- * many of them broke a promise.
+ * Runs several seeds at once, each in its own process, so that the stand-ins of one soak don't delay those of another.
+ * Returns how many seeds broke a promise.
  */
 async function soakAtOnce(given: soak.SoakOptions[], atOnce: number): Promise<number> {
 	let broken = 0;
@@ -75,7 +78,7 @@
 	return broken;
 }
 
-/** Plays one seed in a process of its own; whether it kept all promises. */
+/** Runs one seed in its own process. Returns whether it kept all promises. */
 function playInProcess(opts: soak.SoakOptions): Promise<boolean> {
 	const { keep, faults, ...numbers } = opts;
 	const flags = Object.entries({ ...numbers, faults }).flatMap(([name, value]) => [
@@ -97,18 +100,18 @@
 }
 
 const seedArg = { type: cmd.number, long: 'seed', description: 'first seed' } as const;
-const seedsArg = { type: cmd.number, long: 'seeds', description: 'how many seeds' } as const;
+const seedsArg = { type: cmd.number, long: 'seeds', description: 'number of seeds' } as const;
 const secondsArg = {
 	type: cmd.number,
 	long: 'seconds',
-	description: 'how long faults are injected, a seed; absent: as the seed is kept, else 15',
+	description: 'how long faults are injected per seed; absent: as recorded for a known seed, else 15',
 } as const;
 
 const faultsArg = {
 	type: cmd.oneOf(['1', '2', '3', '4', '5', '6', '7', '8']),
 	long: 'faults',
 	description:
-		'set of faults, 1 to 5 former ones, 7 and 8 planned stops; absent: as the seed is kept, else 6',
+		'set of faults, 1 to 5 earlier ones, 7 and 8 planned stops; absent: as recorded for a known seed, else 6',
 } as const;
 
 const command = cmd.command({
@@ -122,14 +125,14 @@
 		atOnce: cmd.option({
 			type: cmd.number,
 			long: 'at-once',
-			description: 'seeds played at the same time',
+			description: 'seeds run at the same time',
 			defaultValue: () => 1,
 		}),
-		known: cmd.flag({ long: 'known', description: 'play the seeds that once failed first' }),
+		known: cmd.flag({ long: 'known', description: 'first run the seeds that once failed' }),
 		boxes: cmd.option({ type: cmd.number, long: 'boxes', defaultValue: () => 4 }),
 		workers: cmd.option({ type: cmd.number, long: 'workers', defaultValue: () => 6 }),
 		callers: cmd.option({ type: cmd.number, long: 'callers', defaultValue: () => 4 }),
-		keep: cmd.flag({ long: 'keep', description: 'keep the logs of seeds that break nothing too' }),
+		keep: cmd.flag({ long: 'keep', description: 'also keep the logs of seeds that break no promise' }),
 		logs: cmd.option({ type: cmd.string, long: 'logs', defaultValue: () => 'target/soak' }),
 	},
 	handler: async (given) => {
@@ -150,7 +153,8 @@
 	},
 });
 
-// Without this the plays and their boxes would outlive a soak that is ended from outside.
+// Exits through the `exit` handlers, which kill the seeds' processes and their boxes. Otherwise these would outlive a soak
+// that a signal ends.
 for (const signal of ['SIGTERM', 'SIGINT'] as const)
 	process.once(signal, () => {
 		process.exit(endedFromOutside);
--- a/dev/soak/report.ts
+++ b/dev/soak/report.ts
@@ -1,15 +1,15 @@
-/** What a soak prints: a summary of each seed, and where a promise broke what led to it, as CI keeps no files. */
+/** Prints a summary of each seed and, if a promise was broken, what led to it, as CI keeps no files. */
 import type * as boxes from '../../stand-ins/box-process.js';
 import type * as judges from './judge.js';
 import type * as worlds from './world.js';
 
-/** Lines of the boxes about one broken promise, at most: the newest. */
+/** Maximum number of log lines printed about one subject: the newest. */
 const mostLogged = 60;
 
-/** Broken promises of which the boxes' lines are printed, at most. */
+/** Maximum number of subjects of broken promises whose log lines are printed. */
 const mostExplained = 5;
 
-/** Prints a summary, and each broken promise. */
+/** Prints a summary and each broken promise. */
 export function summarize(
 	seed: number,
 	faults: readonly string[],
@@ -25,7 +25,7 @@
 	for (const one of judge.violations) process.stdout.write(`  ${one.at} s ${one.promise}: ${one.detail}\n`);
 }
 
-/** Prints the faults, and what the boxes logged about whatever the first broken promises name. */
+/** Prints the faults, and the boxes' log lines about the subjects of the first broken promises. */
 export function explain(world: worlds.World, faults: readonly string[], broken: judges.Violation[]): void {
 	for (const fault of faults) process.stdout.write(`    fault at ${fault}\n`);
 	const subjects = new Set(broken.map(({ detail }) => subjectOf(detail)));
@@ -36,12 +36,12 @@
 	}
 }
 
-/** What a broken promise is about: the job, or whatever its text begins with. */
+/** The subject of a broken promise: the job, or whatever its text begins with. */
 function subjectOf(detail: string): string {
 	return /^[\w-]+/.exec(detail)?.[0] ?? detail;
 }
 
-/** Lines of all boxes that name it, in order of time. */
+/** Log lines of all boxes that name the subject, in order of time. */
 function linesAbout(world: worlds.World, subject: string): string[] {
 	const stamped = world.boxes.flatMap((box) => box.lines.flat());
 	const found = stamped.filter((line) => JSON.stringify(line).includes(subject));
--- a/dev/soak/soak.ts
+++ b/dev/soak/soak.ts
@@ -1,4 +1,4 @@
-/** One randomized soak: boxes as processes under faults, callers, and what was judged of it all. */
+/** Runs one randomized soak: boxes as processes, injected faults, callers, and a checker of what callers and workers see. */
 import * as fs from 'node:fs';
 import * as callers from './callers.js';
 import * as clocks from '../../src/core/clock.js';
@@ -13,10 +13,10 @@
 import * as worlds from './world.js';
 import type * as workers from '../../stand-ins/fleet/workers.js';
 
-/** A run takes from so long to so long, in milliseconds, by the set of faults. */
+/** Shortest and longest duration of a run, in milliseconds, by set of faults. */
 const runMs: Record<worlds.FaultSet, { shortest: number; longest: number }> = {
 	1: { shortest: 50, longest: 900 },
-	// Leaves the workers as much to do, with the lasting ones.
+	// Shorter runs make up for the long-running tasks, so that the workers have as much work as in the first set.
 	2: { shortest: 50, longest: 500 },
 	3: { shortest: 50, longest: 500 },
 	4: { shortest: 50, longest: 500 },
@@ -26,23 +26,26 @@
 	8: { shortest: 50, longest: 500 },
 };
 
-/** With the later sets this part of the tasks outlasts a change of the owner: they take from so long to so long. */
+/**
+ * In every set but the first, this fraction of the tasks outlasts a change of the owner. These tasks take between the two
+ * times, in milliseconds.
+ */
 const lastingPart = 0.05;
 const lastingMs = { shortest: 2_000, longest: 6_000 };
 
-/** How often it is looked whether jobs are lost, in milliseconds. */
+/** Interval between checks for lost jobs, in milliseconds. */
 const lookGapMs = 200;
 
-/** Far callers, in the set of planned stops. */
+/** Number of delayed callers in the sets of planned stops. */
 const farCallersCount = 24;
 
-/** Parts of runs that fail by themselves; a task fails three times in a row once in 30,000 tasks. */
+/** Fraction of the runs that fail by themselves. A task fails three times in a row once in 30,000 tasks. */
 const failingPart = 0.03;
 
-/** Attempts that the stand-in's queues give a task. */
+/** Number of attempts that the stand-in's queues give a task. */
 const attempts = 3;
 
-/** Sizes of a soak, and the folder for the logs of one that fails. */
+/** Options of one soak. */
 export interface SoakOptions {
 	seed: number;
 	seconds: number;
@@ -50,12 +53,12 @@
 	workers: number;
 	callers: number;
 	logs: string;
-	/** Whether they are kept also where nothing broke. */
+	/** Whether the logs are kept also if no promise was broken. */
 	keep: boolean;
 	faults: worlds.FaultSet;
 }
 
-/** Plays one seed; returns the broken promises. */
+/** Runs one seed. Returns the promises that it broke. */
 export async function play(opts: SoakOptions): Promise<judges.Violation[]> {
 	const startedAt = clocks.systemClock.now();
 	const seconds = (): number => Math.round((clocks.systemClock.now() - startedAt) / 10) / 100;
@@ -101,13 +104,13 @@
 	return judge.violations;
 }
 
-/** A run that ends by itself. */
+/** Plan of a run that exits by itself. */
 type FinitePlan = workers.RunPlan & { ms: number };
 
-/** How a run goes: the same for every soak with a set of faults. */
+/** Returns the function that plans a run. The plans are the same for every soak with this set of faults. */
 function planFor(faultSet: worlds.FaultSet): (task: string, run: number) => FinitePlan {
 	return (task, run) => {
-		// Never the last attempt: a job that fails by itself is not lost.
+		// Never the last attempt: the job would fail, and callers report a failed job as lost.
 		const fails = random.seeded(random.hash(`${task} ${run}`))() < failingPart && run % attempts === 1;
 		const next = random.seeded(random.hash(task));
 		const isLasting = faultSet !== 1 && random.seeded(random.hash(`${task} lasts`))() < lastingPart;
@@ -117,12 +120,12 @@
 			how: fails ? 'failed' : 'done',
 		};
 		const crashMs = worlds.hasCrashing(faultSet) ? crashing.crashMsOf(task) : undefined;
-		// It works on until it brings its worker down.
+		// Twice the delay of the crash, so that the task still runs when it crashes its worker.
 		return crashMs === undefined ? plan : { ...plan, ms: 2 * crashMs, crashMs };
 	};
 }
 
-/** Writes what the boxes logged, the faults and the broken promises to a folder. */
+/** Writes the boxes' logs, the faults and the broken promises to a folder. */
 function keepLogs(opts: SoakOptions, world: worlds.World, lines: string[], broken: judges.Violation[]): void {
 	const folder = `${opts.logs}/seed-${opts.seed}`;
 	fs.mkdirSync(folder, { recursive: true });
--- a/dev/soak/world.ts
+++ b/dev/soak/world.ts
@@ -1,4 +1,4 @@
-/** The real programs as processes, behind proxies, over the stand-in of the users' platform. */
+/** The environment of a soak: the real programs as processes behind proxies, and the stand-in of the users' platform. */
 import * as boxes from '../../stand-ins/box-process.js';
 import * as clocks from '../../src/core/clock.js';
 import * as crashing from './crashing.js';
@@ -13,37 +13,51 @@
 /** Host of all queues. */
 export const host = 'proofs.example';
 
-/** The queue to which callers hand their jobs in, which is never dropped. */
+/** The queue to which callers submit their jobs. It is never dropped. */
 export const firstQueue = '/jobs/';
 
-/** After trouble at a box ended, nothing with a time bound is asked of it for so long, in milliseconds. */
+/** After a fault at a box has ended, nothing with a time limit is required of the box for this time, in milliseconds. */
 const calmAfterMs = 3_000;
 
-/** The zone of all workers; from so long after its evacuation was stored on, nothing starts there, in milliseconds. */
+/**
+ * The zone of all workers, and the time after its evacuation is stored from which nothing may start there, in milliseconds.
+ */
 const workersZone = 'rennes';
 const evacuateMs = 5_000;
 
-/** Workers of the second set write their entries so often, in milliseconds: as the users' workers do. */
+/**
+ * Interval at which workers write their entries, in milliseconds, in every set but the first. The users' workers have the
+ * same.
+ */
 const heartbeatMs = 1_500;
 
-/** A room that has shrunk counts after so long: a box is in touch again, and has heard a heartbeat. */
+/** Time after which a reduced capacity counts: the box is stable again and has received a heartbeat. */
 const shrunkAfterMs = calmAfterMs + heartbeatMs;
 
-/** The start of a worker's next life differs by so much at most, in milliseconds, and this part of them are smaller. */
+/**
+ * Maximum difference between the start times of two successive incarnations of a worker, in milliseconds, and the fraction
+ * of the start times that are smaller than the previous one.
+ */
 const mostClockStepMs = 5_000;
 const setBackPart = 0.3;
 
-/** An order that a worker leaves unanswered is carried out by then, in milliseconds; no room is promised to such orders. */
+/**
+ * A command that a worker leaves unanswered is carried out within this time, in milliseconds. No capacity is promised to
+ * such commands.
+ */
 const lateOrdersMs = 8_000;
 
 /**
- * Which faults are injected. 1: the former set, which seeds that were found with it go on to play; workers keep one entry
- * that goes when they crash. 2: workers have heartbeats, and entries of dead lives lapse. 3: open connections go silent
- * besides, and queues are added and dropped one after another. 4: some tasks crash their workers besides, and rooms shrink.
- * 5: workers start again under the names that they had.
- * 6: the workers' zone is evacuated now and then besides.
- * 7: planned stops, one box after another, beside little else; some callers are far and leave connections unused.
- * 8: the same without tasks that crash their workers.
+ * Which faults are injected.
+ * 1: the first set, for seeds that were found with it. Workers have one entry, which is removed when they crash.
+ * 2: workers have heartbeats, and the entries of crashed incarnations expire.
+ * 3: besides, open connections stall, and queues are added and dropped one after another.
+ * 4: besides, some tasks crash their workers, and workers' capacity is reduced.
+ * 5: besides, workers restart under the same names.
+ * 6: besides, the workers' zone is evacuated at times.
+ * 7: planned stops, one box after another, and few other faults. Some callers have a network delay and leave
+ *    connections idle.
+ * 8: as 7, without tasks that crash their workers.
  */
 export type FaultSet = 1 | 2 | 3 | 4 | 5 | 6 | 7 | 8;
 
@@ -52,7 +66,7 @@
 	return faults >= 4 && faults !== 8;
 }
 
-/** Whether a set plays far callers. */
+/** Whether a set has delayed callers. */
 export function hasFarCallers(faults: FaultSet): boolean {
 	return faults >= 7;
 }
@@ -60,72 +74,74 @@
 /** A change of a queue. */
 export interface QueueChange {
 	prefix: string;
-	/** Whether it was added, else dropped. */
+	/** Whether the queue was added. Otherwise it was dropped. */
 	exists: boolean;
 	/** Clock time at which the change was stored. */
 	at: number;
 }
 
-/** A box, over all the processes that it has run. */
+/** A box, with all the processes that it has run. */
 export interface SoakBox {
 	name: string;
-	/** Its way to the store. */
+	/** The proxy between the box and the store. */
 	store: proxies.FaultProxy;
 	process: boxes.BoxProcess | undefined;
-	/** The newest of its processes that was stopped as planned; it may have ended since. */
+	/** The newest of its processes that was stopped as planned. It may have ended since. */
 	stopping: boxes.BoxProcess | undefined;
-	/** Counts its processes. */
 	life: number;
-	/** What all its processes logged. */
+	/** Log lines of each of its processes. */
 	lines: boxes.LogLine[][];
-	/** Clock time until which trouble at it lasts. */
+	/** Clock time until which a fault at the box lasts. */
 	troubledUntil: number;
 	/** Clock time until which a planned stop may last. */
 	stoppingUntil: number;
 }
 
-/** Injects one fault, for `forMs` milliseconds if it lasts; says where it was. */
+/** Injects one fault, for `durationMs` milliseconds if it lasts. Returns where it was injected. */
 export type Fault = (world: World, next: () => number, forMs: number) => Promise<string> | string;
 
-/** A worker, over all its lives. */
+/** A worker, with all its incarnations. */
 export interface SoakWorker {
 	id: string;
-	/** Where all its lives listen. */
+	/** Where all its incarnations listen. */
 	address: string;
 	lives: number;
-	/** Since when it holds less than it did, and how much; undefined: it does not. */
+	/**
+	 * The reduced capacity in thousandths of a core, and the clock time since which it holds. Undefined: the capacity is not
+	 * reduced.
+	 */
 	shrunk: { milliCores: number; at: number } | undefined;
-	/** When its newest life says that it started; undefined: it does not tell, and gets a new name with each life. */
+	/** Start time that the newest incarnation reports. Undefined: it reports none, and each incarnation gets a new name. */
 	born: number | undefined;
-	/** Clock time until which orders may be carried out late there. */
+	/** Clock time until which the worker may carry out commands late. */
 	lateUntil: number;
 }
 
-/** Sizes of a soak. */
+/** Options of an environment. */
 export interface WorldOptions {
 	boxes: number;
 	workers: number;
 	judge: judges.Judge;
 	plan: (task: string, run: number) => workers.RunPlan;
 	faults: FaultSet;
-	/** Decides the ids of workers' lives. */
+	/** Decides the ids and start times of workers' incarnations. */
 	next: () => number;
 }
 
-/** Everything that a soak started. */
+/** All processes and servers that a soak starts. */
 export class World {
 	readonly boxes: SoakBox[] = [];
 	readonly workers: SoakWorker[] = [];
-	/** From boxes to workers and to each other. */
+	/** Links from boxes to workers and to each other. */
 	readonly links: linking.Links;
-	/** Prefixes of paths that have a queue; the newest last. */
+	/** Prefixes of paths that have a queue, the newest last. */
 	prefixes = [firstQueue];
 	version = 1;
-	/** The newest change of each queue, by its prefix; the newest of all last. */
+	/** The newest change of each queue by its prefix, the newest of all last. */
 	readonly changes = new Map<string, QueueChange>();
 	/** Clock time from which the workers' zone is evacuated; undefined: it is not. */
 	evacuatedAt: number | undefined;
-	/** Clock time until which the store is in trouble for all. */
+	/** Clock time until which a fault of the store affects all boxes. */
 	storeTroubledUntil = 0;
 	private closing = false;
 
@@ -188,12 +204,12 @@
 		if (this.closing) await started.kill();
 	}
 
-	/** Trouble lasts at a box for so long from now. */
+	/** Records that a fault at a box lasts for `ms` milliseconds from now. */
 	troubled(box: SoakBox, ms: number): void {
 		box.troubledUntil = Math.max(box.troubledUntil, this.now() + ms);
 	}
 
-	/** The box that owned last, as far as the boxes' logs tell; undefined: none, or it has no process. */
+	/** The box that became the owner last, according to the boxes' logs. Undefined: there is none, or it has no process. */
 	owner(): SoakBox | undefined {
 		const generations = this.boxes.map((box) => Math.max(0, ...box.lines.flat().map(generationTaken)));
 		const newest = Math.max(...generations);
@@ -201,25 +217,25 @@
 		return owner?.process === undefined ? undefined : owner;
 	}
 
-	/** Whether a box has been without trouble for a while, the store too. */
+	/** Whether a box has been without a fault for a while, and the store too. */
 	isCalm(box: SoakBox): boolean {
 		const until = Math.max(box.troubledUntil, this.storeTroubledUntil, box.stoppingUntil);
 		return box.process !== undefined && this.now() > until + calmAfterMs;
 	}
 
-	/** Another life of a worker begins at its address. */
+	/** Starts another incarnation of a worker at its address. */
 	replaceWorker(worker: SoakWorker): void {
 		const before = worker.id;
 		const isFormer = this.opts.faults === 1;
 		worker.lives += 1;
-		// What it says of itself anew is what its machine has.
+		// A new incarnation reports the capacity of its machine.
 		worker.shrunk = undefined;
 		worker.id = isFormer ? `${before.split('.')[0] ?? before}.${worker.lives}` : this.newId();
 		const entry = isFormer ? 'dropped' : 'lapsing';
 		this.platform.replaceWorker(before, worker.id, worker.address, entry);
 	}
 
-	/** A worker goes down with what runs there, and is back after a while. */
+	/** Crashes a worker with what runs there. It is back after `downMs` milliseconds. */
 	takeDown(life: workers.FakeWorker, downMs = crashing.downMs): void {
 		const worker = this.workers.find((one) => one.id === life.name);
 		if (worker === undefined || life.dead) return;
@@ -227,7 +243,7 @@
 		this.platform.fleet.takeDown(life);
 		this.platform.silence(worker.id);
 		clocks.systemClock.after(downMs, () => {
-			// Another fault may have brought it back already.
+			// Another fault may have restored the worker already.
 			if (!this.closing && worker.lives === lives) this.bringBack(worker);
 		});
 	}
@@ -237,7 +253,7 @@
 		else this.restartWorker(worker, worker.born);
 	}
 
-	/** A worker starts again under its name; its time of day may have been set back meanwhile. */
+	/** Restarts a worker under its name. Its time of day may have been set back meanwhile. */
 	private restartWorker(worker: SoakWorker, before: number): void {
 		const stepMs = 1 + Math.floor(this.opts.next() * mostClockStepMs);
 		worker.lives += 1;
@@ -246,7 +262,7 @@
 		this.platform.restartWorker(worker.id, worker.address, worker.born);
 	}
 
-	/** A worker holds so much less for a while, as its entry says. */
+	/** Reduces the capacity in a worker's entry for a while. */
 	async shrink(worker: SoakWorker, milliCores: number, forMs: number): Promise<void> {
 		worker.shrunk = { milliCores, at: this.now() };
 		this.platform.resize(worker.id, worker.address, milliCores);
@@ -255,7 +271,7 @@
 		this.platform.resize(worker.id, worker.address, users.workerMilliCores);
 	}
 
-	/** The workers' zone is evacuated for so long. */
+	/** Evacuates the workers' zone for `durationMs` milliseconds. */
 	async evacuate(forMs: number): Promise<void> {
 		this.evacuatedAt = this.now();
 		this.platform.evacuate(workersZone);
@@ -264,20 +280,20 @@
 		this.evacuatedAt = undefined;
 	}
 
-	/** Whether a start may begin at a worker now, as far as evacuations go; orders that are carried out late always may. */
+	/** Whether evacuations allow a start on a worker now. Commands that are carried out late are always allowed. */
 	private mayStartAt(id: string): boolean {
 		const now = this.now();
 		const lateUntil = this.workers.find((one) => one.id === id)?.lateUntil ?? 0;
 		return this.evacuatedAt === undefined || now - this.evacuatedAt <= evacuateMs || now <= lateUntil;
 	}
 
-	/** Orders that are under way to a worker may be carried out late. */
+	/** Records that a worker may carry out late the commands that are on their way to it. */
 	ordersLate(id: string, forMs: number): void {
 		const worker = this.workers.find((one) => one.id === id);
 		if (worker !== undefined) worker.lateUntil = this.now() + forMs + lateOrdersMs;
 	}
 
-	/** What a worker holds, as far as its owner has to know, in thousandths of a core. */
+	/** The capacity of a worker that its owner has to know, in thousandths of a core. */
 	private roomOf(id: string): number {
 		const worker = this.workers.find((one) => one.id === id);
 		const { shrunk, lateUntil = 0 } = worker ?? {};
@@ -292,13 +308,13 @@
 		if (added !== undefined) this.noteChange(added, true);
 	}
 
-	/** Stores a new version of the configuration, with one queue less. */
+	/** Stores a new version of the configuration without one of the queues. */
 	dropQueue(prefix: string): void {
 		this.changeQueues(this.prefixes.filter((one) => one !== prefix));
 		this.noteChange(prefix, false);
 	}
 
-	/** Ends every process that was started here, and every server. */
+	/** Ends all processes and servers of the environment. */
 	async close(): Promise<void> {
 		this.closing = true;
 		const running = this.boxes.flatMap((box) => box.process ?? []);
@@ -315,7 +331,8 @@
 	}
 
 	private noteChange(prefix: string, exists: boolean): void {
-		// A map keeps the place of a key that it has: a queue that is changed again would stay among the oldest.
+		// A map keeps the position of a key that it has. Without this, a queue that is changed again would stay among the
+		// oldest.
 		this.changes.delete(prefix);
 		this.changes.set(prefix, { prefix, exists, at: this.now() });
 	}
@@ -330,7 +347,7 @@
 		this.workers.push({ id, address, lives: 1, shrunk: undefined, lateUntil: 0, born });
 	}
 
-	/** A new life's id, which may sort before or after that of the one before it. */
+	/** Returns the id of a new incarnation, which may sort before or after the id of the previous one. */
 	private newId(): string {
 		const number = Math.floor(this.opts.next() * 0x1_0000_0000);
 		return `i-${number.toString(16).padStart(8, '0')}`;
@@ -347,7 +364,7 @@
 	return Array.from({ length: count }, (_, index) => `entry-${index + 1}`);
 }
 
-/** The generation in which a box says that it owns; 0: another line. */
+/** The generation in which a box became the owner according to this line. 0: the line is about something else. */
 function generationTaken(line: boxes.LogLine): number {
 	return line.name === 'owner.taken' ? Number(line.fields.generation) : 0;
 }
