--- a/dev/soak/box-client.ts
+++ b/dev/soak/box-client.ts
@@ -1,19 +1,19 @@
-/** HTTP as callers speak it to boxes; connections stay open as long as a box's process lives. */
+/** HTTP client that callers use for boxes. Connections stay open as long as a box's process lives. */
 import * as undici from 'undici';
 import * as random from '../random.js';
 import * as worlds from './world.js';
 import type * as judges from './judge.js';
 
-/** A caller waits so long for an answer, in milliseconds. */
+/** How long a caller waits for an answer, in milliseconds. */
 const patienceMs = 3_000;
 
-/** Connections to one process. */
+/** Maximum number of connections to one process. */
 const connections = 4;
 
-/** Errors of connections that the kernel of the other side resets. */
+/** Error codes of connections that the kernel of the other side resets. */
 const resetCodes = new Set(['ECONNRESET', 'EPIPE']);
 
-/** What came of one request: a status, or none. */
+/** Outcome of one request. An undefined `status` means that there was no answer. */
 export interface Reply {
 	status: number | undefined;
 	body: Record<string, unknown>;
@@ -21,11 +21,10 @@
 
 type Method = 'GET' | 'POST' | 'DELETE';
 
-/** What a client uses. */
 export interface BoxClientOptions {
 	world: Pick<worlds.World, 'boxes' | 'now'>;
 	judge: judges.Judge;
-	/** Decides which box is asked. */
+	/** Decides which box gets a request. */
 	next: () => number;
 }
 
@@ -39,7 +38,7 @@
 		return new BoxClient(opts);
 	}
 
-	/** One request to one box. */
+	/** Sends one request to one box. */
 	async send(box: worlds.SoakBox, method: Method, path: string, body?: object): Promise<Reply> {
 		const { world, judge } = this.opts;
 		const { process } = box;
@@ -64,7 +63,7 @@
 			return { status: res.statusCode, body: parse(await res.body.text()) };
 		} catch (err) {
 			const { code = '' } = err as NodeJS.ErrnoException;
-			// A planned stop of the very process that was asked closed its connection.
+			// A planned stop of the process that got this request closed its connection.
 			if (box.stopping === process && isCutOff(code, writtenAt !== undefined)) {
 				const writtenMs = writtenAt === undefined ? 'never' : `${Math.round(world.now() - writtenAt)} ms ago`;
 				const sentMs = Math.round(world.now() - sentAt);
@@ -79,7 +78,7 @@
 		await Promise.all([...this.pools.values()].map((pool) => pool.destroy()));
 	}
 
-	/** One request to any box. */
+	/** Sends one request to any box. */
 	sendAnywhere(method: Method, path: string, body?: object): Promise<Reply> {
 		return this.send(random.pick(this.opts.next, this.opts.world.boxes), method, path, body);
 	}
@@ -94,14 +93,17 @@
 }
 
 /**
- * Whether a request that failed so was cut off. A connection that is reset before anything was written to it is refused, as
- * one that finds no listener: the caller knows that the request was never sent.
+ * Whether a request that failed with `code` was cut off. A connection that is reset before anything was written to it counts
+ * as refused, like one that finds no listener: the caller knows that the request was never sent.
  */
 export function isCutOff(code: string, isWritten: boolean): boolean {
 	return code === 'UND_ERR_SOCKET' || (isWritten && resetCodes.has(code));
 }
 
-/** Tells when a request is written to its connection: until then it waits in the pool, and no box knows of it. */
+/**
+ * Calls `onWrite` when a request is written to its connection. Until then the request waits in the pool, and no box knows of
+ * it.
+ */
 function noteWrite(onWrite: () => void): undici.Dispatcher.DispatcherComposeInterceptor {
 	return (dispatch) => (opts, handler) => {
 		const noting: undici.Dispatcher.DispatchHandler = new undici.DecoratorHandler(handler);
--- a/dev/soak/box-faults.ts
+++ b/dev/soak/box-faults.ts
@@ -2,31 +2,34 @@
 import * as random from '../random.js';
 import type * as worlds from './world.js';
 
-/** Where a fault was that was not injected after all. */
+/** Location of a fault that was not injected after all. */
 export const nowhere = 'none';
 
-/** A killed process starts again after so long, in milliseconds. */
+/** Delay before a killed process is started again, in milliseconds. */
 const restartMs = 400;
 
-/** A planned stop that lasts longer is killed: the grace that `box-process.ts` tells boxes, in milliseconds. */
+/** A planned stop that takes longer than this is killed, in milliseconds. `box-process.ts` gives boxes the same grace. */
 const graceMs = 3_000;
 
-/** A box that has just started anew is given so long, in milliseconds. */
+/** For this time after its start, a box counts as having a fault, in milliseconds. */
 const settleStartMs = 1_500;
 
-/** A series of planned stops has so many at most. */
+/** Maximum number of planned stops in a series. */
 const mostStops = 4;
 
-/** An owner is killed so often in a row at most. */
+/** Maximum number of times in a row that an owner is killed. */
 const mostKills = 3;
 
-/** From so long to so long after an owner's restart the box that owns then is killed, in milliseconds. */
+/**
+ * Bounds of the delay between the restart of an owner and the next kill, in milliseconds. The kill hits the box that is the
+ * owner by then.
+ */
 const leastOwnedMs = 300;
 const mostOwnedMs = 2_000;
 
 /**
- * In this part of these faults the others don't reach the store until so long after the restart, in milliseconds: until
- * the lease of the process that was killed (2 s) has run out and the new one has taken over.
+ * In this fraction of these faults, the other boxes don't reach the store until this time after the restart, in
+ * milliseconds. By then the lease of the killed process (2 s) has expired and the new process has taken over.
  */
 const alonePart = 0.4;
 const aloneMs = 2_200;
@@ -40,8 +43,8 @@
 }
 
 /**
- * Kills the box that owns, and the one that owns then, some times in a row. Now and then the others don't reach the store
- * meanwhile, so that the box that was killed owns again.
+ * Kills the owner, and then the box that is the owner by then, a few times in a row. At times the other boxes don't reach
+ * the store meanwhile, so that the killed box becomes the owner again.
  */
 export async function killOwner(world: worlds.World, next: () => number): Promise<string> {
 	const times = random.between(next, 1, mostKills);
@@ -49,7 +52,7 @@
 	const killed: string[] = [];
 	for (let time = 0; time < times; time += 1) {
 		const owner = world.owner();
-		// A box that is in trouble already may be the last one left, or be started anew by another fault.
+		// A box that already has a fault may be the last one left, or another fault may be restarting it.
 		if (owner !== undefined && isSound(world, owner)) {
 			const others = world.boxes.filter((box) => isAlone && box !== owner);
 			const lifts = others.map((box) => box.store.trouble({ kind: 'freeze' }));
@@ -64,7 +67,7 @@
 	return killed.length === 0 ? nowhere : killed.join(', ');
 }
 
-/** Stops a box as planned and starts it anew; killed if it takes longer than its grace. */
+/** Stops a box as planned and starts it again. Kills it if the stop takes longer than its grace. */
 export async function stop(world: worlds.World, next: () => number): Promise<string> {
 	const box = pickSound(world, next);
 	if (box?.process === undefined) return nowhere;
@@ -79,7 +82,7 @@
 	return box.name;
 }
 
-/** Stops boxes as planned, one after another: each as the one before it serves again. */
+/** Stops boxes as planned, one after another: each once the previous one serves again. */
 export async function stopInSeries(world: worlds.World, next: () => number): Promise<string> {
 	const times = random.between(next, 2, mostStops);
 	const stopped: string[] = [];
@@ -87,7 +90,7 @@
 	return stopped.join(', ');
 }
 
-/** Lets a box's process stand still. */
+/** Suspends a box's process. */
 export async function pause(world: worlds.World, next: () => number, forMs: number): Promise<string> {
 	const box = pickSound(world, next);
 	if (box?.process === undefined) return nowhere;
@@ -99,13 +102,13 @@
 	return box.name;
 }
 
-/** A box without trouble of its own; undefined: the last such box is left alone. */
+/** Picks a box without a fault of its own. Undefined: at most one such box is left, which gets no fault. */
 export function pickSound(world: worlds.World, next: () => number): worlds.SoakBox | undefined {
 	const sound = world.boxes.filter((box) => isSound(world, box));
 	return sound.length > 1 ? random.pick(next, sound) : undefined;
 }
 
-/** Kills a box's process and starts another a little later. */
+/** Kills a box's process and starts another after a delay. */
 async function restart(world: worlds.World, box: worlds.SoakBox): Promise<void> {
 	world.troubled(box, restartMs + settleStartMs);
 	await box.process?.kill();
--- a/dev/soak/callers.ts
+++ b/dev/soak/callers.ts
@@ -1,39 +1,39 @@
-/** Callers: hand jobs in, ask for them, cancel some. */
+/** Callers that submit jobs, poll them and cancel some. */
 import * as crypto from 'node:crypto';
 import * as clients from './box-client.js';
 import * as random from '../random.js';
 import type * as judges from './judge.js';
 import * as worlds from './world.js';
 
-/** Between two jobs of a caller, and two questions for one, in milliseconds. */
+/** Interval between two jobs of a caller, and between two polls of a job, in milliseconds. */
 const betweenJobsMs = 250;
 const betweenQuestionsMs = 200;
 
-/** Tries to hand a job in, before a caller that was only ever turned away gives up. */
+/** Number of attempts to submit a job after which a caller gives up, if all of them were turned away. */
 const mostTries = 8;
 
-/** Parts of the jobs that are to be cancelled, and of the questions before which that is done. */
+/** Fraction of the jobs that are to be cancelled, and of the polls of such a job before which the caller cancels it. */
 const cancelledPart = 0.08;
 const cancelNowPart = 0.3;
 
-/** How long after a change of the configuration every calm box has to know it, in milliseconds. */
+/** Time after a change of the configuration within which every stable box has to know it, in milliseconds. */
 const configurationMs = 2_000;
 
-/** Changes of queues that are asked for in turn: older ones every box has told of often enough. */
+/** Maximum number of queue changes that are checked in a round. Every box has been asked about older ones often enough. */
 const changesAsked = 5;
 
-/** What all callers share. */
+/** Options that all callers share. */
 export interface CallersOptions {
 	world: worlds.World;
 	judge: judges.Judge;
 	next: () => number;
-	/** Clock time until which new jobs are handed in. */
+	/** Clock time until which new jobs are submitted. */
 	until: number;
-	/** Whether nobody need wait for open jobs any longer. */
+	/** Whether callers need not wait for open jobs any longer. */
 	isOver: () => boolean;
 }
 
-/** One caller, until the time is over and all its jobs have ended, or nobody need wait for them. */
+/** Runs one caller until the time is over and all its jobs have ended, or it need not wait for them any longer. */
 export async function call(opts: CallersOptions): Promise<void> {
 	const client = clients.BoxClient.create(opts);
 	const open: Promise<void>[] = [];
@@ -45,7 +45,7 @@
 	await client.close();
 }
 
-/** Asks every calm box again and again whether it knows the newest changes of queues. */
+/** Polls every stable box to check that it knows the newest changes of queues. */
 export async function watchConfiguration(opts: CallersOptions): Promise<void> {
 	const { world } = opts;
 	const client = clients.BoxClient.create(opts);
@@ -58,7 +58,7 @@
 	await client.close();
 }
 
-/** Asks one box, if it is calm, for a queue that was changed long enough ago. */
+/** Checks whether a box, if it is stable, knows a change of a queue that was made long enough ago. */
 async function askForQueue(
 	opts: CallersOptions,
 	client: clients.BoxClient,
@@ -67,14 +67,14 @@
 ): Promise<void> {
 	const { world, judge } = opts;
 	const { prefix, exists } = change;
-	// It was changed again, or the box got into trouble, while others were asked.
+	// The queue was changed again, or the box got a fault, while other boxes were asked.
 	if (world.changes.get(prefix) !== change || !world.isCalm(box)) return;
 	const { status } = await client.send(box, 'GET', prefix);
 	if (status === 404 && exists) judge.report('configuration', `${box.name} does not know ${prefix}`);
 	if (status === 200 && !exists) judge.report('configuration', `${box.name} still knows ${prefix}`);
 }
 
-/** Hands one job in and follows it to its end. */
+/** Submits one job and polls it until it ends. */
 async function follow(opts: CallersOptions, client: clients.BoxClient): Promise<void> {
 	const { world, judge, next } = opts;
 	const job = makeJob(next);
@@ -97,7 +97,7 @@
 	}
 }
 
-/** Hands a job in, again and again while it may not be kept; false: given up. */
+/** Submits a job, and repeats this while it may not be stored. False: the caller gave up. */
 async function submit(
 	opts: CallersOptions,
 	client: clients.BoxClient,
@@ -118,13 +118,13 @@
 	return false;
 }
 
-/** Cancels a job; it counts as cancelled unless an answer says that it is not. */
+/** Cancels a job. It counts as cancelled unless an answer says that it is not. */
 async function cancel(client: clients.BoxClient, job: judges.SoakJob): Promise<void> {
 	const reply = await client.sendAnywhere('DELETE', `${worlds.firstQueue}${job.id}`);
 	job.cancelled = reply.status === 200 || reply.status === undefined || reply.status === 504;
 }
 
-/** A job's steps on the wire. */
+/** The steps of a job in wire format. */
 function spellSteps(job: judges.SoakJob): object[] {
 	return job.steps.map((step) => ({
 		count: step.tasks,
@@ -135,7 +135,7 @@
 	}));
 }
 
-/** A job of one to three steps in a row. */
+/** Makes a job of one to three steps in sequence. */
 function makeJob(next: () => number): judges.SoakJob {
 	const id = crypto.randomBytes(8).toString('hex');
 	const steps = Array.from({ length: random.between(next, 1, 3) }, (_, number) => ({
--- a/dev/soak/far-callers.ts
+++ b/dev/soak/far-callers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers with some delay to the boxes that leave their connections unused for a while: before the first request, or
- * between two. What is on its way when a box ends such a connection is where planned stops can cut requests off.
+ * Callers with a network delay to the boxes that leave their connections idle for a while: before the first request, or
+ * between two. Planned stops can cut off requests that are on their way when a box ends such a connection.
  */
 import * as net from 'node:net';
 import * as listening from '../../src/cli/box/listening.js';
@@ -9,18 +9,21 @@
 import type * as judges from './judge.js';
 import * as worlds from './world.js';
 
-/** From a caller to a box, one way, in milliseconds: of one that is near, and of one that is far. */
+/** One-way delays from a caller to a box, in milliseconds, from a near caller to a far one. */
 const delaysMs = [0, 20, 40];
 
-/** A connection is left unused for so long at most before its first request, and from so long to so long between two, in milliseconds. */
+/**
+ * Maximum idle time of a connection before its first request, and bounds of its idle time between two requests, in
+ * milliseconds.
+ */
 const mostAheadMs = 3_000;
 const leastPauseMs = 300;
 const mostPauseMs = 4_000;
 
-/** A caller waits so long for an answer, in milliseconds. */
+/** How long a caller waits for an answer, in milliseconds. */
 const patienceMs = 3_000;
 
-/** What the callers share. */
+/** Options that all delayed callers share. */
 export interface FarCallersOptions {
 	world: worlds.World;
 	judge: judges.Judge;
@@ -29,10 +32,10 @@
 	until: number;
 }
 
-/** How a request ended. `cut`: its connection ended without a whole answer. */
+/** Outcome of a request. `cut`: its connection ended without a complete answer. */
 type Outcome = 'answered' | 'cut' | 'no-answer';
 
-/** One caller, one connection after another, until the time is over. */
+/** Runs one caller until the time is over, with one connection after another. */
 export async function call(opts: FarCallersOptions): Promise<void> {
 	const { world, next, until } = opts;
 	const delayMs = random.pick(next, delaysMs);
@@ -45,7 +48,7 @@
 	}
 }
 
-/** Sends requests over one connection, with pauses, until the other side ends it. */
+/** Sends requests over one connection, with idle times between them, until the other side ends it. */
 async function useConnection(
 	opts: FarCallersOptions,
 	box: worlds.SoakBox,
@@ -64,9 +67,9 @@
 	connection.close();
 }
 
-/** A connection on which everything takes a while, either way. */
+/** A connection with a delay in each direction. */
 class FarConnection {
-	/** Whether its end has reached the caller. */
+	/** Whether the end of the connection has reached the caller. */
 	hasEnded = false;
 	private received = '';
 	private isAsking = false;
@@ -77,9 +80,9 @@
 		readonly delayMs: number,
 	) {}
 
-	/** Undefined: the address takes no connection. */
+	/** Connects to an address. Undefined: the address accepts no connection. */
 	static create(address: string, delayMs: number): Promise<FarConnection | undefined> {
-		// What a far caller sends may still arrive after the other side has ended the connection.
+		// What a delayed caller sends may still arrive after the other side has ended the connection.
 		const socket = net.connect({ ...listening.toListenOptions(address), allowHalfOpen: true });
 		const connection = new FarConnection(socket, delayMs);
 		return new Promise((resolve) => {
@@ -123,11 +126,12 @@
 
 	private take(text: string): void {
 		this.received += text;
-		// What comes without a request is no answer to the next one, and the connection is not to be used any more (RFC 9112, 9.2).
+		// Data that arrives without a request is no answer to the next one, and the connection must not be used any more
+		// (RFC 9112, 9.2).
 		if (!this.isAsking) this.hasEnded = true;
 	}
 
-	/** Does something once it has come the whole way to the caller. */
+	/** Calls `fn` after the delay to the caller, and then `notify`. */
 	private later(fn: () => void): void {
 		setTimeout(() => {
 			fn();
@@ -135,7 +139,7 @@
 		}, this.delayMs);
 	}
 
-	/** Resolves once something has reached the caller, after `mostMs` at the latest. */
+	/** Resolves once something has reached the caller, after `timeoutMs` at the latest. */
 	private change(mostMs: number): Promise<void> {
 		return new Promise((resolve) => {
 			const timer = setTimeout(resolve, mostMs);
@@ -147,7 +151,7 @@
 	}
 }
 
-/** Whether a text holds an answer with all of its body. */
+/** Whether a text holds an answer with its complete body. */
 function isWhole(text: string): boolean {
 	const [head = '', body] = text.split('\r\n\r\n', 2);
 	const length = /^content-length: (\d+)/im.exec(head)?.[1];
--- a/dev/soak/faults.ts
+++ b/dev/soak/faults.ts
@@ -1,4 +1,6 @@
-/** Faults from outside the processes, in an order that the seed decides; they overlap and come in series. */
+/**
+ * Faults that are injected from outside the processes, in an order that the seed decides. They overlap and come in series.
+ */
 import * as boxFaults from './box-faults.js';
 import * as linkFaults from './link-faults.js';
 import * as random from '../random.js';
@@ -6,31 +8,37 @@
 import type * as workers from '../../stand-ins/fleet/workers.js';
 import * as worlds from './world.js';
 
-/** Between two faults, in milliseconds: several are under way at most times. */
+/** Interval between the starts of two faults, in milliseconds. Several faults are under way at most times. */
 const leastGapMs = 150;
 const mostGapMs = 1_100;
 
-/** How long one lasts, in milliseconds: from a hiccup to twice the owner's lease and the horizon. */
+/**
+ * Duration of a fault, in milliseconds: from a short interruption to more than twice the owner's lease and more than the
+ * renewal horizon.
+ */
 const leastMs = 200;
 const mostMs = 6_000;
 
 /**
- * With the later sets this part of the faults of links and pauses of boxes outlasts a lease (10 s): from just below one to
- * beyond a lease and the horizon that a successor waits for (13.4 s); in milliseconds.
+ * In every set but the first, this fraction of the link faults and pauses of boxes outlasts a worker's lease (10 s). They
+ * last from just below a lease to beyond a lease and the horizon that a successor waits for (13.4 s), in milliseconds.
  */
 const longPart = 0.25;
 const leastLongMs = 9_000;
 const mostLongMs = 18_000;
 
-/** Faults that may last so long. */
+/** Names of the faults that may last that long. */
 const mayBeLong = /-link-|^box-paused$/;
 
-/** A series of changes of queues has so many at most, so far apart at most in milliseconds, this part of them drops. */
+/**
+ * A series of queue changes: its maximum number of changes, the maximum interval between two of them in milliseconds, and
+ * the fraction of the changes that drop a queue.
+ */
 const mostChanges = 5;
 const mostBetweenChangesMs = 900;
 const droppedPart = 0.4;
 
-/** The first set; a seed picks by the order. */
+/** The first set. Keep the order: a seed picks faults by position. */
 const formerFaults: Record<string, worlds.Fault> = {
 	'box-killed': boxFaults.kill,
 	'box-stopped': boxFaults.stop,
@@ -54,7 +62,7 @@
 	'worker-clock-slow': (world, next) => {
 		const worker = random.pick(next, world.workers);
 		const life = world.platform.fleet.workers.get(worker.id);
-		// The slowest that is stated of the users' workers.
+		// The slowest clock rate that is stated for the users' workers.
 		if (life !== undefined) life.rate = 0.98;
 		return worker.id;
 	},
@@ -83,7 +91,7 @@
 /** The fourth set. */
 const fourthFaults: Record<string, worlds.Fault> = { ...thirdFaults, 'worker-shrunk': workerFaults.shrink };
 
-/** The set of planned stops. */
+/** The faults of the sets of planned stops. */
 const stopFaults: Record<string, worlds.Fault> = {
 	'box-stopped': boxFaults.stop,
 	'boxes-stopped': boxFaults.stopInSeries,
@@ -92,7 +100,7 @@
 	'store-loses-answers': (world, _next, forMs) => storeFault(world, forMs, 'lost'),
 };
 
-/** What may be injected, by set. */
+/** The faults that may be injected, by set. */
 const faultSets: Record<worlds.FaultSet, Record<string, worlds.Fault>> = {
 	1: formerFaults,
 	2: secondFaults,
@@ -104,7 +112,7 @@
 	8: stopFaults,
 };
 
-/** Injects faults until `until` (clock time), and resolves once the last has ended. */
+/** Injects faults until `until` (clock time). Resolves once the last fault has ended. */
 export async function inject(
 	world: worlds.World,
 	next: () => number,
@@ -122,7 +130,7 @@
 	await Promise.all(open);
 }
 
-/** How long a fault lasts; none goes on for longer after `until` than a short one could. */
+/** Duration of a fault, in milliseconds. No fault goes on for longer after `until` than a short one could. */
 function lastsMs(world: worlds.World, next: () => number, name: string, until: number): number {
 	const shortMs = random.between(next, leastMs, mostMs);
 	if (world.faults === 1) return shortMs;
@@ -145,7 +153,7 @@
 	if (at !== boxFaults.nowhere) log(`${name} at ${at ?? ''} for ${Math.round(world.now() - startedAt)} ms`);
 }
 
-/** Adds and drops queues one after another, within a time in which one change has to be known. */
+/** Adds and drops queues one after another, at intervals shorter than the time in which boxes have to know a change. */
 async function changeQueues(world: worlds.World, next: () => number): Promise<string> {
 	const times = random.between(next, 2, mostChanges);
 	const names: string[] = [];
--- a/dev/soak/judge.ts
+++ b/dev/soak/judge.ts
@@ -1,4 +1,4 @@
-/** What must hold whatever is injected, judged by what callers see and by what workers carry out. */
+/** Checks what must hold under any fault, from what callers see and what workers carry out. */
 import * as crashing from './crashing.js';
 import * as jobs from '../../src/core/jobs/index.js';
 import type * as fleet from '../../src/core/fleet/types.js';
@@ -36,14 +36,17 @@
 export interface SoakJob {
 	id: string;
 	steps: SoakStep[];
-	/** Some answer said that it is kept. */
+	/** An answer confirmed that the job is accepted. */
 	accepted: boolean;
-	/** Some attempt got no answer, or one that leaves open what became of it. */
+	/** An attempt got no answer, or an answer that leaves its outcome open. */
 	unknown: boolean;
 	cancelled: boolean;
 	completed: boolean;
 	failed: boolean;
-	/** Seconds, as the judge counts them: when it was first sent, accepted, and when something of it started or ended. */
+	/**
+	 * Times in seconds, as the checker counts them: when the job was first sent, when it was accepted, and when one of its
+	 * runs last started or exited.
+	 */
 	sentAt: number;
 	acceptedAt: number;
 	movedAt: number;
@@ -56,27 +59,30 @@
 	milliCores: number;
 }
 
-/** Takes note of everything that callers and workers see. */
+/** Records and checks everything that callers and workers see. */
 export class Judge implements workers.FleetJournal {
 	readonly violations: Violation[] = [];
 	private readonly jobs = new Map<string, SoakJob>();
-	/** Tasks of which a run is done. */
+	/** Tasks that have a run that is done. */
 	private readonly done = new Set<string>();
-	/** Those whose end a worker has forgotten, as the boxes asked. */
+	/** Done tasks whose exit a worker no longer lists, as the boxes acknowledged it. */
 	private readonly doneForgotten = new Set<string>();
 	private readonly startedJobs = new Set<string>();
-	/** Runs that go on, as the workers know them; set once there are workers. */
+	/** The runs under way, according to the workers. Set once there are workers. */
 	running: () => { worker: string; task: string }[] = () => [];
-	/** Told of each start of a job's task, and what it asks for in thousandths of a core. */
+	/** Called for each start of a job's task, with the task's demand in thousandths of a core. */
 	onStart: (job: SoakJob, milliCores: number) => void = () => undefined;
-	/** What a worker holds now, in thousandths of a core. */
+	/** The capacity of a worker now, in thousandths of a core. */
 	roomOf: (worker: string) => number = () => Infinity;
-	/** Whether something may start at a worker now: its zone may be evacuated. */
+	/** Whether a task may start on a worker now: the worker's zone may be evacuated. */
 	mayStartAt: (worker: string) => boolean = () => true;
-	/** Workers that went down under a task, and its starts after the last that is put up with. */
+	/**
+	 * For each task, the number of workers that crashed under it, and the number of its starts after
+	 * `crashesBeforeStartLimit` crashes.
+	 */
 	private readonly crashes = new Map<string, { count: number; startsAfter: number }>();
 	starts = 0;
-	/** When something last started or ended, in seconds from the start. */
+	/** When a run last started or exited, in seconds from the start of the soak. */
 	movedAt = 0;
 
 	private constructor(
@@ -84,23 +90,23 @@
 		private readonly hasCrashing: boolean,
 	) {}
 
-	/** `now`: seconds from the start; `hasCrashing`: some jobs bring their workers down. */
+	/** `now` returns the seconds from the start of the soak. `hasCrashingJobs`: some jobs crash their workers. */
 	static create(now: () => number, hasCrashing: boolean): Judge {
 		return new Judge(now, hasCrashing);
 	}
 
-	/** Whether a job brings its workers down, and may be given up. */
+	/** Whether a job crashes its workers, and may be abandoned. */
 	isCrashing(job: SoakJob): boolean {
 		return this.hasCrashing && crashing.isCrashing(job.id);
 	}
 
-	/** Whether a job may be shown as failed: enough workers went down under one of its tasks. */
+	/** Whether a job may be shown as failed: enough workers crashed under one of its tasks. */
 	mayFail(job: SoakJob): boolean {
 		const counts = taskNames(job).map((name) => this.crashes.get(name)?.count ?? 0);
 		return this.hasCrashing && Math.max(...counts) >= crashing.crashesBeforeGivingUp;
 	}
 
-	/** A worker went down while these tasks ran there. */
+	/** Records that a worker crashed while these tasks ran there. */
 	crashed(tasks: string[]): void {
 		for (const task of tasks) {
 			const known = this.crashes.get(task) ?? { count: 0, startsAfter: 0 };
@@ -108,13 +114,13 @@
 		}
 	}
 
-	/** A caller is about to hand a job in. */
+	/** Records a job that a caller is about to submit. */
 	sent(job: SoakJob): void {
 		job.sentAt = this.now();
 		this.jobs.set(job.id, job);
 	}
 
-	/** An answer said that a job is kept. */
+	/** Records an answer that confirms that a job is accepted. */
 	accepted(job: SoakJob): void {
 		job.accepted = true;
 		job.acceptedAt = this.now();
@@ -135,7 +141,10 @@
 		);
 	}
 
-	/** Least of what the tasks of a job ask for whose turn has come and that don't run, in thousandths of a core; none: infinite. */
+	/**
+	 * The smallest demand among the tasks of a job that are ready and not running, in thousandths of a core. Infinity: there
+	 * is none.
+	 */
 	leastWaiting(job: SoakJob): number {
 		const running = new Set(this.running().map((one) => one.task));
 		const open = this.openTasks(job);
@@ -145,17 +154,17 @@
 		return Math.min(...waiting.map((task) => task.milliCores));
 	}
 
-	/** What all that runs takes, in thousandths of a core. */
+	/** Total demand of all runs, in thousandths of a core. */
 	usedMilliCores(): number {
 		return this.running().reduce((sum, one) => sum + this.milliCoresOf(one.task), 0);
 	}
 
-	/** All jobs that were handed in. */
+	/** All jobs that were submitted. */
 	all(): SoakJob[] {
 		return [...this.jobs.values()];
 	}
 
-	/** A caller was told that a job has completed. */
+	/** Records that a caller got the answer that a job has completed, and checks it. */
 	toldCompleted(job: SoakJob): void {
 		job.completed = true;
 		const open = taskNames(job).filter((name) => !this.done.has(name));
@@ -188,7 +197,7 @@
 		if (end.how === 'done') this.doneForgotten.add(end.task);
 	}
 
-	/** What can only be judged once everything has settled. */
+	/** Checks what can be checked only once nothing changes any more. */
 	atEnd(): void {
 		for (const job of this.jobs.values()) {
 			const isRefused = !job.accepted && !job.unknown;
@@ -196,7 +205,7 @@
 		}
 	}
 
-	/** Notes a broken promise. */
+	/** Records a broken promise. */
 	report(promise: Violation['promise'], detail: string): void {
 		this.violations.push({ at: this.now(), promise, detail });
 	}
--- a/dev/soak/link-faults.ts
+++ b/dev/soak/link-faults.ts
@@ -4,21 +4,21 @@
 import type * as proxies from '../../stand-ins/proxy/index.js';
 import type * as worlds from './world.js';
 
-/** A slow link delays what goes over it by so long, in milliseconds. */
+/** Bounds of the delay on a slow link, in milliseconds. */
 const leastDelayMs = 20;
 const mostDelayMs = 300;
 
-/** A box that can't reach all workers can't reach this part of them. */
+/** Fraction of the workers that a box can't reach in a `third-link` fault. */
 const partOfWorkers = 1 / 3;
 
-/** Links that get a fault together, and where that is; undefined: nowhere. */
+/** Picks the links that get a fault together, and describes where they are. Undefined: no fault is injected. */
 type Pick = (
 	world: worlds.World,
 	next: () => number,
 	forMs: number,
 ) => { where: string; proxies: proxies.FaultProxy[] } | undefined;
 
-/** One box's way to the store. */
+/** The link of one box to the store. */
 export const storeFaults = linkFaults('store-link', (world, next, forMs) => {
 	const box = boxFaults.pickSound(world, next);
 	if (box === undefined) return undefined;
@@ -26,13 +26,13 @@
 	return { where: box.name, proxies: [box.store] };
 });
 
-/** The ways of all boxes to one worker. */
+/** The links of all boxes to one worker. */
 export const workerFaults = linkFaults('worker-link', (world, next) => {
 	const worker = random.pick(next, world.workers);
 	return { where: worker.id, proxies: world.links.to(worker.address).map((link) => link.proxy) };
 });
 
-/** Ways that break for one box alone. */
+/** Links that fail for one box alone. */
 export const pairFaults = {
 	...linkFaults('pair-link', (world, next) => {
 		const box = pickBox(world, next);
@@ -73,7 +73,7 @@
 	},
 };
 
-/** Every way in which links go wrong. */
+/** Returns the faults of a kind of link: one for each way in which it can fail. */
 function linkFaults(link: string, pick: Pick): Record<string, worlds.Fault> {
 	const fault =
 		(modeFor: (next: () => number) => proxies.ProxyMode): worlds.Fault =>
@@ -112,7 +112,7 @@
 	lift();
 }
 
-/** Any box, or as often the one that owns: only its links to workers are in use until another takes over. */
+/** Picks any box or, equally often, the owner: only the owner's links to workers are in use until another box takes over. */
 function pickBox(world: worlds.World, next: () => number): worlds.SoakBox {
 	const any = random.pick(next, world.boxes);
 	return next() < 1 / 2 ? any : (world.owner() ?? any);
--- a/dev/soak/links.ts
+++ b/dev/soak/links.ts
@@ -1,29 +1,29 @@
-/** One proxy for each box and whoever it connects to, so that a link can break for one box alone. */
+/** One proxy for each box and each address that it connects to, so that a link can fail for one box alone. */
 import * as proxies from '../../stand-ins/proxy/index.js';
 import type * as addressViews from '../../stand-ins/users-platform/address-view.js';
 
-/** The way of one box to one address. */
+/** The connection of one box to one address. */
 export interface Link {
 	/** The box's name. */
 	box: string;
 	/** Where the other side listens. */
 	target: string;
 	proxy: proxies.FaultProxy;
-	/** Faults that last, the newest last. */
+	/** Faults under way, the newest last. */
 	modes: proxies.ProxyMode[];
 }
 
-/** A box's process, as its peers reach it. */
+/** The process of a box, as its peers reach it. */
 interface Peer {
 	address: string;
-	/** Resolves once the others have links to it. */
+	/** Resolves once the other boxes have links to it. */
 	made: Promise<void>;
 }
 
-/** All links of the boxes, but those to the store. */
+/** All links of the boxes, except those to the store. */
 export class Links {
 	private readonly links: Link[] = [];
-	/** The processes that boxes run, by name. */
+	/** The running processes of the boxes, by box name. */
 	private readonly peers = new Map<string, Peer>();
 
 	private constructor(private readonly boxes: string[]) {}
@@ -32,18 +32,18 @@
 		return new Links(boxes);
 	}
 
-	/** Makes a link to an address for each box. */
+	/** Adds a link to an address for each box. */
 	async reach(target: string, boxes = this.boxes): Promise<void> {
 		for (const box of boxes)
 			this.links.push({ box, target, proxy: await proxies.FaultProxy.create(target), modes: [] });
 	}
 
-	/** Links to an address, of all boxes. */
+	/** Links of all boxes to an address. */
 	to(target: string): Link[] {
 		return this.links.filter((link) => link.target === target);
 	}
 
-	/** Links between two boxes, either way, between their present processes. */
+	/** Links between the current processes of two boxes, in both directions. */
 	between(a: string, b: string): Link[] {
 		const ways = [
 			{ from: a, to: this.peers.get(b)?.address },
@@ -52,7 +52,7 @@
 		return this.links.filter((link) => ways.some(({ from, to }) => link.box === from && link.target === to));
 	}
 
-	/** What a box calls whom. */
+	/** Translates between real addresses and the addresses at which a box reaches them. */
 	bookOf(box: string): addressViews.AddressBook {
 		const own = (wanted: (link: Link) => boolean): Link | undefined =>
 			this.links.findLast((link) => link.box === box && wanted(link));
@@ -66,14 +66,14 @@
 		};
 	}
 
-	/** A box's process has ended: connections to it are refused. */
+	/** Closes the links to a box's process that has ended, so that connections to it are refused. */
 	left(box: string): void {
 		const peer = this.peers.get(box);
 		this.peers.delete(box);
 		if (peer !== undefined) for (const { proxy } of this.to(peer.address)) proxy.close();
 	}
 
-	/** All connections that are open now go silent. */
+	/** Stalls all connections that are open now: they carry nothing any more. */
 	silence(): void {
 		for (const { proxy } of this.links) proxy.silence();
 	}
@@ -82,7 +82,10 @@
 		for (const { proxy } of this.links) proxy.close();
 	}
 
-	/** A box writes where its peers connect; others read it once they have links there. */
+	/**
+	 * Adds links of the other boxes to an address that a box is about to store. The other boxes read the address once they
+	 * have these links.
+	 */
 	private reachPeer(box: string, address: string): Promise<void> {
 		const known = this.peers.get(box);
 		if (known?.address === address) return known.made;
--- a/dev/soak/patience.ts
+++ b/dev/soak/patience.ts
@@ -1,65 +1,71 @@
-/** How long accepted jobs may take once the last fault is over. A backlog may, as long as it is worked off in turn. */
+/**
+ * Time limits for accepted jobs once the last fault is over. A backlog may take longer, as long as it is processed in turn.
+ */
 import type * as judges from './judge.js';
 
-/** Until a box has taken over from one that is gone: its lease (`src/core/owner/settings.ts`) and a second to be named and to read, in milliseconds. */
+/**
+ * Time until a box has taken over from one that is gone, in milliseconds: the lease (`src/core/owner/settings.ts`), and a
+ * second to become the owner and to read the store.
+ */
 const takeoverMs = 2_000 + 1_000;
 
 /**
- * Until a successor takes what it can't ask for over, in milliseconds: the longest lease (`box-process.ts`) on the slowest
- * clock, the horizon in which it may have been renewed, and the margin (both `src/core/dispatch/settings.ts`).
+ * Time until a successor takes over the tasks of a worker that it can't reach, in milliseconds: the longest lease
+ * (`box-process.ts`) on the slowest clock, the horizon in which the lease may have been renewed, and the margin (both in
+ * `src/core/dispatch/settings.ts`).
  */
 const leasesMs = 10_000 * 1.02 + 3_000 + 150;
 
-/** Until a start that was not answered is given up and stopped: three tries of a second, in milliseconds. */
+/** Time until an unanswered start is given up and its run is stopped, in milliseconds: three attempts of a second each. */
 const startMs = 3_000;
 
 /**
- * A job that could go on stands still for so long at most, in milliseconds. Orders carried out late (6 s after they were
- * sent) and late writes (4 s) fall within it. With the longest fault of the first set (6 s) it comes to the 25 s after
- * the last fault's begin that all jobs once had.
+ * Maximum time without progress of a job that could go on, in milliseconds. Commands carried out late (6 s after they were
+ * sent) and late writes (4 s) fall within it. Together with the longest fault of the first set (6 s) it is about 25 s after
+ * the start of the last fault.
  */
 const stillMs = takeoverMs + leasesMs + startMs;
 
-/** All jobs have so long at most, in milliseconds, beside twice what the open work takes on all workers. */
+/** Time limit for all jobs, in milliseconds, in addition to twice the time that the open work takes on all workers. */
 const settleMs = 25_000;
 const workFactor = 2;
 
 /**
- * A job counts as handed in later by this much, in milliseconds: tasks wait in the order of their due times, and a job of
- * one step is due so much sooner than one of three (two steps of 200 ms, twice, as `callers.ts` and the stand-in have it),
- * and a margin.
+ * A job counts as submitted later than another only from this interval on, in milliseconds. Tasks wait in the order of their
+ * due times. A job of one step is due earlier than a job of three steps by two steps of 200 ms, twice (as set by
+ * `callers.ts` and the stand-in). The rest is a margin.
  */
 const laterMs = 2 * 2 * 200 + 200;
 
-/** What is judged. */
 export interface PatienceOptions {
 	judge: judges.Judge;
-	/** What all workers hold together, in thousandths of a core. */
+	/** Total capacity of all workers, in thousandths of a core. */
 	milliCores: number;
 	/** How long a task runs, in milliseconds. */
 	workMs: (task: string) => number;
 }
 
 /**
- * A job that is being passed over: of the tasks that started since, and that ask for as much as its least one whose turn
- * has come, more belong to jobs that were handed in later than to others. Now and then one finds a gap out of its turn.
+ * A job that is being overtaken. Starts since `since` count if the task demands at least as much as the job's smallest task
+ * that is ready and not running. Most of them belong to jobs that were submitted later. A single task may find free capacity
+ * out of turn.
  */
 interface Passed {
-	/** In the judge's seconds. */
+	/** In seconds, as the checker counts them. */
 	since: number;
-	/** When something of the job last started or ended: from then on it is counted anew. */
+	/** When a run of the job last started or exited. If this changes, the count begins anew. */
 	movedAt: number;
-	/** In thousandths of a core. */
+	/** Demand of the job's smallest waiting task, in thousandths of a core. */
 	leastWaiting: number;
-	/** By how many. */
+	/** Starts of jobs that were submitted later, minus starts of other jobs. */
 	lead: number;
 }
 
-/** Reports jobs that are lost, from the end of the last fault on. */
+/** Reports lost jobs once the last fault is over. */
 export class Patience {
-	/** Nobody need wait any longer. */
+	/** Callers need not wait any longer. */
 	isOver = false;
-	/** Seconds, as the judge counts them. */
+	/** Times in seconds, as the checker counts them. Infinity: the last fault is not over yet. */
 	private begunAt = Infinity;
 	private endsAt = Infinity;
 	private busyAt = 0;
@@ -76,7 +82,7 @@
 		return patience;
 	}
 
-	/** The last fault is over. */
+	/** Begins the time limits: the last fault is over. */
 	begin(): void {
 		const { judge, milliCores, workMs } = this.opts;
 		this.begunAt = judge.now();
@@ -85,7 +91,7 @@
 		this.endsAt = this.begunAt + (settleMs + (workFactor * work) / milliCores) / 1_000;
 	}
 
-	/** To be called a few times a second. */
+	/** Checks all open jobs. Call it a few times a second. */
 	look(): void {
 		const { judge, milliCores } = this.opts;
 		const now = judge.now();
@@ -98,13 +104,16 @@
 		else if (judge.open().every((job) => this.lost.has(job)) && this.lost.size > 0) this.isOver = true;
 	}
 
-	/** A job that stands still with half of the workers free. */
+	/** Reports a job without progress while half of the workers' capacity is free. */
 	private lookAt(job: judges.SoakJob, now: number): void {
 		if (isOlder(Math.max(job.movedAt, job.acceptedAt, this.busyAt, this.begunAt), now, stillMs))
 			this.report(job, `nothing of it starts or ends for ${stillMs} ms with half of the workers free`);
 	}
 
-	/** A task starts: other jobs, which would have had room there, are passed over or come after it in their turn. */
+	/**
+	 * Counts the start of a task for every other open job that would have fitted there: the task overtakes that job, or is
+	 * in turn.
+	 */
 	private compare(started: judges.SoakJob, milliCores: number): void {
 		const { judge } = this.opts;
 		const now = judge.now();
@@ -124,7 +133,7 @@
 		}
 	}
 
-	/** How a job is being passed over; undefined: it is not. */
+	/** How a job is being overtaken. Undefined: it is not. */
 	private passedOf(job: judges.SoakJob, isLater: boolean, now: number): Passed | undefined {
 		const known = this.passed.get(job);
 		if (known?.movedAt === job.movedAt) return known;
@@ -148,7 +157,7 @@
 	}
 }
 
-/** Whether `at` is longer ago than that; seconds, and milliseconds. */
+/** Whether `at` is more than `ms` milliseconds before `now`. Both are in seconds. */
 function isOlder(at: number, now: number, ms: number): boolean {
 	return (now - at) * 1_000 > ms;
 }
--- a/dev/soak/worker-faults.ts
+++ b/dev/soak/worker-faults.ts
@@ -1,15 +1,15 @@
-/** Faults of workers and of what the store lists of them. */
+/** Faults of workers and of the store's list of workers. */
 import * as boxFaults from './box-faults.js';
 import * as random from '../random.js';
 import type * as worlds from './world.js';
 
-/** At one time so many workers crash at most: half of the usual six. */
+/** Maximum number of workers that crash at one time: half of the usual six. */
 const mostCrashed = 3;
 
-/** The entries of dead lives stay listed for about so long, in milliseconds: three heartbeats. */
+/** How long the entries of crashed incarnations stay listed, in milliseconds: about three heartbeats. */
 const listedMs = 4_500;
 
-/** Some workers crash, and their next lives come at the same addresses. */
+/** Crashes some workers. Their next incarnations start at the same addresses. */
 function crash(world: worlds.World, next: () => number): string {
 	const count = random.between(next, 1, Math.min(mostCrashed, world.workers.length));
 	const crashed = Array.from({ length: count }, () => random.pick(next, world.workers));
@@ -21,13 +21,13 @@
 	return named.join(', ');
 }
 
-/** The store forgets its history: every box reads its lists again. */
+/** Makes the store forget its history, so that every box reads its lists again. */
 export function forget(world: worlds.World): string {
 	world.platform.store.forget();
 	return 'the store';
 }
 
-/** What makes an owner read the list of workers anew. */
+/** Faults that make an owner read the list of workers again. */
 const rereads: worlds.Fault[] = [
 	forget,
 	boxFaults.killOwner,
@@ -37,7 +37,7 @@
 	},
 ];
 
-/** Workers crash, and the list is read while it holds both their lives. */
+/** Crashes workers, and has the list read while it holds both incarnations of each. */
 async function crashAndReread(world: worlds.World, next: () => number, forMs: number): Promise<string> {
 	const where = crash(world, next);
 	const reread = random.pick(next, rereads);
@@ -45,12 +45,15 @@
 	return `${where}, ${await reread(world, next, forMs)}`;
 }
 
-/** A room shrinks to a part of what it was, for longer than that takes to count. */
+/**
+ * Bounds of a reduced capacity, in thousandths of a core. The reduction outlasts the duration of the fault by the time that
+ * it takes to count, in milliseconds.
+ */
 const leastShrunk = 4_000;
 const mostShrunk = 24_000;
 const longerMs = 4_500;
 
-/** A worker's room shrinks and grows again; once at a time. */
+/** Reduces the capacity of a worker for a while, once at a time. */
 export async function shrink(world: worlds.World, next: () => number, forMs: number): Promise<string> {
 	const worker = random.pick(next, world.workers);
 	const milliCores = random.between(next, leastShrunk, mostShrunk);
@@ -59,20 +62,20 @@
 	return `${worker.id} to ${String(milliCores)}`;
 }
 
-/** An evacuation outlasts the time after which it has to be heeded by so long at least, in milliseconds. */
+/** An evacuation lasts at least this long, in milliseconds: longer than the time after which it has to be in effect. */
 const heededAfterMs = 5_500;
 
-/** The workers' zone is evacuated and taken back; once at a time. */
+/** Evacuates the workers' zone and reopens it, once at a time. */
 export async function evacuate(world: worlds.World, _next: () => number, forMs: number): Promise<string> {
 	if (world.evacuatedAt !== undefined) return boxFaults.nowhere;
 	await world.evacuate(heededAfterMs + forMs);
 	return 'all workers';
 }
 
-/** A worker that restarts is down for so long at most, in milliseconds: from at once to as long as after a crash. */
+/** Maximum time for which a restarting worker is down, in milliseconds: from at once to as long as after a crash. */
 const mostDownMs = 3_000;
 
-/** Some workers start again under the names that they had, one after the other or at once. */
+/** Restarts some workers under their names, one after the other or at once. */
 async function restart(world: worlds.World, next: () => number): Promise<string> {
 	const count = random.between(next, 1, Math.min(mostCrashed, world.workers.length));
 	const names: string[] = [];
@@ -87,14 +90,14 @@
 	return names.length === 0 ? boxFaults.nowhere : names.join(', ');
 }
 
-/** By name, for the fifth set. */
+/** Faults that the fifth set adds, by name. */
 export const restarts: Record<string, worlds.Fault> = {
 	'worker-restarted': restart,
-	// Twice as often as other faults.
+	// A second entry makes restarts twice as frequent as other faults.
 	'worker-restarted-again': restart,
 };
 
-/** By name, for the sets of faults. */
+/** Faults of the second and later sets, by name. */
 export const faults: Record<string, worlds.Fault> = {
 	'worker-crashed': crash,
 	'worker-crashed-and-list-read': crashAndReread,
