--- a/test/soak-cuts.test.ts
+++ b/test/soak-cuts.test.ts
@@ -1,4 +1,4 @@
-/** Which requests that end without an answer the soak holds against a planned stop. */
+/** Which requests without an answer the soak reports as cut off by a planned stop. */
 import * as net from 'node:net';
 import test from 'ava';
 import * as clients from '../dev/soak/box-client.js';
@@ -6,10 +6,10 @@
 import type * as boxes from '../stand-ins/box-process.js';
 import type * as worlds from '../dev/soak/world.js';
 
-/** A process that reads a request and then ends the connection. */
+/** A server that reads a request and then ends the connection. */
 interface Cutter {
 	process: boxes.BoxProcess;
-	/** Resolves once a request has come. */
+	/** Resolves once a request has arrived. */
 	asked: Promise<unknown>;
 	/** Ends the connection of the request. */
 	cut: () => void;
@@ -18,7 +18,7 @@
 	close: () => void;
 }
 
-/** Stands in for a process of which only its address is asked. */
+/** Stands in for a process of which only the address is used. */
 function processAt(callers: string): boxes.BoxProcess {
 	const only: unknown = { callers };
 	return only as boxes.BoxProcess;
@@ -51,7 +51,7 @@
 	return { name: 'entry-1', store, process, stopping: undefined, life: 2, lines: [], ...calm };
 }
 
-/** Sends a request, lets `meanwhile` happen, cuts it off; returns what is held against the box. */
+/** Sends a request, calls `meanwhile`, and ends or resets the connection. Returns the promises reported as broken. */
 async function cutOff(
 	prepare: (box: worlds.SoakBox) => void,
 	meanwhile: (box: worlds.SoakBox) => void,
@@ -78,30 +78,31 @@
 
 const nothing = (): void => undefined;
 
-/** Its process is told to stop. */
+/** Begins a planned stop of the box's process. */
 function stop(box: worlds.SoakBox): void {
 	box.stopping = box.process;
 	box.stoppingUntil = Infinity;
 }
 
-test('a request that a planned stop cuts off is held against it', async (t) => {
+test('a request that a planned stop cuts off is reported', async (t) => {
 	t.deepEqual(await cutOff(stop, nothing), ['cut']);
 });
 
-test('a request that was under way when a planned stop began and is cut off is held against it', async (t) => {
+test('a request that was under way when a planned stop began and is cut off is reported', async (t) => {
 	t.deepEqual(await cutOff(nothing, stop), ['cut']);
 });
 
-// Guards against plays that pass over cuts: a connection that the kernel resets ends with another error than one that ends.
-test('a request whose connection a planned stop resets is held against it', async (t) => {
+// Guards against a soak that misses cut-off requests: a connection that the kernel resets fails with another error than one
+// that is ended.
+test('a request whose connection a planned stop resets is reported', async (t) => {
 	t.deepEqual(await cutOff(stop, nothing, 'reset'), ['cut']);
 });
 
-test('a request whose connection a kill resets is not held against a planned stop', async (t) => {
+test('a request whose connection a kill resets is not reported', async (t) => {
 	t.deepEqual(await cutOff(nothing, nothing, 'reset'), []);
 });
 
-test('a request that is cut off after the stopped process has ended and another has begun is held against it', async (t) => {
+test('a request that is cut off after the stopped process has ended and another has started is reported', async (t) => {
 	const replaced = await cutOff(stop, (box) => {
 		box.process = processAt('127.0.0.1:1');
 		box.stoppingUntil = -Infinity;
@@ -109,7 +110,7 @@
 	t.deepEqual(replaced, ['cut']);
 });
 
-test('a request that is cut off by a kill soon after an earlier process was stopped is not held against a planned stop', async (t) => {
+test('a request that is cut off by a kill soon after an earlier process was stopped is not reported', async (t) => {
 	const killed = await cutOff((box) => {
 		box.stopping = processAt('127.0.0.1:1');
 		box.stoppingUntil = Infinity;
@@ -117,7 +118,7 @@
 	t.deepEqual(killed, []);
 });
 
-test('a request was cut off unless its connection was refused, or reset before anything was written to it', (t) => {
+test('a request counts as cut off unless its connection was refused, or reset before anything was written to it', (t) => {
 	t.true(clients.isCutOff('UND_ERR_SOCKET', true));
 	t.true(clients.isCutOff('UND_ERR_SOCKET', false));
 	t.true(clients.isCutOff('ECONNRESET', true));
--- a/test/soak-patience.test.ts
+++ b/test/soak-patience.test.ts
@@ -1,4 +1,6 @@
-/** The soak's limit: a backlog that is worked off is no loss, a job that stands still or is passed over is one. */
+/**
+ * The soak's time limits: a backlog that is processed in turn is not lost, a job that makes no progress or is overtaken is.
+ */
 import test from 'ava';
 import * as judges from '../dev/soak/judge.js';
 import * as patiences from '../dev/soak/patience.js';
@@ -6,17 +8,17 @@
 const workerMilliCores = 32_000;
 const runMs = 1_000;
 
-/** Longer than any job may stand still, in seconds. */
+/** Longer than any job may go without progress, in seconds. */
 const longSeconds = 25;
 
 interface Made {
 	judge: judges.Judge;
 	patience: patiences.Patience;
-	/** Lets so many seconds pass, with a look at each. */
+	/** Advances the time by a number of seconds, with a check after each. */
 	pass: (seconds: number, each?: (second: number) => void) => void;
-	/** A job of one task that is accepted. */
+	/** Submits a job of one task, which is accepted. */
 	accept: (id: string, milliCores?: number) => judges.SoakJob;
-	/** A job's task starts, and ends as done; callers are told. */
+	/** Starts a job's task and ends it as done; callers learn that the job has completed. */
 	complete: (job: judges.SoakJob) => void;
 }
 
@@ -66,7 +68,7 @@
 	};
 }
 
-/** A job of 16 hex digits. */
+/** The id of a job: 16 hex digits. */
 function idOf(number: number): string {
 	return number.toString(16).padStart(16, '0');
 }
@@ -75,7 +77,7 @@
 	return judge.violations.map(({ promise, detail }) => `${promise} ${detail.split(' ')[0] ?? ''}`);
 }
 
-test('a backlog that is worked off in turn with the workers full is no loss, however long it takes', (t) => {
+test('a backlog that is processed in turn with the workers full is not lost, however long it takes', (t) => {
 	const { judge, patience, pass, accept, complete } = make();
 	const backlog = Array.from({ length: 100 }, (_, number) => accept(idOf(number), workerMilliCores));
 	patience.begin();
@@ -92,7 +94,7 @@
 	t.false(patience.isOver);
 });
 
-test('a job that stands still with workers free is lost, though others go on', (t) => {
+test('a job without progress while workers are free is lost, though others go on', (t) => {
 	const { judge, patience, pass, accept, complete } = make();
 	const still = accept(idOf(0), 2_000);
 	patience.begin();
@@ -103,7 +105,7 @@
 	t.true(patience.isOver);
 });
 
-test('a job that later ones of its shape overtake for long is lost, though the workers are full', (t) => {
+test('a job that later jobs of the same size keep overtaking is lost, though the workers are full', (t) => {
 	const { judge, patience, pass, accept, complete } = make();
 	const passed = accept(idOf(0), workerMilliCores);
 	patience.begin();
@@ -116,7 +118,7 @@
 	t.regex(judge.violations[0]?.detail ?? '', /passed over/);
 });
 
-test('a job that waits for its turn is not passed over by a few that find a gap', (t) => {
+test('a job that waits for its turn is not lost if a few others find free capacity', (t) => {
 	const { judge, patience, pass, accept, complete } = make();
 	const backlog = Array.from({ length: 60 }, (_, number) => accept(idOf(number), workerMilliCores));
 	const waiting = accept(idOf(60), workerMilliCores);
@@ -131,7 +133,7 @@
 	t.deepEqual(judge.open(), [waiting]);
 });
 
-test('all open jobs are lost once nothing starts or ends any more, or the time is over', (t) => {
+test('all open jobs are lost once no run starts or exits any more, or the time limit is over', (t) => {
 	const still = make();
 	const hung = still.accept(idOf(0));
 	still.judge.running = () => [{ worker: 'w1', task: `${hung.id}.0.0.0` }];
@@ -148,7 +150,7 @@
 	t.deepEqual(lost(busy.judge), [`lost ${retried.id}`]);
 });
 
-test('nothing is lost before the last fault is over', (t) => {
+test('no job is lost before the last fault is over', (t) => {
 	const { judge, patience, pass, accept } = make();
 	accept(idOf(0));
 	pass(longSeconds);
