--- a/dev/soak/soak.ts
+++ b/dev/soak/soak.ts
@@ -45,7 +45,7 @@
 /** Number of attempts that the stand-in's queues give a task. */
 const attempts = 3;
 
-/** Options of one soak. */
+/** Options of one soak. `logs` is the folder for the logs of a soak that breaks a promise. */
 export interface SoakOptions {
 	seed: number;
 	seconds: number;
