--- a/dev/soak/box-faults.ts
+++ b/dev/soak/box-faults.ts
@@ -2,31 +2,34 @@
 import * as random from '../random.js';
 import type * as environments from './environment.js';
 
-/** Where a fault was that was not injected after all. */
+/** Location of a fault that was not injected after all. */
 export const notInjected = 'none';
 
-/** A killed process starts again after so long, in milliseconds. */
+/** Delay before a killed process is started again, in milliseconds. */
 const restartDelayMs = 400;
 
-/** A planned stop that lasts longer is killed: the grace that `box-process.ts` tells boxes, in milliseconds. */
+/** A planned stop that takes longer than this is killed, in milliseconds. `box-process.ts` gives boxes the same grace. */
 const stopGraceMs = 3_000;
 
-/** A box that has just started anew is given so long, in milliseconds. */
+/** For this time after its start, a box counts as having a fault, in milliseconds. */
 const startupMs = 1_500;
 
-/** A series of planned stops has so many at most. */
+/** Maximum number of planned stops in a series. */
 const maxStops = 4;
 
-/** An owner is killed so often in a row at most. */
+/** Maximum number of times in a row that an owner is killed. */
 const maxKills = 3;
 
-/** From so long to so long after an owner's restart the box that owns then is killed, in milliseconds. */
+/**
+ * Bounds of the delay between the restart of an owner and the next kill, in milliseconds. The kill hits the box that is the
+ * owner by then.
+ */
 const minOwnedMs = 300;
 const maxOwnedMs = 2_000;
 
 /**
- * In this part of these faults the others don't reach the store until so long after the restart, in milliseconds: until
- * the lease of the process that was killed (2 s) has run out and the new one has taken over.
+ * In this fraction of these faults, the other boxes don't reach the store until this time after the restart, in
+ * milliseconds. By then the lease of the killed process (2 s) has expired and the new process has taken over.
  */
 const cutOffFraction = 0.4;
 const cutOffMs = 2_200;
@@ -40,8 +43,8 @@
 }
 
 /**
- * Kills the box that owns, and the one that owns then, some times in a row. Now and then the others don't reach the store
- * meanwhile, so that the box that was killed owns again.
+ * Kills the owner, and then the box that is the owner by then, a few times in a row. At times the other boxes don't reach
+ * the store meanwhile, so that the killed box becomes the owner again.
  */
 export async function killOwner(
 	environment: environments.Environment,
@@ -52,7 +55,7 @@
 	const killed: string[] = [];
 	for (let index = 0; index < count; index += 1) {
 		const owner = environment.owner();
-		// A box that is in trouble already may be the last one left, or be started anew by another fault.
+		// A box that already has a fault may be the last one left, or another fault may be restarting it.
 		if (owner !== undefined && isFaultFree(environment, owner)) {
 			const others = environment.boxes.filter((box) => areOthersCutOff && box !== owner);
 			const undos = others.map((box) => box.store.trouble({ kind: 'freeze' }));
@@ -67,7 +70,7 @@
 	return killed.length === 0 ? notInjected : killed.join(', ');
 }
 
-/** Stops a box as planned and starts it anew; killed if it takes longer than its grace. */
+/** Stops a box as planned and starts it again. Kills it if the stop takes longer than its grace. */
 export async function stop(environment: environments.Environment, nextRandom: () => number): Promise<string> {
 	const box = pickFaultFree(environment, nextRandom);
 	if (box?.process === undefined) return notInjected;
@@ -82,7 +85,7 @@
 	return box.name;
 }
 
-/** Stops boxes as planned, one after another: each as the one before it serves again. */
+/** Stops boxes as planned, one after another: each once the previous one serves again. */
 export async function stopInSeries(
 	environment: environments.Environment,
 	nextRandom: () => number,
@@ -93,7 +96,7 @@
 	return stopped.join(', ');
 }
 
-/** Lets a box's process stand still. */
+/** Suspends a box's process. */
 export async function pause(
 	environment: environments.Environment,
 	nextRandom: () => number,
@@ -109,7 +112,7 @@
 	return box.name;
 }
 
-/** A box without trouble of its own; undefined: the last such box is left alone. */
+/** Picks a box without a fault of its own. Undefined: at most one such box is left, which gets no fault. */
 export function pickFaultFree(
 	environment: environments.Environment,
 	nextRandom: () => number,
@@ -118,7 +121,7 @@
 	return faultFree.length > 1 ? random.pick(nextRandom, faultFree) : undefined;
 }
 
-/** Kills a box's process and starts another a little later. */
+/** Kills a box's process and starts another after a delay. */
 async function restart(environment: environments.Environment, box: environments.SoakBox): Promise<void> {
 	environment.noteFault(box, restartDelayMs + startupMs);
 	await box.process?.kill();
--- a/dev/soak/environment.ts
+++ b/dev/soak/environment.ts
@@ -1,4 +1,4 @@
-/** The real programs as processes, behind proxies, over the stand-in of the users' platform. */
+/** The environment of a soak: the real programs as processes behind proxies, and the stand-in of the users' platform. */
 import * as boxes from '../../stand-ins/box-process.js';
 import * as clocks from '../../src/core/clock.js';
 import * as crashing from './crashing.js';
@@ -13,37 +13,51 @@
 /** Host of all queues. */
 export const host = 'proofs.example';
 
-/** The queue to which callers hand their jobs in, which is never dropped. */
+/** The queue to which callers submit their jobs. It is never dropped. */
 export const firstQueue = '/jobs/';
 
-/** After trouble at a box ended, nothing with a time bound is asked of it for so long, in milliseconds. */
+/** After a fault at a box has ended, nothing with a time limit is required of the box for this time, in milliseconds. */
 const stableAfterMs = 3_000;
 
-/** The zone of all workers; from so long after its evacuation was stored on, nothing starts there, in milliseconds. */
+/**
+ * The zone of all workers, and the time after its evacuation is stored from which nothing may start there, in milliseconds.
+ */
 const workersZone = 'rennes';
 const evacuationDeadlineMs = 5_000;
 
-/** Workers of the second set write their entries so often, in milliseconds: as the users' workers do. */
+/**
+ * Interval at which workers write their entries, in milliseconds, in every set but the first. The users' workers have the
+ * same.
+ */
 const heartbeatIntervalMs = 1_500;
 
-/** A room that has shrunk counts after so long: a box is in touch again, and has heard a heartbeat. */
+/** Time after which a reduced capacity counts: the box is stable again and has received a heartbeat. */
 const reductionKnownAfterMs = stableAfterMs + heartbeatIntervalMs;
 
-/** The start of a worker's next life differs by so much at most, in milliseconds, and this part of them are smaller. */
+/**
+ * Maximum difference between the start times of two successive incarnations of a worker, in milliseconds, and the fraction
+ * of the start times that are smaller than the previous one.
+ */
 const maxClockStepMs = 5_000;
 const setBackFraction = 0.3;
 
-/** An order that a worker leaves unanswered is carried out by then, in milliseconds; no room is promised to such orders. */
+/**
+ * A command that a worker leaves unanswered is carried out within this time, in milliseconds. No capacity is promised to
+ * such commands.
+ */
 const lateCommandsMs = 8_000;
 
 /**
- * Which faults are injected. 1: the former set, which seeds that were found with it go on to play; workers keep one entry
- * that goes when they crash. 2: workers have heartbeats, and entries of dead lives lapse. 3: open connections go silent
- * besides, and queues are added and dropped one after another. 4: some tasks crash their workers besides, and rooms shrink.
- * 5: workers start again under the names that they had.
- * 6: the workers' zone is evacuated now and then besides.
- * 7: planned stops, one box after another, beside little else; some callers are far and leave connections unused.
- * 8: the same without tasks that crash their workers.
+ * Which faults are injected.
+ * 1: the first set, for seeds that were found with it. Workers have one entry, which is removed when they crash.
+ * 2: workers have heartbeats, and the entries of crashed incarnations expire.
+ * 3: besides, open connections stall, and queues are added and dropped one after another.
+ * 4: besides, some tasks crash their workers, and workers' capacity is reduced.
+ * 5: besides, workers restart under the same names.
+ * 6: besides, the workers' zone is evacuated at times.
+ * 7: planned stops, one box after another, and few other faults. Some callers have a network delay and leave
+ *    connections idle.
+ * 8: as 7, without tasks that crash their workers.
  */
 export type FaultSet = 1 | 2 | 3 | 4 | 5 | 6 | 7 | 8;
 
@@ -52,7 +66,7 @@
 	return faults >= 4 && faults !== 8;
 }
 
-/** Whether a set plays far callers. */
+/** Whether a set has delayed callers. */
 export function hasDelayedCallers(faults: FaultSet): boolean {
 	return faults >= 7;
 }
@@ -60,76 +74,78 @@
 /** A change of a queue. */
 export interface QueueChange {
 	prefix: string;
-	/** Whether it was added, else dropped. */
+	/** Whether the queue was added. Otherwise it was dropped. */
 	exists: boolean;
 	/** Clock time at which the change was stored. */
 	at: number;
 }
 
-/** A box, over all the processes that it has run. */
+/** A box, with all the processes that it has run. */
 export interface SoakBox {
 	name: string;
-	/** Its way to the store. */
+	/** The proxy between the box and the store. */
 	store: proxies.FaultProxy;
 	process: boxes.BoxProcess | undefined;
-	/** The newest of its processes that was stopped as planned; it may have ended since. */
+	/** The newest of its processes that was stopped as planned. It may have ended since. */
 	stopping: boxes.BoxProcess | undefined;
-	/** Counts its processes. */
 	processCount: number;
-	/** What all its processes logged. */
+	/** Log lines of each of its processes. */
 	lines: boxes.LogLine[][];
-	/** Clock time until which trouble at it lasts. */
+	/** Clock time until which a fault at the box lasts. */
 	faultUntil: number;
 	/** Clock time until which a planned stop may last. */
 	plannedStopUntil: number;
 }
 
-/** Injects one fault, for `forMs` milliseconds if it lasts; says where it was. */
+/** Injects one fault, for `durationMs` milliseconds if it lasts. Returns where it was injected. */
 export type Fault = (
 	environment: Environment,
 	nextRandom: () => number,
 	durationMs: number,
 ) => Promise<string> | string;
 
-/** A worker, over all its lives. */
+/** A worker, with all its incarnations. */
 export interface SoakWorker {
 	id: string;
-	/** Where all its lives listen. */
+	/** Where all its incarnations listen. */
 	address: string;
 	incarnationCount: number;
-	/** Since when it holds less than it did, and how much; undefined: it does not. */
+	/**
+	 * The reduced capacity in thousandths of a core, and the clock time since which it holds. Undefined: the capacity is not
+	 * reduced.
+	 */
 	reducedCapacity: { milliCores: number; at: number } | undefined;
-	/** When its newest life says that it started; undefined: it does not tell, and gets a new name with each life. */
+	/** Start time that the newest incarnation reports. Undefined: it reports none, and each incarnation gets a new name. */
 	born: number | undefined;
-	/** Clock time until which orders may be carried out late there. */
+	/** Clock time until which the worker may carry out commands late. */
 	lateCommandsUntil: number;
 }
 
-/** Sizes of a soak. */
+/** Options of an environment. */
 export interface EnvironmentOptions {
 	boxes: number;
 	workers: number;
 	checker: checkers.InvariantChecker;
 	plan: (task: string, run: number) => workers.RunPlan;
 	faults: FaultSet;
-	/** Decides the ids of workers' lives. */
+	/** Decides the ids and start times of workers' incarnations. */
 	nextRandom: () => number;
 }
 
-/** Everything that a soak started. */
+/** All processes and servers that a soak starts. */
 export class Environment {
 	readonly boxes: SoakBox[] = [];
 	readonly workers: SoakWorker[] = [];
-	/** From boxes to workers and to each other. */
+	/** Links from boxes to workers and to each other. */
 	readonly links: linking.Links;
-	/** Prefixes of paths that have a queue; the newest last. */
+	/** Prefixes of paths that have a queue, the newest last. */
 	prefixes = [firstQueue];
 	version = 1;
-	/** The newest change of each queue, by its prefix; the newest of all last. */
+	/** The newest change of each queue by its prefix, the newest of all last. */
 	readonly changes = new Map<string, QueueChange>();
 	/** Clock time from which the workers' zone is evacuated; undefined: it is not. */
 	evacuatedAt: number | undefined;
-	/** Clock time until which the store is in trouble for all. */
+	/** Clock time until which a fault of the store affects all boxes. */
 	storeFaultUntil = 0;
 	private isClosing = false;
 
@@ -198,12 +214,12 @@
 		if (this.isClosing) await newProcess.kill();
 	}
 
-	/** Trouble lasts at a box for so long from now. */
+	/** Records that a fault at a box lasts for `ms` milliseconds from now. */
 	noteFault(box: SoakBox, ms: number): void {
 		box.faultUntil = Math.max(box.faultUntil, this.now() + ms);
 	}
 
-	/** The box that owned last, as far as the boxes' logs tell; undefined: none, or it has no process. */
+	/** The box that became the owner last, according to the boxes' logs. Undefined: there is none, or it has no process. */
 	owner(): SoakBox | undefined {
 		const generations = this.boxes.map((box) => Math.max(0, ...box.lines.flat().map(generationTaken)));
 		const newest = Math.max(...generations);
@@ -211,18 +227,18 @@
 		return owner?.process === undefined ? undefined : owner;
 	}
 
-	/** Whether a box has been without trouble for a while, the store too. */
+	/** Whether a box has been without a fault for a while, and the store too. */
 	isStable(box: SoakBox): boolean {
 		const until = Math.max(box.faultUntil, this.storeFaultUntil, box.plannedStopUntil);
 		return box.process !== undefined && this.now() > until + stableAfterMs;
 	}
 
-	/** Another life of a worker begins at its address. */
+	/** Starts another incarnation of a worker at its address. */
 	replaceWorker(worker: SoakWorker): void {
 		const previousId = worker.id;
 		const isFirstSet = this.opts.faults === 1;
 		worker.incarnationCount += 1;
-		// What it says of itself anew is what its machine has.
+		// A new incarnation reports the capacity of its machine.
 		worker.reducedCapacity = undefined;
 		worker.id = isFirstSet
 			? `${previousId.split('.')[0] ?? previousId}.${worker.incarnationCount}`
@@ -231,7 +247,7 @@
 		this.platform.replaceWorker(previousId, worker.id, worker.address, entry);
 	}
 
-	/** A worker goes down with what runs there, and is back after a while. */
+	/** Crashes a worker with what runs there. It is back after `downMs` milliseconds. */
 	crashWorker(incarnation: workers.FakeWorker, downMs = crashing.downMs): void {
 		const worker = this.workers.find((one) => one.id === incarnation.name);
 		if (worker === undefined || incarnation.dead) return;
@@ -239,7 +255,7 @@
 		this.platform.fleet.takeDown(incarnation);
 		this.platform.silence(worker.id);
 		clocks.systemClock.after(downMs, () => {
-			// Another fault may have brought it back already.
+			// Another fault may have restored the worker already.
 			if (!this.isClosing && worker.incarnationCount === incarnationCount) this.restoreWorker(worker);
 		});
 	}
@@ -249,7 +265,7 @@
 		else this.restartWorker(worker, worker.born);
 	}
 
-	/** A worker starts again under its name; its time of day may have been set back meanwhile. */
+	/** Restarts a worker under its name. Its time of day may have been set back meanwhile. */
 	private restartWorker(worker: SoakWorker, previousStart: number): void {
 		const stepMs = 1 + Math.floor(this.opts.nextRandom() * maxClockStepMs);
 		worker.incarnationCount += 1;
@@ -258,7 +274,7 @@
 		this.platform.restartWorker(worker.id, worker.address, worker.born);
 	}
 
-	/** A worker holds so much less for a while, as its entry says. */
+	/** Reduces the capacity in a worker's entry for a while. */
 	async reduceCapacity(worker: SoakWorker, milliCores: number, durationMs: number): Promise<void> {
 		worker.reducedCapacity = { milliCores, at: this.now() };
 		this.platform.resize(worker.id, worker.address, milliCores);
@@ -267,7 +283,7 @@
 		this.platform.resize(worker.id, worker.address, users.workerMilliCores);
 	}
 
-	/** The workers' zone is evacuated for so long. */
+	/** Evacuates the workers' zone for `durationMs` milliseconds. */
 	async evacuate(durationMs: number): Promise<void> {
 		this.evacuatedAt = this.now();
 		this.platform.evacuate(workersZone);
@@ -276,7 +292,7 @@
 		this.evacuatedAt = undefined;
 	}
 
-	/** Whether a start may begin at a worker now, as far as evacuations go; orders that are carried out late always may. */
+	/** Whether evacuations allow a start on a worker now. Commands that are carried out late are always allowed. */
 	private mayStartAt(id: string): boolean {
 		const now = this.now();
 		const lateCommandsUntil = this.workers.find((one) => one.id === id)?.lateCommandsUntil ?? 0;
@@ -287,13 +303,13 @@
 		);
 	}
 
-	/** Orders that are under way to a worker may be carried out late. */
+	/** Records that a worker may carry out late the commands that are on their way to it. */
 	noteLateCommands(id: string, durationMs: number): void {
 		const worker = this.workers.find((one) => one.id === id);
 		if (worker !== undefined) worker.lateCommandsUntil = this.now() + durationMs + lateCommandsMs;
 	}
 
-	/** What a worker holds, as far as its owner has to know, in thousandths of a core. */
+	/** The capacity of a worker that its owner has to know, in thousandths of a core. */
 	private knownCapacityOf(id: string): number {
 		const worker = this.workers.find((one) => one.id === id);
 		const { reducedCapacity, lateCommandsUntil = 0 } = worker ?? {};
@@ -311,13 +327,13 @@
 		if (added !== undefined) this.noteChange(added, true);
 	}
 
-	/** Stores a new version of the configuration, with one queue less. */
+	/** Stores a new version of the configuration without one of the queues. */
 	dropQueue(prefix: string): void {
 		this.storeQueues(this.prefixes.filter((one) => one !== prefix));
 		this.noteChange(prefix, false);
 	}
 
-	/** Ends every process that was started here, and every server. */
+	/** Ends all processes and servers of the environment. */
 	async close(): Promise<void> {
 		this.isClosing = true;
 		const running = this.boxes.flatMap((box) => box.process ?? []);
@@ -334,7 +350,8 @@
 	}
 
 	private noteChange(prefix: string, exists: boolean): void {
-		// A map keeps the place of a key that it has: a queue that is changed again would stay among the oldest.
+		// A map keeps the position of a key that it has. Without this, a queue that is changed again would stay among the
+		// oldest.
 		this.changes.delete(prefix);
 		this.changes.set(prefix, { prefix, exists, at: this.now() });
 	}
@@ -356,7 +373,7 @@
 		});
 	}
 
-	/** A new life's id, which may sort before or after that of the one before it. */
+	/** Returns the id of a new incarnation, which may sort before or after the id of the previous one. */
 	private newId(): string {
 		const number = Math.floor(this.opts.nextRandom() * 0x1_0000_0000);
 		return `i-${number.toString(16).padStart(8, '0')}`;
@@ -373,7 +390,7 @@
 	return Array.from({ length: count }, (_, index) => `entry-${index + 1}`);
 }
 
-/** The generation in which a box says that it owns; 0: another line. */
+/** The generation in which a box became the owner according to this line. 0: the line is about something else. */
 function generationTaken(line: boxes.LogLine): number {
 	return line.name === 'owner.taken' ? Number(line.fields.generation) : 0;
 }
--- a/dev/soak/faults.ts
+++ b/dev/soak/faults.ts
@@ -1,4 +1,6 @@
-/** Faults from outside the processes, in an order that the seed decides; they overlap and come in series. */
+/**
+ * Faults that are injected from outside the processes, in an order that the seed decides. They overlap and come in series.
+ */
 import * as boxFaults from './box-faults.js';
 import * as linkFaults from './link-faults.js';
 import * as random from '../random.js';
@@ -6,31 +8,37 @@
 import type * as workers from '../../stand-ins/fleet/workers.js';
 import * as environments from './environment.js';
 
-/** Between two faults, in milliseconds: several are under way at most times. */
+/** Interval between the starts of two faults, in milliseconds. Several faults are under way at most times. */
 const minIntervalMs = 150;
 const maxIntervalMs = 1_100;
 
-/** How long one lasts, in milliseconds: from a hiccup to twice the owner's lease and the horizon. */
+/**
+ * Duration of a fault, in milliseconds: from a short interruption to more than twice the owner's lease and more than the
+ * renewal horizon.
+ */
 const minFaultMs = 200;
 const maxFaultMs = 6_000;
 
 /**
- * With the later sets this part of the faults of links and pauses of boxes outlasts a lease (10 s): from just below one to
- * beyond a lease and the horizon that a successor waits for (13.4 s); in milliseconds.
+ * In every set but the first, this fraction of the link faults and pauses of boxes outlasts a worker's lease (10 s). They
+ * last from just below a lease to beyond a lease and the horizon that a successor waits for (13.4 s), in milliseconds.
  */
 const longFraction = 0.25;
 const minLongFaultMs = 9_000;
 const maxLongFaultMs = 18_000;
 
-/** Faults that may last so long. */
+/** Names of the faults that may last that long. */
 const longFaultNames = /-link-|^box-paused$/;
 
-/** A series of changes of queues has so many at most, so far apart at most in milliseconds, this part of them drops. */
+/**
+ * A series of queue changes: its maximum number of changes, the maximum interval between two of them in milliseconds, and
+ * the fraction of the changes that drop a queue.
+ */
 const maxQueueChanges = 5;
 const maxChangeIntervalMs = 900;
 const droppedFraction = 0.4;
 
-/** The first set; a seed picks by the order. */
+/** The first set. Keep the order: a seed picks faults by position. */
 const firstFaults: Record<string, environments.Fault> = {
 	'box-killed': boxFaults.kill,
 	'box-stopped': boxFaults.stop,
@@ -57,7 +65,7 @@
 	'worker-clock-slow': (environment, nextRandom) => {
 		const worker = random.pick(nextRandom, environment.workers);
 		const incarnation = environment.platform.fleet.workers.get(worker.id);
-		// The slowest that is stated of the users' workers.
+		// The slowest clock rate that is stated for the users' workers.
 		if (incarnation !== undefined) incarnation.rate = 0.98;
 		return worker.id;
 	},
@@ -89,7 +97,7 @@
 	'worker-shrunk': workerFaults.reduceCapacity,
 };
 
-/** The set of planned stops. */
+/** The faults of the sets of planned stops. */
 const plannedStopFaults: Record<string, environments.Fault> = {
 	'box-stopped': boxFaults.stop,
 	'boxes-stopped': boxFaults.stopInSeries,
@@ -99,7 +107,7 @@
 		injectStoreFault(environment, durationMs, 'lost'),
 };
 
-/** What may be injected, by set. */
+/** The faults that may be injected, by set. */
 const faultSets: Record<environments.FaultSet, Record<string, environments.Fault>> = {
 	1: firstFaults,
 	2: secondFaults,
@@ -111,7 +119,7 @@
 	8: plannedStopFaults,
 };
 
-/** Injects faults until `until` (clock time), and resolves once the last has ended. */
+/** Injects faults until `until` (clock time). Resolves once the last fault has ended. */
 export async function inject(
 	environment: environments.Environment,
 	nextRandom: () => number,
@@ -129,7 +137,7 @@
 	await Promise.all(pendingFaults);
 }
 
-/** How long a fault lasts; none goes on for longer after `until` than a short one could. */
+/** Duration of a fault, in milliseconds. No fault goes on for longer after `until` than a short one could. */
 function durationMsOf(
 	environment: environments.Environment,
 	nextRandom: () => number,
@@ -158,7 +166,7 @@
 		logFault(`${name} at ${location ?? ''} for ${Math.round(environment.now() - startedAt)} ms`);
 }
 
-/** Adds and drops queues one after another, within a time in which one change has to be known. */
+/** Adds and drops queues one after another, at intervals shorter than the time in which boxes have to know a change. */
 async function changeQueues(
 	environment: environments.Environment,
 	nextRandom: () => number,
--- a/dev/soak/link-faults.ts
+++ b/dev/soak/link-faults.ts
@@ -4,21 +4,21 @@
 import type * as proxies from '../../stand-ins/proxy/index.js';
 import type * as environments from './environment.js';
 
-/** A slow link delays what goes over it by so long, in milliseconds. */
+/** Bounds of the delay on a slow link, in milliseconds. */
 const minDelayMs = 20;
 const maxDelayMs = 300;
 
-/** A box that can't reach all workers can't reach this part of them. */
+/** Fraction of the workers that a box can't reach in a `third-link` fault. */
 const workersFraction = 1 / 3;
 
-/** Links that get a fault together, and where that is; undefined: nowhere. */
+/** Picks the links that get a fault together, and describes where they are. Undefined: no fault is injected. */
 type LinkPicker = (
 	environment: environments.Environment,
 	nextRandom: () => number,
 	durationMs: number,
 ) => { where: string; proxies: proxies.FaultProxy[] } | undefined;
 
-/** One box's way to the store. */
+/** The link of one box to the store. */
 export const storeFaults = linkFaults('store-link', (environment, nextRandom, durationMs) => {
 	const box = boxFaults.pickFaultFree(environment, nextRandom);
 	if (box === undefined) return undefined;
@@ -26,13 +26,13 @@
 	return { where: box.name, proxies: [box.store] };
 });
 
-/** The ways of all boxes to one worker. */
+/** The links of all boxes to one worker. */
 export const workerFaults = linkFaults('worker-link', (environment, nextRandom) => {
 	const worker = random.pick(nextRandom, environment.workers);
 	return { where: worker.id, proxies: environment.links.to(worker.address).map((link) => link.proxy) };
 });
 
-/** Ways that break for one box alone. */
+/** Links that fail for one box alone. */
 export const singleBoxFaults = {
 	...linkFaults('pair-link', (environment, nextRandom) => {
 		const box = pickBox(environment, nextRandom);
@@ -73,7 +73,7 @@
 	},
 };
 
-/** Every way in which links go wrong. */
+/** Returns the faults of a kind of link: one for each way in which it can fail. */
 function linkFaults(link: string, pickLinks: LinkPicker): Record<string, environments.Fault> {
 	const makeFault =
 		(modeFor: (nextRandom: () => number) => proxies.ProxyMode): environments.Fault =>
@@ -112,7 +112,7 @@
 	undo();
 }
 
-/** Any box, or as often the one that owns: only its links to workers are in use until another takes over. */
+/** Picks any box or, equally often, the owner: only the owner's links to workers are in use until another box takes over. */
 function pickBox(environment: environments.Environment, nextRandom: () => number): environments.SoakBox {
 	const anyBox = random.pick(nextRandom, environment.boxes);
 	return nextRandom() < 1 / 2 ? anyBox : (environment.owner() ?? anyBox);
--- a/dev/soak/lost-jobs.ts
+++ b/dev/soak/lost-jobs.ts
@@ -1,65 +1,71 @@
-/** How long accepted jobs may take once the last fault is over. A backlog may, as long as it is worked off in turn. */
+/**
+ * Time limits for accepted jobs once the last fault is over. A backlog may take longer, as long as it is processed in turn.
+ */
 import type * as checkers from './invariant-checker.js';
 
-/** Until a box has taken over from one that is gone: its lease (`src/core/owner/settings.ts`) and a second to be named and to read, in milliseconds. */
+/**
+ * Time until a box has taken over from one that is gone, in milliseconds: the lease (`src/core/owner/settings.ts`), and a
+ * second to become the owner and to read the store.
+ */
 const takeoverMs = 2_000 + 1_000;
 
 /**
- * Until a successor takes what it can't ask for over, in milliseconds: the longest lease (`box-process.ts`) on the slowest
- * clock, the horizon in which it may have been renewed, and the margin (both `src/core/dispatch/settings.ts`).
+ * Time until a successor takes over the tasks of a worker that it can't reach, in milliseconds: the longest lease
+ * (`box-process.ts`) on the slowest clock, the horizon in which the lease may have been renewed, and the margin (both in
+ * `src/core/dispatch/settings.ts`).
  */
 const leaseExpiryMs = 10_000 * 1.02 + 3_000 + 150;
 
-/** Until a start that was not answered is given up and stopped: three tries of a second, in milliseconds. */
+/** Time until an unanswered start is given up and its run is stopped, in milliseconds: three attempts of a second each. */
 const startTimeoutMs = 3_000;
 
 /**
- * A job that could go on stands still for so long at most, in milliseconds. Orders carried out late (6 s after they were
- * sent) and late writes (4 s) fall within it. With the longest fault of the first set (6 s) it comes to the 25 s after
- * the last fault's begin that all jobs once had.
+ * Maximum time without progress of a job that could go on, in milliseconds. Commands carried out late (6 s after they were
+ * sent) and late writes (4 s) fall within it. Together with the longest fault of the first set (6 s) it is about 25 s after
+ * the start of the last fault.
  */
 const stallTimeoutMs = takeoverMs + leaseExpiryMs + startTimeoutMs;
 
-/** All jobs have so long at most, in milliseconds, beside twice what the open work takes on all workers. */
+/** Time limit for all jobs, in milliseconds, in addition to twice the time that the open work takes on all workers. */
 const baseTimeoutMs = 25_000;
 const workFactor = 2;
 
 /**
- * A job counts as handed in later by this much, in milliseconds: tasks wait in the order of their due times, and a job of
- * one step is due so much sooner than one of three (two steps of 200 ms, twice, as `callers.ts` and the stand-in have it),
- * and a margin.
+ * A job counts as submitted later than another only from this interval on, in milliseconds. Tasks wait in the order of their
+ * due times. A job of one step is due earlier than a job of three steps by two steps of 200 ms, twice (as set by
+ * `callers.ts` and the stand-in). The rest is a margin.
  */
 const submissionToleranceMs = 2 * 2 * 200 + 200;
 
-/** What is judged. */
 export interface LostJobDetectorOptions {
 	checker: checkers.InvariantChecker;
-	/** What all workers hold together, in thousandths of a core. */
+	/** Total capacity of all workers, in thousandths of a core. */
 	milliCores: number;
 	/** How long a task runs, in milliseconds. */
 	workMs: (task: string) => number;
 }
 
 /**
- * A job that is being passed over: of the tasks that started since, and that ask for as much as its least one whose turn
- * has come, more belong to jobs that were handed in later than to others. Now and then one finds a gap out of its turn.
+ * A job that is being overtaken. Starts since `since` count if the task demands at least as much as the job's smallest task
+ * that is ready and not running. Most of them belong to jobs that were submitted later. A single task may find free capacity
+ * out of turn.
  */
 interface Overtaking {
-	/** In the judge's seconds. */
+	/** In seconds, as the checker counts them. */
 	since: number;
-	/** When something of the job last started or ended: from then on it is counted anew. */
+	/** When a run of the job last started or exited. If this changes, the count begins anew. */
 	progressAt: number;
-	/** In thousandths of a core. */
+	/** Demand of the job's smallest waiting task, in thousandths of a core. */
 	requiredMilliCores: number;
-	/** By how many. */
+	/** Starts of jobs that were submitted later, minus starts of other jobs. */
 	netOvertakes: number;
 }
 
-/** Reports jobs that are lost, from the end of the last fault on. */
+/** Reports lost jobs once the last fault is over. */
 export class LostJobDetector {
-	/** Nobody need wait any longer. */
+	/** Callers need not wait any longer. */
 	isWaitOver = false;
-	/** Seconds, as the judge counts them. */
+	/** Times in seconds, as the checker counts them. Infinity: the last fault is not over yet. */
 	private faultsOverAt = Infinity;
 	private deadlineAt = Infinity;
 	private lastBusyAt = 0;
@@ -76,7 +82,7 @@
 		return detector;
 	}
 
-	/** The last fault is over. */
+	/** Begins the time limits: the last fault is over. */
 	noteFaultsOver(): void {
 		const { checker, milliCores, workMs } = this.opts;
 		this.faultsOverAt = checker.now();
@@ -85,7 +91,7 @@
 		this.deadlineAt = this.faultsOverAt + (baseTimeoutMs + (workFactor * work) / milliCores) / 1_000;
 	}
 
-	/** To be called a few times a second. */
+	/** Checks all open jobs. Call it a few times a second. */
 	check(): void {
 		const { checker, milliCores } = this.opts;
 		const now = checker.now();
@@ -98,7 +104,7 @@
 		else if (checker.open().every((job) => this.lost.has(job)) && this.lost.size > 0) this.isWaitOver = true;
 	}
 
-	/** A job that stands still with half of the workers free. */
+	/** Reports a job without progress while half of the workers' capacity is free. */
 	private checkStalled(job: checkers.SoakJob, now: number): void {
 		if (
 			isOlder(
@@ -113,7 +119,10 @@
 			);
 	}
 
-	/** A task starts: other jobs, which would have had room there, are passed over or come after it in their turn. */
+	/**
+	 * Counts the start of a task for every other open job that would have fitted there: the task overtakes that job, or is
+	 * in turn.
+	 */
 	private noteStart(started: checkers.SoakJob, milliCores: number): void {
 		const { checker } = this.opts;
 		const now = checker.now();
@@ -133,19 +142,14 @@
 		}
 	}
 
-	/** How a job is being passed over; undefined: it is not. */
+	/** How a job is being overtaken. Undefined: it is not. */
 	private overtakingOf(job: checkers.SoakJob, isLater: boolean, now: number): Overtaking | undefined {
 		const known = this.overtakings.get(job);
 		if (known?.progressAt === job.lastProgressAt) return known;
 		this.overtakings.delete(job);
 		if (!isLater) return undefined;
 		const requiredMilliCores = this.opts.checker.minWaitingMilliCores(job);
-		const created = {
-			since: now,
-			progressAt: job.lastProgressAt,
-			requiredMilliCores,
-			netOvertakes: 0,
-		};
+		const created = { since: now, progressAt: job.lastProgressAt, requiredMilliCores, netOvertakes: 0 };
 		this.overtakings.set(job, created);
 		return created;
 	}
@@ -162,7 +166,7 @@
 	}
 }
 
-/** Whether `at` is longer ago than that; seconds, and milliseconds. */
+/** Whether `at` is more than `ms` milliseconds before `now`. Both are in seconds. */
 function isOlder(at: number, now: number, ms: number): boolean {
 	return (now - at) * 1_000 > ms;
 }
--- a/dev/soak/soak.ts
+++ b/dev/soak/soak.ts
@@ -1,4 +1,4 @@
-/** One randomized soak: boxes as processes under faults, callers, and what was judged of it all. */
+/** Runs one randomized soak: boxes as processes, injected faults, callers, and a checker of what callers and workers see. */
 import * as fs from 'node:fs';
 import * as callers from './callers.js';
 import * as clocks from '../../src/core/clock.js';
@@ -13,10 +13,10 @@
 import * as environments from './environment.js';
 import type * as workers from '../../stand-ins/fleet/workers.js';
 
-/** A run takes from so long to so long, in milliseconds, by the set of faults. */
+/** Shortest and longest duration of a run, in milliseconds, by set of faults. */
 const runMsBySet: Record<environments.FaultSet, { shortest: number; longest: number }> = {
 	1: { shortest: 50, longest: 900 },
-	// Leaves the workers as much to do, with the lasting ones.
+	// Shorter runs make up for the long-running tasks, so that the workers have as much work as in the first set.
 	2: { shortest: 50, longest: 500 },
 	3: { shortest: 50, longest: 500 },
 	4: { shortest: 50, longest: 500 },
@@ -26,23 +26,26 @@
 	8: { shortest: 50, longest: 500 },
 };
 
-/** With the later sets this part of the tasks outlasts a change of the owner: they take from so long to so long. */
+/**
+ * In every set but the first, this fraction of the tasks outlasts a change of the owner. These tasks take between the two
+ * times, in milliseconds.
+ */
 const longRunningFraction = 0.05;
 const longRunningMs = { shortest: 2_000, longest: 6_000 };
 
-/** How often it is looked whether jobs are lost, in milliseconds. */
+/** Interval between checks for lost jobs, in milliseconds. */
 const checkIntervalMs = 200;
 
-/** Far callers, in the set of planned stops. */
+/** Number of delayed callers in the sets of planned stops. */
 const delayedCallersCount = 24;
 
-/** Parts of runs that fail by themselves; a task fails three times in a row once in 30,000 tasks. */
+/** Fraction of the runs that fail by themselves. A task fails three times in a row once in 30,000 tasks. */
 const failingFraction = 0.03;
 
-/** Attempts that the stand-in's queues give a task. */
+/** Number of attempts that the stand-in's queues give a task. */
 const maxAttempts = 3;
 
-/** Sizes of a soak, and the folder for the logs of one that fails. */
+/** Options of one soak. `logs` is the folder for the logs of a soak that breaks a promise. */
 export interface SoakOptions {
 	seed: number;
 	seconds: number;
@@ -50,12 +53,12 @@
 	workers: number;
 	callers: number;
 	logs: string;
-	/** Whether they are kept also where nothing broke. */
+	/** Whether the logs are kept also if no promise was broken. */
 	keep: boolean;
 	faults: environments.FaultSet;
 }
 
-/** Plays one seed; returns the broken promises. */
+/** Runs one seed. Returns the promises that it broke. */
 export async function runSeed(opts: SoakOptions): Promise<checkers.Violation[]> {
 	const startedAt = clocks.systemClock.now();
 	const seconds = (): number => Math.round((clocks.systemClock.now() - startedAt) / 10) / 100;
@@ -96,12 +99,7 @@
 	const delayedCallersDone = Array.from(
 		{ length: environments.hasDelayedCallers(opts.faults) ? delayedCallersCount : 0 },
 		(_, number) =>
-			delayedCallers.call({
-				environment,
-				checker,
-				nextRandom: random.seeded(opts.seed + 3 + number),
-				until,
-			}),
+			delayedCallers.call({ environment, checker, nextRandom: random.seeded(opts.seed + 3 + number), until }),
 	);
 	await Promise.all([
 		injectionDone,
@@ -119,13 +117,13 @@
 	return checker.violations;
 }
 
-/** A run that ends by itself. */
+/** Plan of a run that exits by itself. */
 type FinitePlan = workers.RunPlan & { ms: number };
 
-/** How a run goes: the same for every soak with a set of faults. */
+/** Returns the function that plans a run. The plans are the same for every soak with this set of faults. */
 function plannerFor(faultSet: environments.FaultSet): (task: string, run: number) => FinitePlan {
 	return (task, run) => {
-		// Never the last attempt: a job that fails by itself is not lost.
+		// Never the last attempt: the job would fail, and callers report a failed job as lost.
 		const fails = random.seeded(random.hash(`${task} ${run}`))() < failingFraction && run % maxAttempts === 1;
 		const nextRandom = random.seeded(random.hash(task));
 		const isLongRunning =
@@ -136,12 +134,12 @@
 			how: fails ? 'failed' : 'done',
 		};
 		const crashMs = environments.hasCrashingTasks(faultSet) ? crashing.crashMsOf(task) : undefined;
-		// It works on until it brings its worker down.
+		// Twice the delay of the crash, so that the task still runs when it crashes its worker.
 		return crashMs === undefined ? plan : { ...plan, ms: 2 * crashMs, crashMs };
 	};
 }
 
-/** Writes what the boxes logged, the faults and the broken promises to a folder. */
+/** Writes the boxes' logs, the faults and the broken promises to a folder. */
 function writeLogs(
 	opts: SoakOptions,
 	environment: environments.Environment,
--- a/dev/soak/worker-faults.ts
+++ b/dev/soak/worker-faults.ts
@@ -1,15 +1,15 @@
-/** Faults of workers and of what the store lists of them. */
+/** Faults of workers and of the store's list of workers. */
 import * as boxFaults from './box-faults.js';
 import * as random from '../random.js';
 import type * as environments from './environment.js';
 
-/** At one time so many workers crash at most: half of the usual six. */
+/** Maximum number of workers that crash at one time: half of the usual six. */
 const maxCrashed = 3;
 
-/** The entries of dead lives stay listed for about so long, in milliseconds: three heartbeats. */
+/** How long the entries of crashed incarnations stay listed, in milliseconds: about three heartbeats. */
 const staleEntryMs = 4_500;
 
-/** Some workers crash, and their next lives come at the same addresses. */
+/** Crashes some workers. Their next incarnations start at the same addresses. */
 function crashWorkers(environment: environments.Environment, nextRandom: () => number): string {
 	const count = random.between(nextRandom, 1, Math.min(maxCrashed, environment.workers.length));
 	const crashed = Array.from({ length: count }, () => random.pick(nextRandom, environment.workers));
@@ -21,13 +21,13 @@
 	return crashedNames.join(', ');
 }
 
-/** The store forgets its history: every box reads its lists again. */
+/** Makes the store forget its history, so that every box reads its lists again. */
 export function forget(environment: environments.Environment): string {
 	environment.platform.store.forget();
 	return 'the store';
 }
 
-/** What makes an owner read the list of workers anew. */
+/** Faults that make an owner read the list of workers again. */
 const rereadTriggers: environments.Fault[] = [
 	forget,
 	boxFaults.killOwner,
@@ -37,7 +37,7 @@
 	},
 ];
 
-/** Workers crash, and the list is read while it holds both their lives. */
+/** Crashes workers, and has the list read while it holds both incarnations of each. */
 async function crashAndReread(
 	environment: environments.Environment,
 	nextRandom: () => number,
@@ -49,12 +49,15 @@
 	return `${crashedNames}, ${await triggerReread(environment, nextRandom, durationMs)}`;
 }
 
-/** A room shrinks to a part of what it was, for longer than that takes to count. */
+/**
+ * Bounds of a reduced capacity, in thousandths of a core. The reduction outlasts the duration of the fault by the time that
+ * it takes to count, in milliseconds.
+ */
 const minReducedMilliCores = 4_000;
 const maxReducedMilliCores = 24_000;
 const extraReducedMs = 4_500;
 
-/** A worker's room shrinks and grows again; once at a time. */
+/** Reduces the capacity of a worker for a while, once at a time. */
 export async function reduceCapacity(
 	environment: environments.Environment,
 	nextRandom: () => number,
@@ -67,10 +70,10 @@
 	return `${worker.id} to ${String(milliCores)}`;
 }
 
-/** An evacuation outlasts the time after which it has to be heeded by so long at least, in milliseconds. */
+/** An evacuation lasts at least this long, in milliseconds: longer than the time after which it has to be in effect. */
 const evacuationEffectiveMs = 5_500;
 
-/** The workers' zone is evacuated and taken back; once at a time. */
+/** Evacuates the workers' zone and reopens it, once at a time. */
 export async function evacuateZone(
 	environment: environments.Environment,
 	_next: () => number,
@@ -81,10 +84,10 @@
 	return 'all workers';
 }
 
-/** A worker that restarts is down for so long at most, in milliseconds: from at once to as long as after a crash. */
+/** Maximum time for which a restarting worker is down, in milliseconds: from at once to as long as after a crash. */
 const maxDownMs = 3_000;
 
-/** Some workers start again under the names that they had, one after the other or at once. */
+/** Restarts some workers under their names, one after the other or at once. */
 async function restartWorkers(
 	environment: environments.Environment,
 	nextRandom: () => number,
@@ -102,14 +105,14 @@
 	return names.length === 0 ? boxFaults.notInjected : names.join(', ');
 }
 
-/** By name, for the fifth set. */
+/** Faults that the fifth set adds, by name. */
 export const restartFaults: Record<string, environments.Fault> = {
 	'worker-restarted': restartWorkers,
-	// Twice as often as other faults.
+	// A second entry makes restarts twice as frequent as other faults.
 	'worker-restarted-again': restartWorkers,
 };
 
-/** By name, for the sets of faults. */
+/** Faults of the second and later sets, by name. */
 export const faults: Record<string, environments.Fault> = {
 	'worker-crashed': crashWorkers,
 	'worker-crashed-and-list-read': crashAndReread,
--- a/test/soak-lost-jobs.test.ts
+++ b/test/soak-lost-jobs.test.ts
@@ -1,4 +1,6 @@
-/** The soak's limit: a backlog that is worked off is no loss, a job that stands still or is passed over is one. */
+/**
+ * The soak's time limits: a backlog that is processed in turn is not lost, a job that makes no progress or is overtaken is.
+ */
 import test from 'ava';
 import * as checkers from '../dev/soak/invariant-checker.js';
 import * as lostJobs from '../dev/soak/lost-jobs.js';
@@ -6,17 +8,17 @@
 const workerMilliCores = 32_000;
 const runMs = 1_000;
 
-/** Longer than any job may stand still, in seconds. */
+/** Longer than any job may go without progress, in seconds. */
 const beyondTimeoutSeconds = 25;
 
 interface TestSetup {
 	checker: checkers.InvariantChecker;
 	detector: lostJobs.LostJobDetector;
-	/** Lets so many seconds pass, with a look at each. */
+	/** Advances the time by a number of seconds, with a check after each. */
 	advance: (seconds: number, each?: (second: number) => void) => void;
-	/** A job of one task that is accepted. */
+	/** Submits a job of one task, which is accepted. */
 	accept: (id: string, milliCores?: number) => checkers.SoakJob;
-	/** A job's task starts, and ends as done; callers are told. */
+	/** Starts a job's task and ends it as done; callers learn that the job has completed. */
 	complete: (job: checkers.SoakJob) => void;
 }
 
@@ -70,7 +72,7 @@
 	};
 }
 
-/** A job of 16 hex digits. */
+/** The id of a job: 16 hex digits. */
 function idOf(number: number): string {
 	return number.toString(16).padStart(16, '0');
 }
@@ -79,7 +81,7 @@
 	return checker.violations.map(({ promise, detail }) => `${promise} ${detail.split(' ')[0] ?? ''}`);
 }
 
-test('a backlog that is worked off in turn with the workers full is no loss, however long it takes', (t) => {
+test('a backlog that is processed in turn with the workers full is not lost, however long it takes', (t) => {
 	const { checker, detector, advance, accept, complete } = makeSetup();
 	const backlog = Array.from({ length: 100 }, (_, number) => accept(idOf(number), workerMilliCores));
 	detector.noteFaultsOver();
@@ -96,7 +98,7 @@
 	t.false(detector.isWaitOver);
 });
 
-test('a job that stands still with workers free is lost, though others go on', (t) => {
+test('a job without progress while workers are free is lost, though others go on', (t) => {
 	const { checker, detector, advance, accept, complete } = makeSetup();
 	const stalled = accept(idOf(0), 2_000);
 	detector.noteFaultsOver();
@@ -107,7 +109,7 @@
 	t.true(detector.isWaitOver);
 });
 
-test('a job that later ones of its shape overtake for long is lost, though the workers are full', (t) => {
+test('a job that later jobs of the same size keep overtaking is lost, though the workers are full', (t) => {
 	const { checker, detector, advance, accept, complete } = makeSetup();
 	const overtaken = accept(idOf(0), workerMilliCores);
 	detector.noteFaultsOver();
@@ -120,7 +122,7 @@
 	t.regex(checker.violations[0]?.detail ?? '', /passed over/);
 });
 
-test('a job that waits for its turn is not passed over by a few that find a gap', (t) => {
+test('a job that waits for its turn is not lost if a few others find free capacity', (t) => {
 	const { checker, detector, advance, accept, complete } = makeSetup();
 	const backlog = Array.from({ length: 60 }, (_, number) => accept(idOf(number), workerMilliCores));
 	const waiting = accept(idOf(60), workerMilliCores);
@@ -135,7 +137,7 @@
 	t.deepEqual(checker.open(), [waiting]);
 });
 
-test('all open jobs are lost once nothing starts or ends any more, or the time is over', (t) => {
+test('all open jobs are lost once no run starts or exits any more, or the time limit is over', (t) => {
 	const idle = makeSetup();
 	const hung = idle.accept(idOf(0));
 	idle.checker.running = () => [{ worker: 'w1', task: `${hung.id}.0.0.0` }];
@@ -152,7 +154,7 @@
 	t.deepEqual(lost(busy.checker), [`lost ${retried.id}`]);
 });
 
-test('nothing is lost before the last fault is over', (t) => {
+test('no job is lost before the last fault is over', (t) => {
 	const { checker, detector, advance, accept } = makeSetup();
 	accept(idOf(0));
 	advance(beyondTimeoutSeconds);
