--- a/dev/measure/dispatch-load.ts
+++ b/dev/measure/dispatch-load.ts
@@ -44,10 +44,10 @@
 	const capacity = { milliCores: pattern.workerMilliCores, memoryMb: 128_000, accelerators: 0 };
 	for (let number = 1; number <= workers; number += 1) fleet.add(`w${String(number)}`, { capacity });
 	const owner = await takeOver();
-	await clock.pass(500);
+	await clock.advance(500);
 	const [resident, arriving] = split(pattern.arrivals);
 	for (const one of resident) void submit(owner, jobOf(one));
-	await clock.pass(settleMs);
+	await clock.advance(settleMs);
 	const session = new inspector.Session();
 	session.connect();
 	await session.post('Profiler.enable');
@@ -56,14 +56,14 @@
 	const startsBefore = fleet.starts.length;
 	const from = clock.now();
 	for (const one of arriving) {
-		await clock.pass(Math.max(0, from + one.atMs - clock.now()));
+		await clock.advance(Math.max(0, from + one.atMs - clock.now()));
 		owner.dispatcher.addJob({
 			...jobOf(one),
 			acceptedAt: clock.wall(),
 			acceptedUnder: owner.ledger.generation,
 		});
 	}
-	await clock.pass(Math.max(0, from + lengthMs - clock.now()));
+	await clock.advance(Math.max(0, from + lengthMs - clock.now()));
 	const { profile } = await session.post('Profiler.stop');
 	session.disconnect();
 	const usage = usageOf(profile);
--- a/dev/soak/box-faults.ts
+++ b/dev/soak/box-faults.ts
@@ -58,7 +58,7 @@
 		// A box that already has a fault may be the last one left, or another fault may be restarting it.
 		if (owner !== undefined && isFaultFree(environment, owner)) {
 			const others = environment.boxes.filter((box) => areOthersCutOff && box !== owner);
-			const undos = others.map((box) => box.store.trouble({ kind: 'freeze' }));
+			const undos = others.map((box) => box.store.addFault({ kind: 'freeze' }));
 			for (const box of others) environment.noteFault(box, restartDelayMs + cutOffMs);
 			await restart(environment, owner);
 			killed.push(areOthersCutOff ? `${owner.name} (others without store)` : owner.name);
--- a/dev/soak/environment.ts
+++ b/dev/soak/environment.ts
@@ -250,10 +250,10 @@
 	/** Crashes a worker with what runs there. It is back after `downMs` milliseconds. */
 	crashWorker(incarnation: workers.FakeWorker, downMs = crashing.downMs): void {
 		const worker = this.workers.find((one) => one.id === incarnation.name);
-		if (worker === undefined || incarnation.dead) return;
+		if (worker === undefined || incarnation.terminated) return;
 		const { incarnationCount } = worker;
 		this.platform.fleet.takeDown(incarnation);
-		this.platform.silence(worker.id);
+		this.platform.stopHeartbeats(worker.id);
 		clocks.systemClock.after(downMs, () => {
 			// Another fault may have restored the worker already.
 			if (!this.isClosing && worker.incarnationCount === incarnationCount) this.restoreWorker(worker);
@@ -288,7 +288,7 @@
 		this.evacuatedAt = this.now();
 		this.platform.evacuate(workersZone);
 		await this.sleep(durationMs);
-		this.platform.takeBack(workersZone);
+		this.platform.cancelEvacuation(workersZone);
 		this.evacuatedAt = undefined;
 	}
 
@@ -346,7 +346,7 @@
 	private storeQueues(prefixes: string[]): void {
 		this.prefixes = prefixes;
 		this.version += 1;
-		this.platform.configure(this.version, host, prefixes);
+		this.platform.writeConfiguration(this.version, host, prefixes);
 	}
 
 	private noteChange(prefix: string, exists: boolean): void {
@@ -357,7 +357,7 @@
 	}
 
 	private async addWorker(id: string): Promise<void> {
-		const born = this.opts.faults >= 5 ? fleets.firstBornMs : undefined;
+		const born = this.opts.faults >= 5 ? fleets.initialBornMs : undefined;
 		const listedAs = async (listening: string): Promise<string> => {
 			await this.links.addLinks(listening);
 			return listening;
--- a/dev/soak/faults.ts
+++ b/dev/soak/faults.ts
@@ -49,7 +49,7 @@
 		injectStoreFault(environment, durationMs, 'lost'),
 	'store-writes-late': (environment, _next, durationMs) => injectStoreFault(environment, durationMs, 'late'),
 	'owner-name-revoked': (environment) => {
-		environment.platform.store.drop('woodcross/owner');
+		environment.platform.store.remove('woodcross/owner');
 		return 'owner';
 	},
 	...linkFaults.workerFaults,
@@ -66,7 +66,7 @@
 		const worker = random.pick(nextRandom, environment.workers);
 		const incarnation = environment.platform.fleet.workers.get(worker.id);
 		// The slowest clock rate that is stated for the users' workers.
-		if (incarnation !== undefined) incarnation.rate = 0.98;
+		if (incarnation !== undefined) incarnation.clockRate = 0.98;
 		return worker.id;
 	},
 	'configuration-changed': (environment) => {
--- a/dev/soak/invariant-checker.ts
+++ b/dev/soak/invariant-checker.ts
@@ -194,7 +194,7 @@
 		if (end.how === 'done') this.done.add(end.task);
 	}
 
-	forgotten(end: fleet.RunExit): void {
+	acknowledged(end: fleet.RunExit): void {
 		if (end.how === 'done') this.doneAcknowledged.add(end.task);
 	}
 
--- a/dev/soak/link-faults.ts
+++ b/dev/soak/link-faults.ts
@@ -59,13 +59,13 @@
 	'store-connections-silent': (environment, nextRandom) => {
 		const box = boxFaults.pickFaultFree(environment, nextRandom);
 		if (box === undefined) return boxFaults.notInjected;
-		box.store.silence();
+		box.store.stallConnections();
 		environment.noteFault(box, 0);
 		return box.name;
 	},
 	'all-connections-silent': (environment) => {
 		for (const box of environment.boxes) {
-			box.store.silence();
+			box.store.stallConnections();
 			environment.noteFault(box, 0);
 		}
 		environment.links.silence();
@@ -107,7 +107,7 @@
 		proxy.set({ kind: 'pass' });
 		return;
 	}
-	const undo = proxy.trouble(mode);
+	const undo = proxy.addFault(mode);
 	await environment.sleep(durationMs);
 	undo();
 }
--- a/dev/soak/links.ts
+++ b/dev/soak/links.ts
@@ -55,7 +55,7 @@
 	}
 
 	/** Translates between real addresses and the addresses at which a box reaches them. */
-	addressBookOf(box: string): addressViews.AddressBook {
+	addressBookOf(box: string): addressViews.AddressMap {
 		const findLink = (matches: (link: Link) => boolean): Link | undefined =>
 			this.links.findLast((link) => link.box === box && matches(link));
 		return {
@@ -77,7 +77,7 @@
 
 	/** Stalls all connections that are open now: they carry nothing any more. */
 	silence(): void {
-		for (const { proxy } of this.links) proxy.silence();
+		for (const { proxy } of this.links) proxy.stallConnections();
 	}
 
 	close(): void {
--- a/dev/soak/soak.ts
+++ b/dev/soak/soak.ts
@@ -133,9 +133,9 @@
 			ms: random.between(nextRandom, shortest, longest),
 			how: fails ? 'failed' : 'done',
 		};
-		const crashMs = environments.hasCrashingTasks(faultSet) ? crashing.crashMsOf(task) : undefined;
+		const crashAfterMs = environments.hasCrashingTasks(faultSet) ? crashing.crashMsOf(task) : undefined;
 		// Twice the delay of the crash, so that the task still runs when it crashes its worker.
-		return crashMs === undefined ? plan : { ...plan, ms: 2 * crashMs, crashMs };
+		return crashAfterMs === undefined ? plan : { ...plan, ms: 2 * crashAfterMs, crashAfterMs };
 	};
 }
 
--- a/dev/soak/worker-faults.ts
+++ b/dev/soak/worker-faults.ts
@@ -32,7 +32,7 @@
 	forget,
 	boxFaults.killOwner,
 	(environment) => {
-		environment.platform.store.drop('woodcross/owner');
+		environment.platform.store.remove('woodcross/owner');
 		return 'owner';
 	},
 ];
--- a/stand-ins/backend-server/main.ts
+++ b/stand-ins/backend-server/main.ts
@@ -9,7 +9,7 @@
 
 const z = zod.z;
 
-const fault = z.strictObject({
+const faultSchema = z.strictObject({
 	/** Milliseconds a request takes. */
 	serviceMs: z.number().default(Number(process.env.SERVICE_MS ?? '5')),
 	/** Close the connection of the next requests: before reading, after running, or halfway through the answer. */
@@ -21,19 +21,19 @@
 });
 
 /** A line for the journal, behind all that was written before. */
-const marker = z.strictObject({ mark: z.string() });
+const markerSchema = z.strictObject({ mark: z.string() });
 
 const slots = Number(process.env.SLOTS ?? '8');
-let faults = fault.parse({});
+let faults = faultSchema.parse({});
 let running = 0;
 
-function broken(kind: 'before' | 'after' | 'halfway'): boolean {
+function takeBreak(kind: 'before' | 'after' | 'halfway'): boolean {
 	if (faults.breakNext !== kind || faults.breakCount <= 0) return false;
 	faults.breakCount -= 1;
 	return true;
 }
 
-async function readAll(req: http.IncomingMessage): Promise<Buffer> {
+async function readBody(req: http.IncomingMessage): Promise<Buffer> {
 	const chunks: Buffer[] = [];
 	for await (const chunk of req as AsyncIterable<Buffer>) chunks.push(chunk);
 	return Buffer.concat(chunks);
@@ -48,11 +48,11 @@
 
 /** Echoes the body, or `size` bytes of it where the query asks for more; broken off halfway on request. */
 async function answer(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-	if (broken('before')) {
+	if (takeBreak('before')) {
 		res.socket?.destroy();
 		return;
 	}
-	const body = await readAll(req);
+	const body = await readBody(req);
 	if (faults.leaving || running >= slots) {
 		refuse(res);
 		return;
@@ -68,30 +68,30 @@
 		process.stdout.write(`${JSON.stringify({ run: { ...run, at: Date.now(), running } })}\n`);
 	if (faults.serviceMs > 0) await new Promise((resolve) => setTimeout(resolve, faults.serviceMs));
 	running -= 1;
-	if (broken('after')) {
+	if (takeBreak('after')) {
 		res.socket?.destroy();
 		return;
 	}
 	const size = Number(url.searchParams.get('size') ?? '0');
-	const out = size > 0 ? Buffer.alloc(size, body.length > 0 ? body : 'w') : body;
+	const responseBody = size > 0 ? Buffer.alloc(size, body.length > 0 ? body : 'w') : body;
 	res.setHeader('content-type', 'application/octet-stream');
 	res.setHeader('x-request-id', req.headers['x-request-id'] ?? '');
-	res.setHeader('content-length', out.length);
-	if (broken('halfway')) {
-		res.write(out.subarray(0, Math.ceil(out.length / 2)), () => res.socket?.destroy());
+	res.setHeader('content-length', responseBody.length);
+	if (takeBreak('halfway')) {
+		res.write(responseBody.subarray(0, Math.ceil(responseBody.length / 2)), () => res.socket?.destroy());
 		return;
 	}
-	res.end(out);
+	res.end(responseBody);
 }
 
 const app = new h3.H3()
 	.post('/fault', async (event) => {
-		faults = fault.parse(await event.req.json());
+		faults = faultSchema.parse(await event.req.json());
 		return faults;
 	})
 	.get('/running', () => ({ running }))
 	.post('/mark', async (event) => {
-		const { mark } = marker.parse(await event.req.json());
+		const { mark } = markerSchema.parse(await event.req.json());
 		process.stdout.write(`${JSON.stringify({ mark })}\n`);
 		return { mark };
 	})
--- a/stand-ins/fleet/busy-processor.ts
+++ b/stand-ins/fleet/busy-processor.ts
@@ -13,9 +13,9 @@
 /** A processor that does one thing at a time, in the order in which it was asked. */
 export class BusyProcessor {
 	/** How long it was in use so far, in milliseconds. */
-	usedMs = 0;
+	busyMs = 0;
 	/** How much longer everything waits, in milliseconds: other work comes before it. */
-	delayMs = 0;
+	extraDelayMs = 0;
 	private readonly queue: queues.SerialQueue;
 
 	private constructor(
@@ -30,7 +30,7 @@
 	}
 
 	/** How long what is asked for now has to wait, in milliseconds. */
-	get queueMs(): number {
+	get queueWaitMs(): number {
 		return this.queue.waitMs;
 	}
 
@@ -38,10 +38,10 @@
 	workers(calls: fleet.WorkerCalls): fleet.WorkerCalls {
 		return {
 			...calls,
-			start: (at, order) => this.call(() => calls.start(at, order)),
+			start: (at, command) => this.call(() => calls.start(at, command)),
 			stop: (at, task, run, token) => this.call(() => calls.stop(at, task, run, token)),
 			pace: (at, task, run, percent, token) => this.call(() => calls.pace(at, task, run, percent, token)),
-			requestReport: (at, order) => this.call(() => calls.requestReport(at, order)),
+			requestReport: (at, request) => this.call(() => calls.requestReport(at, request)),
 		};
 	}
 
@@ -56,7 +56,7 @@
 	}
 
 	/** The clock as the process sees it: what a timer does waits for the processor. */
-	timers(): clocks.Clock {
+	delayedClock(): clocks.Clock {
 		const { clock } = this;
 		return {
 			now: () => clock.now(),
@@ -64,7 +64,7 @@
 			resumedAt: () => clock.resumedAt(),
 			after: (ms, fn) => {
 				let timer = clock.after(ms, () => {
-					timer = clock.after(this.queueMs, fn);
+					timer = clock.after(this.queueWaitMs, fn);
 				});
 				return {
 					cancel: () => {
@@ -76,16 +76,16 @@
 	}
 
 	private async call<T>(send: () => Promise<T>): Promise<T> {
-		await this.use(this.costs.send);
+		await this.occupy(this.costs.send);
 		const res = await send();
-		await this.use(this.costs.answer);
+		await this.occupy(this.costs.answer);
 		return res;
 	}
 
 	/** Resolves once so much has been done behind all that was asked for before. */
-	private use(ms: number): Promise<void> {
-		this.usedMs += ms;
-		const waitMs = this.queue.take(ms) + this.delayMs;
+	private occupy(ms: number): Promise<void> {
+		this.busyMs += ms;
+		const waitMs = this.queue.enqueue(ms) + this.extraDelayMs;
 		return new Promise((resolve) => {
 			this.clock.after(waitMs, resolve);
 		});
--- a/stand-ins/fleet/load-patterns.ts
+++ b/stand-ins/fleet/load-patterns.ts
@@ -24,7 +24,7 @@
 	/** What each of them holds, in thousandths of a core. */
 	workerMilliCores: number;
 	/** How long jobs arrive, in milliseconds. */
-	lengthMs: number;
+	arrivalPeriodMs: number;
 	/** The earliest first. */
 	arrivals: Arrival[];
 	/** How the run of a task goes. */
@@ -32,160 +32,197 @@
 }
 
 /** What is handed in, and what it is like. */
-interface Mix {
+interface JobMix {
 	/** Jobs that a second of traffic brings a worker. */
-	perWorkerS: Record<WorkKind, number>;
+	jobsPerWorkerPerS: Record<WorkKind, number>;
 	/** Tasks of a wide step, and of an urgent one, at least and at most. */
-	wideCount: [number, number];
-	urgentCount: [number, number];
+	wideTaskCount: [number, number];
+	urgentTaskCount: [number, number];
 	/** Thousandths of a core of a task, at least and at most. */
 	wideMilliCores: [number, number];
 	urgentMilliCores: [number, number];
 	lastingMilliCores: [number, number];
 	/** How long tasks run on average, in milliseconds. */
-	wideMs: number;
-	urgentMs: number;
+	meanWideTaskMs: number;
+	meanUrgentTaskMs: number;
 	/** What a worker holds, in thousandths of a core. */
 	workerMilliCores: number;
 }
 
 /** A busy printing fleet's. */
-const printing: Mix = {
-	perWorkerS: { urgent: 0.0303, wide: 0.0295, lasting: 0.00107 },
-	wideCount: [8, 70],
-	urgentCount: [3, 16],
+const printingMix: JobMix = {
+	jobsPerWorkerPerS: { urgent: 0.0303, wide: 0.0295, lasting: 0.00107 },
+	wideTaskCount: [8, 70],
+	urgentTaskCount: [3, 16],
 	wideMilliCores: [2_500, 4_500],
 	urgentMilliCores: [4_000, 9_000],
 	lastingMilliCores: [5_000, 8_000],
-	wideMs: 1_700,
-	urgentMs: 640,
+	meanWideTaskMs: 1_700,
+	meanUrgentTaskMs: 640,
 	workerMilliCores: 32_000,
 };
 
 /** Twice as much batch work, of smaller tasks on smaller workers. */
-const smallTasks: Mix = {
-	perWorkerS: { urgent: 0.0344, wide: 0.0612, lasting: 0.0015 },
-	wideCount: [8, 32],
-	urgentCount: [3, 17],
+const smallTasksMix: JobMix = {
+	jobsPerWorkerPerS: { urgent: 0.0344, wide: 0.0612, lasting: 0.0015 },
+	wideTaskCount: [8, 32],
+	urgentTaskCount: [3, 17],
 	wideMilliCores: [1_000, 2_600],
 	urgentMilliCores: [1_000, 2_600],
 	lastingMilliCores: [2_500, 4_000],
-	wideMs: 2_200,
-	urgentMs: 800,
+	meanWideTaskMs: 2_200,
+	meanUrgentTaskMs: 800,
 	workerMilliCores: 16_000,
 };
 
 /** Much batch work of large tasks on large workers: an owner's processor is nearly full with it. */
-const largeWorkers: Mix = {
-	perWorkerS: { urgent: 0.028, wide: 0.0534, lasting: 0.0005 },
-	wideCount: [8, 32],
-	urgentCount: [3, 16],
+const largeWorkersMix: JobMix = {
+	jobsPerWorkerPerS: { urgent: 0.028, wide: 0.0534, lasting: 0.0005 },
+	wideTaskCount: [8, 32],
+	urgentTaskCount: [3, 16],
 	wideMilliCores: [4_000, 10_000],
 	urgentMilliCores: [5_000, 17_000],
 	lastingMilliCores: [4_000, 8_000],
-	wideMs: 1_700,
-	urgentMs: 800,
+	meanWideTaskMs: 1_700,
+	meanUrgentTaskMs: 800,
 	workerMilliCores: 64_000,
 };
 
 /** Lasting jobs a worker that are there at the beginning: they reserve nearly all cores. */
-const residentPerWorker = 0.17;
+const initialJobsPerWorker = 0.17;
 
 /** Tail of an idle serving task, and the target of its users, in milliseconds. */
-const tailMs = 25;
+const idleTailLatencyMs = 25;
 const targetMs = 150;
 
 const queues: Record<WorkKind, jobs.QueuePolicy> = {
-	urgent: queue('urgent', 0, 1.5, 250),
-	wide: queue('wide', 2, 2, 1_000),
-	lasting: queue('lasting', 0, 2.2, 2_500),
+	urgent: createQueuePolicy('urgent', 0, 1.5, 250),
+	wide: createQueuePolicy('wide', 2, 2, 1_000),
+	lasting: createQueuePolicy('lasting', 0, 2.2, 2_500),
 };
 
 /** How a load differs from steady traffic. */
 export interface LoadShape {
 	/** Wide jobs arrive at so many times the usual rate from `fromMs` on, for `forMs`. */
-	burst?: { factor: number; fromMs: number; forMs: number };
+	burst?: { factor: number; fromMs: number; burstMs: number };
 	/** Nothing is handed in before this; then all of it at once. */
-	heldBackMs?: number;
+	delayedUntilMs?: number;
 	/** Tasks run so many times longer than usual. */
 	slowdown?: number;
 	/** Absent: a busy printing fleet's. */
-	mix?: Mix;
+	mix?: JobMix;
 }
 
 /** The shapes that have names. */
-export const shapes: Record<string, LoadShape> = {
+export const loadShapes: Record<string, LoadShape> = {
 	steady: {},
-	burst: { burst: { factor: 2.6, fromMs: 2_000, forMs: 4_000 } },
-	comeback: { heldBackMs: 4_000 },
+	burst: { burst: { factor: 2.6, fromMs: 2_000, burstMs: 4_000 } },
+	comeback: { delayedUntilMs: 4_000 },
 	slow: { slowdown: 3 },
-	'large-workers-burst': { mix: largeWorkers, burst: { factor: 1.4, fromMs: 4_000, forMs: 6_000 } },
-	'small-tasks': { mix: smallTasks },
-	'small-tasks-burst': { mix: smallTasks, burst: { factor: 2.6, fromMs: 2_000, forMs: 4_000 } },
+	'large-workers-burst': { mix: largeWorkersMix, burst: { factor: 1.4, fromMs: 4_000, burstMs: 6_000 } },
+	'small-tasks': { mix: smallTasksMix },
+	'small-tasks-burst': { mix: smallTasksMix, burst: { factor: 2.6, fromMs: 2_000, burstMs: 4_000 } },
 };
 
 /** Traffic in proportion to the workers. */
-export function createPattern(name: string, workers: number, lengthMs: number, seed: number): LoadPattern {
-	const shape = shapes[name];
+export function createPattern(
+	name: string,
+	workers: number,
+	arrivalPeriodMs: number,
+	seed: number,
+): LoadPattern {
+	const shape = loadShapes[name];
 	if (shape === undefined) throw new Error(`no load is called '${name}'`);
-	const { mix = printing } = shape;
+	const { mix = printingMix } = shape;
 	const next = random.seeded(seed);
-	const resident = Math.round(workers * residentPerWorker);
+	const initialJobs = Math.round(workers * initialJobsPerWorker);
 	const arrivals: Arrival[] = [];
-	for (let number = 0; number < resident; number += 1) arrivals.push(arrive('lasting', number, 0, mix, next));
+	for (let index = 0; index < initialJobs; index += 1)
+		arrivals.push(createArrival('lasting', index, 0, mix, next));
 	for (const kind of kinds) {
-		const gapMs = 1_000 / (mix.perWorkerS[kind] * workers);
-		for (let atMs = gapMs * next(); atMs < lengthMs; atMs += gapOf(kind, gapMs, atMs, shape, next))
-			arrivals.push(arrive(kind, arrivals.length, Math.max(atMs, shape.heldBackMs ?? 0), mix, next));
+		const meanIntervalMs = 1_000 / (mix.jobsPerWorkerPerS[kind] * workers);
+		for (
+			let atMs = meanIntervalMs * next();
+			atMs < arrivalPeriodMs;
+			atMs += nextIntervalMs(kind, meanIntervalMs, atMs, shape, next)
+		)
+			arrivals.push(
+				createArrival(kind, arrivals.length, Math.max(atMs, shape.delayedUntilMs ?? 0), mix, next),
+			);
 	}
 	arrivals.sort((a, b) => a.atMs - b.atMs);
-	const plan = (task: string): types.RunPlan => planOf(task, mix, shape.slowdown ?? 1);
-	return { name, workers, workerMilliCores: mix.workerMilliCores, lengthMs, arrivals, plan };
+	const plan = (task: string): types.RunPlan => createRunPlan(task, mix, shape.slowdown ?? 1);
+	return {
+		name,
+		workers,
+		workerMilliCores: mix.workerMilliCores,
+		arrivalPeriodMs,
+		arrivals,
+		plan,
+	};
 }
 
-function gapOf(kind: WorkKind, gapMs: number, atMs: number, shape: LoadShape, next: () => number): number {
+function nextIntervalMs(
+	kind: WorkKind,
+	meanIntervalMs: number,
+	atMs: number,
+	shape: LoadShape,
+	next: () => number,
+): number {
 	const { burst } = shape;
 	const isBurst =
-		burst !== undefined && kind === 'wide' && atMs >= burst.fromMs && atMs < burst.fromMs + burst.forMs;
-	return ((0.5 + next()) * gapMs) / (isBurst ? burst.factor : 1);
+		burst !== undefined && kind === 'wide' && atMs >= burst.fromMs && atMs < burst.fromMs + burst.burstMs;
+	return ((0.5 + next()) * meanIntervalMs) / (isBurst ? burst.factor : 1);
 }
 
-function queue(name: string, priority: number, stretch: number, objectiveMs: number): jobs.QueuePolicy {
+function createQueuePolicy(
+	name: string,
+	priority: number,
+	stretch: number,
+	objectiveMs: number,
+): jobs.QueuePolicy {
 	return { name, pool: 'press', priority, attempts: 3, stretch, objectiveMs, advised: false };
 }
 
-function arrive(kind: WorkKind, number: number, atMs: number, mix: Mix, next: () => number): Arrival {
-	const id = `${kind}-${String(number)}`;
-	return { atMs, kind, record: { id, queue: queues[kind], steps: stepsOf(kind, mix, next) } };
+function createArrival(
+	kind: WorkKind,
+	index: number,
+	atMs: number,
+	mix: JobMix,
+	next: () => number,
+): Arrival {
+	const id = `${kind}-${String(index)}`;
+	return { atMs, kind, record: { id, queue: queues[kind], steps: createSteps(kind, mix, next) } };
 }
 
-function stepsOf(kind: WorkKind, mix: Mix, next: () => number): jobs.StepSpec[] {
+function createSteps(kind: WorkKind, mix: JobMix, next: () => number): jobs.StepSpec[] {
 	if (kind === 'lasting') {
 		const image = `serving-${String(random.between(next, 1, 16))}`;
 		const milliCores = random.between(next, ...mix.lastingMilliCores);
 		return [
-			{ ...plainStep, count: random.between(next, 12, 36), milliCores, lasting: true, image, targetMs },
+			{ ...defaultStep, count: random.between(next, 12, 36), milliCores, lasting: true, image, targetMs },
 		];
 	}
 	const isWide = kind === 'wide';
-	const count = random.between(next, ...(isWide ? mix.wideCount : mix.urgentCount));
+	const count = random.between(next, ...(isWide ? mix.wideTaskCount : mix.urgentTaskCount));
 	const milliCores = random.between(next, ...(isWide ? mix.wideMilliCores : mix.urgentMilliCores));
 	const image = isWide ? `filling-${String(random.between(next, 1, 30))}` : '';
-	const spec = { ...plainStep, count, milliCores, image, fills: isWide, checkpoints: isWide };
+	const spec = { ...defaultStep, count, milliCores, image, fills: isWide, checkpoints: isWide };
 	const steps = isWide ? 2 : random.between(next, 1, 2);
 	return Array.from({ length: steps }, (_, i) => ({ ...spec, after: i === 0 ? [] : [i - 1] }));
 }
 
 /** The same for a task whenever it is asked. */
-function planOf(task: string, mix: Mix, slowdown: number): types.RunPlan {
-	const part = (random.hash(task) % 1_000) / 1_000;
-	if (task.startsWith('lasting')) return { ms: 'endless', how: 'done', reading: tailMs * (1 + 4 * part) };
-	const meanMs = task.startsWith('wide') ? mix.wideMs : mix.urgentMs;
-	return { ms: meanMs * (0.5 + part) * slowdown, how: 'done', reading: 3_000 };
+function createRunPlan(task: string, mix: JobMix, slowdown: number): types.RunPlan {
+	const fraction = (random.hash(task) % 1_000) / 1_000;
+	if (task.startsWith('lasting'))
+		return { ms: 'endless', how: 'done', reading: idleTailLatencyMs * (1 + 4 * fraction) };
+	const meanMs = task.startsWith('wide') ? mix.meanWideTaskMs : mix.meanUrgentTaskMs;
+	return { ms: meanMs * (0.5 + fraction) * slowdown, how: 'done', reading: 3_000 };
 }
 
 /** A step that asks for nothing particular. */
-export const plainStep: jobs.StepSpec = {
+export const defaultStep: jobs.StepSpec = {
 	count: 1,
 	milliCores: 1_000,
 	memoryMb: 500,
--- a/stand-ins/fleet/memory-store.ts
+++ b/stand-ins/fleet/memory-store.ts
@@ -7,10 +7,10 @@
 export type StoreFault = 'none' | 'down' | 'lost' | 'late';
 
 /** Until a caller gives up on an answer, in milliseconds. */
-const giveUpMs = 1_000;
+const callTimeoutMs = 1_000;
 
 /** How much later than its caller gave up a late write is done, in milliseconds. */
-const lateMs = 3_000;
+const lateDelayMs = 3_000;
 
 interface Entry {
 	value: Uint8Array;
@@ -41,7 +41,7 @@
 	private readonly entries = new Map<string, Entry>();
 	private history: platform.StoreChange[] = [];
 	/** Changes up to this revision are not known any more. */
-	private forgottenUpTo = 0;
+	private compactedUpTo = 0;
 	private readonly leases = new Map<string, { ttlMs: number; timer: clocks.Timer }>();
 	private waiters: Waiter[] = [];
 	private nextLease = 1;
@@ -61,27 +61,27 @@
 			list: (prefix) => read(() => ({ items: this.list(prefix), revision: this.revision })),
 			commit: (txn) => write(() => this.commit(txn)),
 			follow: (prefix, after, waitMs) => this.follow(prefix, after, waitMs, fault),
-			grantLease: (ttlMs) => write(() => this.grant(ttlMs)),
+			grantLease: (ttlMs) => write(() => this.grantLease(ttlMs)),
 			keepLease: (lease) => read(() => this.keep(lease)),
-			endLease: (lease) => write(() => this.lapse(lease)),
+			endLease: (lease) => write(() => this.endLease(lease)),
 		};
 	}
 
 	/** Writes a key whatever its version: what operators and workers do. */
 	put(key: string, value: Uint8Array): void {
-		this.apply(key, value);
+		this.applyChange(key, value);
 	}
 
 	/** Removes a key, as the platform may at any time. */
-	drop(key: string): void {
-		if (this.entries.has(key)) this.apply(key, undefined);
+	remove(key: string): void {
+		if (this.entries.has(key)) this.applyChange(key, undefined);
 	}
 
 	/** Forgets all changes so far: whoever follows from before has to read the list again. */
 	forget(): void {
 		this.history = [];
-		this.forgottenUpTo = this.revision;
-		for (const waiter of [...this.waiters]) if (waiter.after < this.forgottenUpTo) this.answer(waiter);
+		this.compactedUpTo = this.revision;
+		for (const waiter of [...this.waiters]) if (waiter.after < this.compactedUpTo) this.answer(waiter);
 	}
 
 	/** Keys that stand in the store. */
@@ -96,12 +96,12 @@
 
 	private async write<T>(fault: () => StoreFault, fn: () => T): StoreResult<T> {
 		await this.sleep(this.writeMs);
-		const now = fault();
-		if (now === 'down') return refused;
-		if (now === 'none') return results.ok(fn());
-		if (now === 'lost') fn();
-		else this.clock.after(giveUpMs + lateMs, () => void fn());
-		await this.sleep(giveUpMs);
+		const currentFault = fault();
+		if (currentFault === 'down') return refused;
+		if (currentFault === 'none') return results.ok(fn());
+		if (currentFault === 'lost') fn();
+		else this.clock.after(callTimeoutMs + lateDelayMs, () => void fn());
+		await this.sleep(callTimeoutMs);
 		return unanswered;
 	}
 
@@ -115,8 +115,10 @@
 	}
 
 	private commit(txn: platform.Transaction): platform.CommitOutcome {
-		const holds = txn.expected.every((one) => (this.entries.get(one.key)?.version ?? 0) === one.version);
-		if (!holds)
+		const versionsMatch = txn.expected.every(
+			(one) => (this.entries.get(one.key)?.version ?? 0) === one.version,
+		);
+		if (!versionsMatch)
 			return { type: 'conflict', current: txn.expected.flatMap((one) => this.stored(one.key) ?? []) };
 		if (txn.writes.some((one) => one.lease !== undefined && !this.leases.has(one.lease)))
 			return { type: 'lease-gone' };
@@ -124,14 +126,14 @@
 		this.revision += 1;
 		for (const one of txn.writes) this.set(one.key, one.value, one.lease);
 		for (const key of txn.removes) this.set(key, undefined);
-		this.wake();
+		this.answerMatchingWaiters();
 		return { type: 'committed', version: this.revision };
 	}
 
-	private apply(key: string, value: Uint8Array | undefined): void {
+	private applyChange(key: string, value: Uint8Array | undefined): void {
 		this.revision += 1;
 		this.set(key, value);
-		this.wake();
+		this.answerMatchingWaiters();
 	}
 
 	private set(key: string, value: Uint8Array | undefined, lease?: string): void {
@@ -157,20 +159,20 @@
 				this.clock.after(waitMs, () => {
 					this.answer(waiter);
 				});
-				if (after < this.forgottenUpTo) this.answer(waiter);
-				else this.wake();
+				if (after < this.compactedUpTo) this.answer(waiter);
+				else this.answerMatchingWaiters();
 			});
 		});
 	}
 
-	private wake(): void {
+	private answerMatchingWaiters(): void {
 		for (const waiter of [...this.waiters]) if (this.changesFor(waiter).length > 0) this.answer(waiter);
 	}
 
 	private answer(waiter: Waiter): void {
 		if (!this.waiters.includes(waiter)) return;
 		this.waiters = this.waiters.filter((one) => one !== waiter);
-		if (waiter.after < this.forgottenUpTo) {
+		if (waiter.after < this.compactedUpTo) {
 			waiter.resolve(results.ok({ type: 'compacted' }));
 			return;
 		}
@@ -182,7 +184,7 @@
 		return this.history.filter((one) => one.version > waiter.after && one.key.startsWith(waiter.prefix));
 	}
 
-	private grant(ttlMs: number): string {
+	private grantLease(ttlMs: number): string {
 		const lease = String(this.nextLease);
 		this.nextLease += 1;
 		this.leases.set(lease, { ttlMs, timer: this.lapseTimer(lease, ttlMs) });
@@ -199,15 +201,15 @@
 
 	private lapseTimer(lease: string, ttlMs: number): clocks.Timer {
 		return this.clock.after(ttlMs, () => {
-			this.lapse(lease);
+			this.endLease(lease);
 		});
 	}
 
 	/** Ends a lease, and removes its keys. */
-	private lapse(lease: string): true {
+	private endLease(lease: string): true {
 		this.leases.get(lease)?.timer.cancel();
 		this.leases.delete(lease);
-		for (const [key, entry] of this.entries) if (entry.lease === lease) this.apply(key, undefined);
+		for (const [key, entry] of this.entries) if (entry.lease === lease) this.applyChange(key, undefined);
 		return true;
 	}
 
--- a/stand-ins/fleet/serial-queue.ts
+++ b/stand-ins/fleet/serial-queue.ts
@@ -17,7 +17,7 @@
 	}
 
 	/** Takes `ms` behind all that was asked for before; returns how long it is until that is over, in milliseconds. */
-	take(ms: number): number {
+	enqueue(ms: number): number {
 		const now = this.clock.now();
 		this.freeAt = Math.max(this.freeAt, now) + ms;
 		return this.freeAt - now;
--- a/stand-ins/fleet/slow-link.ts
+++ b/stand-ins/fleet/slow-link.ts
@@ -5,7 +5,7 @@
 import type * as platform from '../../src/core/platform/types.js';
 
 /** What an order to a worker takes beside the text of a job, in bytes: request line, headers and the other fields. */
-const orderBytes = 400;
+const commandBytes = 400;
 
 /** What a call to the store takes, in bytes. */
 const storeCallBytes = 400;
@@ -31,9 +31,9 @@
 	workers(calls: fleet.WorkerCalls): fleet.WorkerCalls {
 		return {
 			...calls,
-			start: (at, order) => this.after(orderBytes + order.text.length, () => calls.start(at, order)),
-			stop: (at, task, run, epoch) => this.after(orderBytes, () => calls.stop(at, task, run, epoch)),
-			requestReport: (at, order) => this.after(orderBytes, () => calls.requestReport(at, order)),
+			start: (at, command) => this.after(commandBytes + command.text.length, () => calls.start(at, command)),
+			stop: (at, task, run, token) => this.after(commandBytes, () => calls.stop(at, task, run, token)),
+			requestReport: (at, request) => this.after(commandBytes, () => calls.requestReport(at, request)),
 		};
 	}
 
@@ -56,7 +56,7 @@
 
 	/** Does `call` once so many bytes have passed behind all that was sent before. */
 	private after<T>(bytes: number, call: () => Promise<T>): Promise<T> {
-		const waitMs = this.queue.take((bytes * 1_000) / this.bytesPerS);
+		const waitMs = this.queue.enqueue((bytes * 1_000) / this.bytesPerS);
 		return new Promise((resolve) => {
 			this.clock.after(waitMs, () => {
 				resolve(call());
--- a/stand-ins/fleet/types.ts
+++ b/stand-ins/fleet/types.ts
@@ -10,9 +10,9 @@
 	/** Progress to report, in per cent; absent: all. */
 	percent?: number;
 	/** How much it adds to the readings of others on its worker at full pace, as a part of them; absent: nothing. */
-	disturbs?: number;
+	interference?: number;
 	/** It brings its worker down so many milliseconds after its start; absent: it does not. */
-	crashMs?: number;
+	crashAfterMs?: number;
 }
 
 /** How a worker goes down. */
@@ -20,7 +20,7 @@
 	/** It is back at its address after so long, in milliseconds. */
 	downMs: number;
 	/** Its connections go silent; else they break, and new ones are turned away. */
-	dark: boolean;
+	unresponsive: boolean;
 	/** It comes back under the name that it had, and tells when it started; else under a new one. */
 	keepsName?: boolean;
 }
@@ -52,5 +52,5 @@
 	/** A worker went down with these tasks; absent: nobody asks. */
 	crashed?: (tasks: string[]) => void;
 	/** An end was forgotten, as the boxes asked. */
-	forgotten: (end: fleet.RunExit) => void;
+	acknowledged: (end: fleet.RunExit) => void;
 }
--- a/stand-ins/fleet/virtual-clock.ts
+++ b/stand-ins/fleet/virtual-clock.ts
@@ -1,23 +1,23 @@
 /** A clock that tests move by hand: timers fire in order, and everything that follows from one runs before the next. */
 import type * as clocks from '../../src/core/clock.js';
 
-interface Pending {
+interface PendingTimer {
 	at: number;
-	order: number;
+	sequence: number;
 	fn: () => void;
 	cancelled: boolean;
 }
 
 /** Rounds of the event loop after each timer; enough for the longest chain of promises between two timers. */
-const settleRounds = 4;
+const eventLoopRounds = 4;
 
 /** Time under a test's control. */
 export class VirtualClock implements clocks.Clock {
-	private time = 1_000;
-	private order = 0;
-	private resumed = -Infinity;
+	private timeMs = 1_000;
+	private lastSequence = 0;
+	private lastResumedAt = -Infinity;
 	/** A binary heap, the earliest first: some tests keep thousands of timers. */
-	private readonly heap: Pending[] = [];
+	private readonly heap: PendingTimer[] = [];
 
 	private constructor() {
 		// Built by `create`, like every class here.
@@ -28,64 +28,69 @@
 	}
 
 	now(): number {
-		return this.time;
+		return this.timeMs;
 	}
 
 	wall(): number {
-		return this.time;
+		return this.timeMs;
 	}
 
 	resumedAt(): number {
-		return this.resumed;
+		return this.lastResumedAt;
 	}
 
 	/** The machine was suspended until now. */
-	resume(): void {
-		this.resumed = this.time;
+	noteResume(): void {
+		this.lastResumedAt = this.timeMs;
 	}
 
 	after(ms: number, fn: () => void): clocks.Timer {
-		const one = { at: this.time + Math.max(0, ms), order: (this.order += 1), fn, cancelled: false };
-		this.push(one);
+		const timer = {
+			at: this.timeMs + Math.max(0, ms),
+			sequence: (this.lastSequence += 1),
+			fn,
+			cancelled: false,
+		};
+		this.push(timer);
 		return {
 			cancel: () => {
-				one.cancelled = true;
+				timer.cancelled = true;
 			},
 		};
 	}
 
 	/** Lets `ms` milliseconds pass. */
-	async pass(ms: number): Promise<void> {
-		const end = this.time + ms;
-		await settle();
+	async advance(ms: number): Promise<void> {
+		const end = this.timeMs + ms;
+		await runEventLoop();
 		for (let next = this.pop(end); next !== undefined; next = this.pop(end)) {
 			if (next.cancelled) continue;
-			this.time = Math.max(this.time, next.at);
+			this.timeMs = Math.max(this.timeMs, next.at);
 			next.fn();
-			await settle();
+			await runEventLoop();
 		}
-		this.time = Math.max(this.time, end);
+		this.timeMs = Math.max(this.timeMs, end);
 	}
 
 	/** A computation takes `ms` milliseconds: time passes, and nothing else happens meanwhile. */
-	spend(ms: number): void {
-		this.time += ms;
+	blockFor(ms: number): void {
+		this.timeMs += ms;
 	}
 
-	private push(one: Pending): void {
+	private push(timer: PendingTimer): void {
 		const { heap } = this;
-		let at = heap.length;
-		heap.push(one);
-		while (at > 0) {
-			const parent = (at - 1) >> 1;
-			if (!this.isEarlier(at, parent)) return;
-			this.swap(at, parent);
-			at = parent;
+		let index = heap.length;
+		heap.push(timer);
+		while (index > 0) {
+			const parent = (index - 1) >> 1;
+			if (!this.isEarlier(index, parent)) return;
+			this.swap(index, parent);
+			index = parent;
 		}
 	}
 
 	/** Takes the earliest timer off; undefined: none is due by `end`. */
-	private pop(end: number): Pending | undefined {
+	private pop(end: number): PendingTimer | undefined {
 		const { heap } = this;
 		const first = heap[0];
 		if (first === undefined || first.at > end) return undefined;
@@ -98,20 +103,20 @@
 	}
 
 	private sink(): void {
-		for (let at = 0; ;) {
-			let earliest = at;
-			for (const child of [2 * at + 1, 2 * at + 2])
+		for (let index = 0; ;) {
+			let earliest = index;
+			for (const child of [2 * index + 1, 2 * index + 2])
 				if (child < this.heap.length && this.isEarlier(child, earliest)) earliest = child;
-			if (earliest === at) return;
-			this.swap(at, earliest);
-			at = earliest;
+			if (earliest === index) return;
+			this.swap(index, earliest);
+			index = earliest;
 		}
 	}
 
 	private isEarlier(a: number, b: number): boolean {
 		const [one, other] = [this.heap[a], this.heap[b]];
 		if (one === undefined || other === undefined) return false;
-		return one.at < other.at || (one.at === other.at && one.order < other.order);
+		return one.at < other.at || (one.at === other.at && one.sequence < other.sequence);
 	}
 
 	private swap(a: number, b: number): void {
@@ -122,8 +127,8 @@
 	}
 }
 
-async function settle(): Promise<void> {
-	for (let round = 0; round < settleRounds; round += 1)
+async function runEventLoop(): Promise<void> {
+	for (let round = 0; round < eventLoopRounds; round += 1)
 		await new Promise<void>((resolve) => {
 			setImmediate(resolve);
 		});
--- a/stand-ins/platform/main.ts
+++ b/stand-ins/platform/main.ts
@@ -10,7 +10,7 @@
 
 const z = zod.z;
 
-const fault = z.strictObject({
+const faultSchema = z.strictObject({
 	/** Refuse everything and cut the watches. */
 	down: z.boolean().default(false),
 	/** Milliseconds before a write takes effect. */
@@ -27,8 +27,8 @@
 
 const store = stores.MemoryStore.create(() => Date.now());
 const stats = { reads: 0, writes: 0, leaseCalls: 0, watches: 0, bytesWritten: 0 };
-const streams = new Set<() => void>();
-let faults = fault.parse({});
+const closeWatches = new Set<() => void>();
+let faults = faultSchema.parse({});
 let writeCount = 0;
 let nextWriteAt = 0;
 
@@ -45,12 +45,12 @@
 const header = (): object => ({ revision: String(store.revision) });
 
 /** Ends the connection without an answer. */
-function hangUp(event: h3.H3Event): never {
+function closeConnection(event: h3.H3Event): never {
 	event.runtime?.node?.res?.socket?.destroy();
 	throw new h3.HTTPError({ status: 503, message: 'down' });
 }
 
-async function writeTurn(): Promise<void> {
+async function waitForWriteTurn(): Promise<void> {
 	if (faults.writeMs > 0) await timers.setTimeout(faults.writeMs);
 	if (faults.maxWrites > 0) {
 		const now = Date.now();
@@ -66,9 +66,9 @@
 
 async function txn(event: h3.H3Event): Promise<object> {
 	const body = (await event.req.json()) as TxnBody;
-	await writeTurn();
-	if (faults.down) hangUp(event);
-	store.expire();
+	await waitForWriteTurn();
+	if (faults.down) closeConnection(event);
+	store.expireLeases();
 	stats.writes += 1;
 	const compare = body.compare[0];
 	const put = body.success[0]?.request_put;
@@ -82,15 +82,15 @@
 	store.put(key, put.value, put.lease ?? '0');
 	stats.bytesWritten += put.value.length;
 	writeCount += 1;
-	if (faults.dropAnswerEvery > 0 && writeCount % faults.dropAnswerEvery === 0) hangUp(event);
+	if (faults.dropAnswerEvery > 0 && writeCount % faults.dropAnswerEvery === 0) closeConnection(event);
 	return { header: header(), succeeded: true, responses: [{ response_put: {} }] };
 }
 
 async function range(event: h3.H3Event): Promise<object> {
 	const body = (await event.req.json()) as { key: string; range_end?: string };
 	if (faults.readMs > 0) await timers.setTimeout(faults.readMs);
-	if (faults.down) hangUp(event);
-	store.expire();
+	if (faults.down) closeConnection(event);
+	store.expireLeases();
 	stats.reads += 1;
 	const kvs = store.range(decode(body.key), body.range_end && decode(body.range_end));
 	return { header: header(), kvs: kvs.map(toKv), count: String(kvs.length) };
@@ -100,10 +100,10 @@
 	const body = (await event.req.json()) as {
 		create_request: { key: string; range_end: string; start_revision?: string };
 	};
-	if (faults.down) hangUp(event);
+	if (faults.down) closeConnection(event);
 	stats.watches += 1;
-	const create = body.create_request;
-	const from = Number(create.start_revision ?? store.revision + 1);
+	const request = body.create_request;
+	const from = Number(request.start_revision ?? store.revision + 1);
 	let end = (): void => undefined;
 	const stream = new ReadableStream<Uint8Array>({
 		start(controller) {
@@ -111,22 +111,22 @@
 				controller.enqueue(Buffer.from(`${JSON.stringify({ result })}\n`));
 			};
 			send({ header: header(), created: true });
-			const stop = store.watch(decode(create.key), decode(create.range_end), from, (changes) => {
+			const stop = store.watch(decode(request.key), decode(request.range_end), from, (changes) => {
 				if (faults.stallWatches) return;
 				send({
 					header: header(),
 					events: changes.map((change) => ({ type: change.type, kv: toKv(change.entry) })),
 				});
 			});
-			const cut = (): void => {
+			const closeWatch = (): void => {
 				end();
 				controller.close();
 			};
 			end = () => {
 				stop();
-				streams.delete(cut);
+				closeWatches.delete(closeWatch);
 			};
-			streams.add(cut);
+			closeWatches.add(closeWatch);
 		},
 		cancel() {
 			end();
@@ -140,7 +140,7 @@
 	answer: (body: Record<string, string>) => object,
 ): Promise<object> {
 	const body = (await event.req.json()) as Record<string, string>;
-	if (faults.down) hangUp(event);
+	if (faults.down) closeConnection(event);
 	stats.leaseCalls += 1;
 	return answer(body);
 }
@@ -150,26 +150,26 @@
 	.post('/v3/kv/txn', txn)
 	.post('/v3/watch', watch)
 	.post('/v3/lease/grant', (event) =>
-		leaseCall(event, (body) => ({ header: header(), ID: store.grant(Number(body.TTL)), TTL: body.TTL })),
+		leaseCall(event, (body) => ({ header: header(), ID: store.grantLease(Number(body.TTL)), TTL: body.TTL })),
 	)
 	.post('/v3/lease/keepalive', (event) =>
 		leaseCall(event, (body) => ({ result: { ID: body.ID, TTL: String(store.keep(body.ID ?? '')) } })),
 	)
 	.post('/v3/lease/revoke', (event) =>
 		leaseCall(event, (body) => {
-			store.revoke(body.ID ?? '');
+			store.revokeLease(body.ID ?? '');
 			return { header: header() };
 		}),
 	)
-	.get('/stats', () => ({ ...stats, watching: store.watching, revision: store.revision }))
+	.get('/stats', () => ({ ...stats, watching: store.watcherCount, revision: store.revision }))
 	.post('/fault', async (event) => {
-		faults = fault.parse(await event.req.json());
-		if (faults.down) for (const cut of [...streams]) cut();
+		faults = faultSchema.parse(await event.req.json());
+		if (faults.down) for (const cut of [...closeWatches]) cut();
 		return faults;
 	});
 
 setInterval(() => {
-	store.expire();
+	store.expireLeases();
 }, 100).unref();
 
 const port = Number(process.env.PORT ?? '0');
--- a/stand-ins/platform/store.ts
+++ b/stand-ins/platform/store.ts
@@ -23,11 +23,11 @@
 interface Lease {
 	ttlS: number;
 	/** Wall milliseconds. */
-	endsAt: number;
+	expiresAt: number;
 }
 
 /** Changes remembered for watches that start in the past. */
-const historySize = 50_000;
+const maxHistoryChanges = 50_000;
 
 /** Keys are compared as base64-decoded strings; the range is `from` up to, not including, `to`. */
 export class MemoryStore {
@@ -63,69 +63,70 @@
 		this.revision += 1;
 		const entry = { key, value, version: this.revision, lease };
 		this.entries.set(key, entry);
-		this.tell([{ type: 'PUT', entry }]);
+		this.notifyWatchers([{ type: 'PUT', entry }]);
 	}
 
-	grant(ttlS: number): string {
+	grantLease(ttlS: number): string {
 		const id = String(this.nextLease);
 		this.nextLease += 1;
-		this.leases.set(id, { ttlS, endsAt: this.wall() + ttlS * 1000 });
+		this.leases.set(id, { ttlS, expiresAt: this.wall() + ttlS * 1000 });
 		return id;
 	}
 
 	/** Renews; returns the seconds granted, 0 if the lease is gone. */
 	keep(id: string): number {
-		this.expire();
+		this.expireLeases();
 		const lease = this.leases.get(id);
 		if (lease === undefined) return 0;
-		lease.endsAt = this.wall() + lease.ttlS * 1000;
+		lease.expiresAt = this.wall() + lease.ttlS * 1000;
 		return lease.ttlS;
 	}
 
-	revoke(id: string): void {
+	revokeLease(id: string): void {
 		this.leases.delete(id);
-		const gone = [...this.entries.values()].filter((entry) => entry.lease === id);
-		if (gone.length === 0) return;
+		const removed = [...this.entries.values()].filter((entry) => entry.lease === id);
+		if (removed.length === 0) return;
 		this.revision += 1;
-		for (const entry of gone) this.entries.delete(entry.key);
-		this.tell(
-			gone.map((entry) => ({ type: 'DELETE', entry: { ...entry, value: '', version: this.revision } })),
+		for (const entry of removed) this.entries.delete(entry.key);
+		this.notifyWatchers(
+			removed.map((entry) => ({ type: 'DELETE', entry: { ...entry, value: '', version: this.revision } })),
 		);
 	}
 
 	/** Ends the leases whose time has passed. */
-	expire(): void {
+	expireLeases(): void {
 		const now = this.wall();
 		for (const [id, lease] of [...this.leases]) {
-			if (lease.endsAt <= now) this.revoke(id);
+			if (lease.expiresAt <= now) this.revokeLease(id);
 		}
 	}
 
 	/** Tells `notify` of past changes from `startRevision` on, then of new ones. Returns the end of the watch. */
 	watch(from: string, to: string, startRevision: number, notify: (changes: Change[]) => void): () => void {
 		const watcher = { from, to, notify };
-		const past = this.history.filter(
-			(change) => change.entry.version >= startRevision && covers(watcher, change),
+		const pastChanges = this.history.filter(
+			(change) => change.entry.version >= startRevision && isWatched(watcher, change),
 		);
-		if (past.length > 0) notify(past);
+		if (pastChanges.length > 0) notify(pastChanges);
 		this.watchers.add(watcher);
 		return () => this.watchers.delete(watcher);
 	}
 
-	get watching(): number {
+	get watcherCount(): number {
 		return this.watchers.size;
 	}
 
-	private tell(changes: Change[]): void {
+	private notifyWatchers(changes: Change[]): void {
 		this.history.push(...changes);
-		if (this.history.length > historySize) this.history.splice(0, this.history.length - historySize);
+		if (this.history.length > maxHistoryChanges)
+			this.history.splice(0, this.history.length - maxHistoryChanges);
 		for (const watcher of this.watchers) {
-			const wanted = changes.filter((change) => covers(watcher, change));
-			if (wanted.length > 0) watcher.notify(wanted);
+			const matching = changes.filter((change) => isWatched(watcher, change));
+			if (matching.length > 0) watcher.notify(matching);
 		}
 	}
 }
 
-function covers(watcher: Watcher, change: Change): boolean {
+function isWatched(watcher: Watcher, change: Change): boolean {
 	return change.entry.key >= watcher.from && change.entry.key < watcher.to;
 }
--- a/stand-ins/proxy/index.ts
+++ b/stand-ins/proxy/index.ts
@@ -1,6 +1,6 @@
 /** A small TCP proxy that injects faults between two processes: cut, one-way cut, delay, freeze, a narrow link. Not shipped. */
 import * as net from 'node:net';
-import type * as narrow from './narrow-link.js';
+import type * as narrowLinks from './narrow-link.js';
 
 /** What the proxy does with traffic. */
 export type ProxyMode =
@@ -15,7 +15,7 @@
 	/** Holds each piece back for so many milliseconds. */
 	| { kind: 'delay'; ms: number }
 	/** Sends over links that others may share, one for requests and one for answers. */
-	| { kind: 'narrow'; links: Record<'request' | 'answer', narrow.NarrowLink> };
+	| { kind: 'narrow'; links: Record<'request' | 'answer', narrowLinks.NarrowLink> };
 
 /** One proxied target. */
 export class FaultProxy {
@@ -23,10 +23,10 @@
 	address = '';
 	private mode: ProxyMode = { kind: 'pass' };
 	/** Troubles under way, the newest last. */
-	private troubles: ProxyMode[] = [];
+	private activeFaults: ProxyMode[] = [];
 	private readonly sockets = new Set<net.Socket>();
 	/** Connections that have gone silent for good. */
-	private readonly silenced = new WeakSet<net.Socket>();
+	private readonly stalled = new WeakSet<net.Socket>();
 
 	private constructor(
 		private readonly server: net.Server,
@@ -38,7 +38,7 @@
 		const server = net.createServer();
 		const proxy = new FaultProxy(server, target);
 		server.on('connection', (socket) => {
-			proxy.serve(socket);
+			proxy.handleConnection(socket);
 		});
 		await new Promise<void>((resolve) => {
 			server.listen(0, '127.0.0.1', resolve);
@@ -56,20 +56,20 @@
 	}
 
 	/** Changes what happens until the call that is returned; of several troubles the newest counts. */
-	trouble(mode: ProxyMode): () => void {
-		const own = { ...mode };
-		this.troubles.push(own);
-		this.set(own);
+	addFault(mode: ProxyMode): () => void {
+		const fault = { ...mode };
+		this.activeFaults.push(fault);
+		this.set(fault);
 		return () => {
-			this.troubles = this.troubles.filter((one) => one !== own);
-			const left = this.troubles.at(-1) ?? { kind: 'pass' };
-			if (left !== this.mode) this.set(left);
+			this.activeFaults = this.activeFaults.filter((one) => one !== fault);
+			const remaining = this.activeFaults.at(-1) ?? { kind: 'pass' };
+			if (remaining !== this.mode) this.set(remaining);
 		};
 	}
 
 	/** The connections that are open now carry nothing any more, not even their end; new ones work. */
-	silence(): void {
-		for (const socket of this.sockets) this.silenced.add(socket);
+	stallConnections(): void {
+		for (const socket of this.sockets) this.stalled.add(socket);
 	}
 
 	close(): void {
@@ -77,13 +77,16 @@
 		for (const socket of this.sockets) socket.destroy();
 	}
 
-	private serve(client: net.Socket): void {
+	private handleConnection(client: net.Socket): void {
 		if (this.mode.kind === 'cut') {
 			client.destroy();
 			return;
 		}
-		const cut = this.target.lastIndexOf(':');
-		const upstream = net.connect(Number(this.target.slice(cut + 1)), this.target.slice(0, cut));
+		const portSeparator = this.target.lastIndexOf(':');
+		const upstream = net.connect(
+			Number(this.target.slice(portSeparator + 1)),
+			this.target.slice(0, portSeparator),
+		);
 		this.pipe(client, upstream, 'request');
 		this.pipe(upstream, client, 'answer');
 	}
@@ -92,28 +95,28 @@
 		this.sockets.add(from);
 		from.setNoDelay(true);
 		from.on('data', (chunk: Buffer) => {
-			this.pass(from, to, chunk, direction);
+			this.forward(from, to, chunk, direction);
 		});
 		from.on('error', () => {
-			this.end(from, () => to.destroy());
+			this.passEnd(from, () => to.destroy());
 		});
 		from.on('end', () => {
-			this.end(from, () => to.end());
+			this.passEnd(from, () => to.end());
 		});
 		from.on('close', () => {
 			this.sockets.delete(from);
-			this.end(from, () => to.destroy());
+			this.passEnd(from, () => to.destroy());
 		});
 	}
 
 	/** Passes the end of a connection on, unless it is silent. */
-	private end(from: net.Socket, pass: () => void): void {
-		if (!this.silenced.has(from)) pass();
+	private passEnd(from: net.Socket, endOther: () => void): void {
+		if (!this.stalled.has(from)) endOther();
 	}
 
-	private pass(from: net.Socket, to: net.Socket, chunk: Buffer, direction: 'request' | 'answer'): void {
+	private forward(from: net.Socket, to: net.Socket, chunk: Buffer, direction: 'request' | 'answer'): void {
 		const { mode } = this;
-		if (this.silenced.has(from)) return;
+		if (this.stalled.has(from)) return;
 		if (mode.kind === 'freeze') {
 			from.pause();
 			return;
@@ -126,7 +129,7 @@
 			});
 			if (!link.isFull) return;
 			from.pause();
-			link.whenFree(() => from.resume());
+			link.whenNotFull(() => from.resume());
 			return;
 		}
 		if (mode.kind === 'delay') {
--- a/stand-ins/proxy/narrow-link.ts
+++ b/stand-ins/proxy/narrow-link.ts
@@ -7,26 +7,26 @@
 	private waitingBytes = 0;
 	private readonly queue: (() => void)[] = [];
 	/** Senders that wait until the link has room. */
-	private paused: (() => void)[] = [];
+	private pausedSenders: (() => void)[] = [];
 
 	private constructor(
 		private readonly bytesPerS: number,
-		private readonly windowBytes: number,
+		private readonly maxWaitingBytes: number,
 	) {}
 
 	/** `windowBytes`: so many wait to be sent at most; senders are told to pause beyond. */
-	static create(bytesPerS: number, windowBytes = Infinity): NarrowLink {
-		return new NarrowLink(bytesPerS, windowBytes);
+	static create(bytesPerS: number, maxWaitingBytes = Infinity): NarrowLink {
+		return new NarrowLink(bytesPerS, maxWaitingBytes);
 	}
 
 	/** Whether more has been given than may wait. */
 	get isFull(): boolean {
-		return this.waitingBytes > this.windowBytes;
+		return this.waitingBytes > this.maxWaitingBytes;
 	}
 
 	/** Calls `resume` once no more waits than may, whoever's pieces made room. */
-	whenFree(resume: () => void): void {
-		this.paused.push(resume);
+	whenNotFull(resume: () => void): void {
+		this.pausedSenders.push(resume);
 	}
 
 	/** Calls `deliver` once so many bytes have been sent behind those given before. */
@@ -45,8 +45,8 @@
 
 	private resumeAll(): void {
 		if (this.isFull) return;
-		const { paused } = this;
-		this.paused = [];
-		for (const resume of paused) resume();
+		const { pausedSenders } = this;
+		this.pausedSenders = [];
+		for (const resume of pausedSenders) resume();
 	}
 }
--- a/stand-ins/users-platform/address-view.ts
+++ b/stand-ins/users-platform/address-view.ts
@@ -6,29 +6,39 @@
 import type * as platform from '../../src/core/platform/types.js';
 
 /** Addresses on loopback with ports of the kernel's choice; one as long as another, so that values keep their lengths. */
-const addresses = /127\.0\.0\.1:\d{5}/g;
+const addressPattern = /127\.0\.0\.1:\d{5}/g;
 
 /** What a box calls whom. */
-export interface AddressBook {
+export interface AddressMap {
 	/** How the box reaches who listens at `address`. */
 	seen: (address: string) => string;
 	/** Where the one listens that the box reaches at `seen`; an address that is not known yet is the box's own. */
-	real: (seen: string) => Promise<string>;
+	real: (boxAddress: string) => Promise<string>;
 }
 
 /** A store whose values hold the box's own addresses. */
-export function withAddresses(store: platform.RecordStore, book: AddressBook): platform.RecordStore {
-	const seen = (value: Uint8Array): Uint8Array => replaceAll(value, (address) => book.seen(address));
-	const show = (item: platform.Stored): platform.Stored => ({ ...item, value: seen(item.value) });
+export function withTranslatedAddresses(
+	store: platform.RecordStore,
+	addressMap: AddressMap,
+): platform.RecordStore {
+	const translateValue = (value: Uint8Array): Uint8Array =>
+		replaceAddresses(value, (address) => addressMap.seen(address));
+	const translateItem = (item: platform.Stored): platform.Stored => ({
+		...item,
+		value: translateValue(item.value),
+	});
 	return {
 		...store,
-		get: async (key) => mapResult(await store.get(key), (item) => item && show(item)),
+		get: async (key) => mapResult(await store.get(key), (item) => item && translateItem(item)),
 		list: async (prefix) =>
-			mapResult(await store.list(prefix), (listed) => ({ ...listed, items: listed.items.map(show) })),
+			mapResult(await store.list(prefix), (listed) => ({
+				...listed,
+				items: listed.items.map(translateItem),
+			})),
 		commit: async (txn) => {
-			const writes = await Promise.all(txn.writes.map((write) => unshow(write, book)));
+			const writes = await Promise.all(txn.writes.map((write) => restoreAddresses(write, addressMap)));
 			return mapResult(await store.commit({ ...txn, writes }), (outcome) =>
-				outcome.type === 'conflict' ? { ...outcome, current: outcome.current.map(show) } : outcome,
+				outcome.type === 'conflict' ? { ...outcome, current: outcome.current.map(translateItem) } : outcome,
 			);
 		},
 		follow: async (prefix, after, waitMs) =>
@@ -36,7 +46,7 @@
 				if (outcome.type === 'compacted') return outcome;
 				const changes = outcome.changes.map(({ value, ...change }) => ({
 					...change,
-					value: value && seen(value),
+					value: value && translateValue(value),
 				}));
 				return { ...outcome, changes };
 			}),
@@ -44,15 +54,21 @@
 }
 
 /** A write with the real addresses in it. */
-async function unshow<T extends { value: Uint8Array }>(write: T, book: AddressBook): Promise<T> {
-	const found = new Set(toText(write.value).match(addresses));
-	const real = new Map<string, string>();
-	for (const address of found) real.set(address, await book.real(address));
-	return { ...write, value: replaceAll(write.value, (address) => real.get(address) ?? address) };
+async function restoreAddresses<T extends { value: Uint8Array }>(
+	write: T,
+	addressMap: AddressMap,
+): Promise<T> {
+	const found = new Set(toText(write.value).match(addressPattern));
+	const realAddresses = new Map<string, string>();
+	for (const address of found) realAddresses.set(address, await addressMap.real(address));
+	return {
+		...write,
+		value: replaceAddresses(write.value, (address) => realAddresses.get(address) ?? address),
+	};
 }
 
-function replaceAll(value: Uint8Array, by: (address: string) => string): Uint8Array {
-	return Buffer.from(toText(value).replace(addresses, by), 'latin1');
+function replaceAddresses(value: Uint8Array, replacementOf: (address: string) => string): Uint8Array {
+	return Buffer.from(toText(value).replace(addressPattern, replacementOf), 'latin1');
 }
 
 function toText(value: Uint8Array): string {
--- a/stand-ins/users-platform/listing.ts
+++ b/stand-ins/users-platform/listing.ts
@@ -3,22 +3,22 @@
 import type * as memory from '../fleet/memory-store.js';
 
 /** An entry goes after so many heartbeats of silence. */
-const missedBeats = 3;
+const maxMissedHeartbeats = 3;
 
 /** One worker's entry. */
-interface Listed {
+interface ListedWorker {
 	fields: object;
 	/** Counts what the worker has written. */
 	seq: number;
 	/** The next heartbeat, or the time at which a silent one's entry goes. */
 	timer: clocks.Timer | undefined;
 	/** Clock time of the newest heartbeat. */
-	beatAt: number;
+	heartbeatAt: number;
 }
 
 /** What stands under `servers/`. */
-export class Listing {
-	private readonly entries = new Map<string, Listed>();
+export class WorkerListing {
+	private readonly entries = new Map<string, ListedWorker>();
 
 	private constructor(
 		private readonly store: memory.MemoryStore,
@@ -26,14 +26,14 @@
 	) {}
 
 	/** `heartbeatMs`: entries are written anew so often; undefined: once only, and they go only by `drop`. */
-	static create(store: memory.MemoryStore, heartbeatMs: number | undefined): Listing {
-		return new Listing(store, heartbeatMs);
+	static create(store: memory.MemoryStore, heartbeatMs: number | undefined): WorkerListing {
+		return new WorkerListing(store, heartbeatMs);
 	}
 
 	/** A worker writes its first entry. */
 	add(id: string, fields: object): void {
 		this.entries.get(id)?.timer?.cancel();
-		const listed: Listed = { fields, seq: 0, timer: undefined, beatAt: 0 };
+		const listed: ListedWorker = { fields, seq: 0, timer: undefined, heartbeatAt: 0 };
 		this.entries.set(id, listed);
 		this.beat(id, listed);
 	}
@@ -48,21 +48,21 @@
 	}
 
 	/** A worker writes no more; its entry goes by and by. */
-	silence(id: string): void {
+	stopHeartbeats(id: string): void {
 		const listed = this.entries.get(id);
 		if (listed === undefined || this.heartbeatMs === undefined) return;
 		listed.timer?.cancel();
-		const lapsesAt = listed.beatAt + missedBeats * this.heartbeatMs;
+		const lapsesAt = listed.heartbeatAt + maxMissedHeartbeats * this.heartbeatMs;
 		listed.timer = clocks.systemClock.after(lapsesAt - clocks.systemClock.now(), () => {
-			this.drop(id);
+			this.remove(id);
 		});
 	}
 
 	/** An entry goes now. */
-	drop(id: string): void {
+	remove(id: string): void {
 		this.entries.get(id)?.timer?.cancel();
 		this.entries.delete(id);
-		this.store.drop(`servers/${id}`);
+		this.store.remove(`servers/${id}`);
 	}
 
 	/** Ends all heartbeats. */
@@ -70,9 +70,9 @@
 		for (const listed of this.entries.values()) listed.timer?.cancel();
 	}
 
-	private beat(id: string, listed: Listed): void {
+	private beat(id: string, listed: ListedWorker): void {
 		listed.seq += 1;
-		listed.beatAt = clocks.systemClock.now();
+		listed.heartbeatAt = clocks.systemClock.now();
 		const entry = { ...listed.fields, seq_no: listed.seq };
 		this.store.put(`servers/${id}`, Buffer.from(JSON.stringify(entry)));
 		if (this.heartbeatMs === undefined) return;
--- a/stand-ins/users-platform/server.ts
+++ b/stand-ins/users-platform/server.ts
@@ -17,7 +17,7 @@
 /** Status and body of an answer; `none`: the connection breaks, and the call may have been done. */
 type Answer = [number, object] | 'none';
 
-type Answerer = (req: http.IncomingMessage, url: URL, body: Body) => Promise<Answer>;
+type RequestHandler = (req: http.IncomingMessage, url: URL, body: Body) => Promise<Answer>;
 
 /** What can be set of a stand-in. */
 export interface UsersPlatformOptions {
@@ -49,12 +49,12 @@
 	readonly fleet: workers.FakeFleet;
 	/** What the store does to every call. */
 	storeFault: memory.StoreFault = 'none';
-	private readonly listing: listings.Listing;
+	private readonly listing: listings.WorkerListing;
 	private readonly servers: http.Server[] = [];
 
 	private constructor(opts: UsersPlatformOptions) {
 		this.fleet = workers.FakeFleet.create({ clock: clocks.systemClock, maxLeaseMs, ...opts });
-		this.listing = listings.Listing.create(this.store, opts.heartbeatMs);
+		this.listing = listings.WorkerListing.create(this.store, opts.heartbeatMs);
 	}
 
 	static create(opts: UsersPlatformOptions): UsersPlatform {
@@ -62,10 +62,13 @@
 	}
 
 	/** Starts the store, or one box's view of it if it has its own addresses for everyone else; returns its address. */
-	startStore(book?: addressViews.AddressBook): Promise<string> {
-		const plain = this.store.view(() => this.storeFault);
-		const view = book === undefined ? plain : addressViews.withAddresses(plain, book);
-		return this.listen((req, url, body) => answerStore(view, req.method ?? '', url, body));
+	startStore(addressMap?: addressViews.AddressMap): Promise<string> {
+		const untranslated = this.store.view(() => this.storeFault);
+		const view =
+			addressMap === undefined
+				? untranslated
+				: addressViews.withTranslatedAddresses(untranslated, addressMap);
+		return this.listen((req, url, body) => handleStoreCall(view, req.method ?? '', url, body));
 	}
 
 	/**
@@ -78,9 +81,9 @@
 		born?: number,
 	): Promise<string> {
 		const address = await this.listen((req, url, body) =>
-			this.answerWorker({ id: String(req.headers['target-instance']), address }, url.pathname, body),
+			this.handleWorkerCall({ id: String(req.headers['target-instance']), address }, url.pathname, body),
 		);
-		this.addLife(id, address, await listedAs(address), born);
+		this.addIncarnation(id, address, await listedAs(address), born);
 		return address;
 	}
 
@@ -90,48 +93,48 @@
 	 * until `lapse`.
 	 */
 	replaceWorker(
-		before: string,
+		previousId: string,
 		id: string,
 		listedAs: string,
 		entry: 'dropped' | 'lapsing' = 'dropped',
 	): void {
 		// One that went down before has no life there.
-		const address = this.fleet.workers.get(before)?.entry.address ?? listedAs;
-		if (entry === 'dropped') this.lapse(before);
-		else this.listing.silence(before);
-		this.addLife(id, address, listedAs);
+		const address = this.fleet.workers.get(previousId)?.entry.address ?? listedAs;
+		if (entry === 'dropped') this.removeEntry(previousId);
+		else this.listing.stopHeartbeats(previousId);
+		this.addIncarnation(id, address, listedAs);
 	}
 
 	/** A worker starts again under its id at its address; if it lives, it dies with all it runs. */
 	restartWorker(id: string, listedAs: string, born: number): void {
-		const before = this.fleet.workers.get(id);
-		if (before !== undefined) this.fleet.takeDown(before);
-		this.addLife(id, before?.entry.address ?? listedAs, listedAs, born);
+		const previous = this.fleet.workers.get(id);
+		if (previous !== undefined) this.fleet.takeDown(previous);
+		this.addIncarnation(id, previous?.entry.address ?? listedAs, listedAs, born);
 	}
 
 	/** The entry of a life that has ended goes. */
-	lapse(id: string): void {
-		this.listing.drop(id);
+	removeEntry(id: string): void {
+		this.listing.remove(id);
 	}
 
-	private addLife(id: string, address: string, listedAs: string, born?: number): void {
+	private addIncarnation(id: string, address: string, listedAs: string, born?: number): void {
 		this.fleet.add(id, { address }, born);
-		this.listing.add(id, { ...entryOf(listedAs, workerMilliCores), born });
+		this.listing.add(id, { ...createEntry(listedAs, workerMilliCores), born });
 	}
 
 	/** A worker that is listed at `listedAs` holds so many thousandths of a core from now on, as its entry says. */
 	resize(id: string, listedAs: string, milliCores: number): void {
-		this.listing.update(id, entryOf(listedAs, milliCores));
+		this.listing.update(id, createEntry(listedAs, milliCores));
 	}
 
 	/** The entry of a worker that went down is not written any more. */
-	silence(id: string): void {
-		this.listing.silence(id);
+	stopHeartbeats(id: string): void {
+		this.listing.stopHeartbeats(id);
 	}
 
 	/** Writes the operators' configuration: queues at `host`, one for each prefix of paths. */
-	configure(version: number, host: string, prefixes = ['/jobs/']): void {
-		const configuration = { version, ...configurationFor(host, prefixes) };
+	writeConfiguration(version: number, host: string, prefixes = ['/jobs/']): void {
+		const configuration = { version, ...createConfiguration(host, prefixes) };
 		this.store.put('op/config', Buffer.from(JSON.stringify(configuration)));
 	}
 
@@ -141,8 +144,8 @@
 	}
 
 	/** An operator takes an evacuation back. */
-	takeBack(zone: string): void {
-		this.store.drop(`op/evacuate/${zone}`);
+	cancelEvacuation(zone: string): void {
+		this.store.remove(`op/evacuate/${zone}`);
 	}
 
 	/** Ends every server. */
@@ -154,32 +157,32 @@
 		}
 	}
 
-	private async answerWorker(at: fleet.WorkerTarget, path: string, body: Body): Promise<Answer> {
+	private async handleWorkerCall(at: fleet.WorkerTarget, path: string, body: Body): Promise<Answer> {
 		const calls = this.fleet.calls();
 		const token = Number(body.fencing_token ?? 0);
 		const leaseUntil = body.deadline_ms as number | undefined;
 		if (path === '/api/hold') {
 			const acknowledgeUpTo = Number(body.last_seen ?? 0);
 			const waitMs = Number(body.wait_ms ?? 0);
-			return spell(
+			return toAnswer(
 				await calls.requestReport(at, { token, acknowledgeUpTo, leaseUntil, waitMs }),
-				spellReport,
+				toWireReport,
 			);
 		}
 		const task = String(body.task);
 		const run = Number(body.run);
-		const clock = (reading: fleet.ClockReading): object => ({ clock_ms: reading.clockMs });
-		if (path === '/api/run-stop') return spell(await calls.stop(at, task, run, token), clock);
+		const toWireClock = (reading: fleet.ClockReading): object => ({ clock_ms: reading.clockMs });
+		if (path === '/api/run-stop') return toAnswer(await calls.stop(at, task, run, token), toWireClock);
 		const text = String(body.spec);
 		const checkpoint = (body.last_checkpoint ?? '') as string;
-		const order = { task, run, text, token, leaseUntil, checkpoint, ticket: '' };
-		return spell(await calls.start(at, order), clock);
+		const command = { task, run, text, token, leaseUntil, checkpoint, ticket: '' };
+		return toAnswer(await calls.start(at, command), toWireClock);
 	}
 
 	/** Starts a server on a port of the kernel's choice; returns its address. */
-	private async listen(answer: Answerer): Promise<string> {
+	private async listen(handle: RequestHandler): Promise<string> {
 		const server = http.createServer((req, res) => {
-			respond(req, res, answer);
+			respond(req, res, handle);
 		});
 		this.servers.push(server);
 		await new Promise<void>((resolve) => {
@@ -191,25 +194,25 @@
 }
 
 /** Reads a request's body, and answers; a caller that goes away first gets no answer. */
-function respond(req: http.IncomingMessage, res: http.ServerResponse, answer: Answerer): void {
+function respond(req: http.IncomingMessage, res: http.ServerResponse, handle: RequestHandler): void {
 	const chunks: Buffer[] = [];
 	req.on('data', (chunk: Buffer) => chunks.push(chunk));
 	req.on('end', () => {
 		const text = Buffer.concat(chunks).toString('utf8');
 		const body = (text === '' ? {} : JSON.parse(text)) as Body;
-		void answer(req, new URL(req.url ?? '/', 'http://stand-in'), body).then((given) => {
-			if (given === 'none') {
+		void handle(req, new URL(req.url ?? '/', 'http://stand-in'), body).then((answer) => {
+			if (answer === 'none') {
 				req.socket.destroy();
 				return;
 			}
-			const [status, value] = given;
+			const [status, value] = answer;
 			res.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(value));
 		});
 	});
 }
 
 /** What a worker says of itself. */
-function entryOf(address: string, milliCores: number): object {
+function createEntry(address: string, milliCores: number): object {
 	return {
 		service: 'press',
 		address,
@@ -221,9 +224,9 @@
 }
 
 /** What stands in every version of the operators' configuration. */
-function configurationFor(host: string, prefixes: string[]): object {
-	const routes = prefixes.map((prefix, number) => ({
-		name: `proofs-${number}`,
+function createConfiguration(host: string, prefixes: string[]): object {
+	const routes = prefixes.map((prefix, index) => ({
+		name: `proofs-${index}`,
 		host,
 		path_prefix: prefix,
 		slo_ms: 500,
@@ -245,13 +248,13 @@
 }
 
 /** A worker's answer on the wire. */
-function spell<T>(res: Awaited<fleet.WorkerResult<T>>, show: (value: T) => object): Answer {
-	if (res.ok) return [200, show(res.value)];
+function toAnswer<T>(res: Awaited<fleet.WorkerResult<T>>, toWire: (value: T) => object): Answer {
+	if (res.ok) return [200, toWire(res.value)];
 	const refusal = refusals[res.err.kind];
 	return refusal === undefined ? 'none' : [refusal[0], { reason: refusal[1] }];
 }
 
-function spellReport(report: fleet.WorkerReport): object {
+function toWireReport(report: fleet.WorkerReport): object {
 	return {
 		born: report.born,
 		clock_ms: report.clockMs,
@@ -261,12 +264,12 @@
 }
 
 /** A failed call to the store: nothing was done, or nobody knows. */
-function spellFailure(err: platform.StoreFailure): Answer {
+function toFailureAnswer(err: platform.StoreFailure): Answer {
 	return err.effect === 'none' ? [503, {}] : 'none';
 }
 
 /** One call to the store. */
-async function answerStore(
+async function handleStoreCall(
 	view: platform.RecordStore,
 	method: string,
 	url: URL,
@@ -291,14 +294,14 @@
 
 async function answerGet(view: platform.RecordStore, query: URLSearchParams): Promise<Answer> {
 	const res = await view.get(query.get('tls_key') ?? '');
-	if (!res.ok) return spellFailure(res.err);
-	return res.value === undefined ? [404, {}] : [200, spellItem(res.value)];
+	if (!res.ok) return toFailureAnswer(res.err);
+	return res.value === undefined ? [404, {}] : [200, toWireItem(res.value)];
 }
 
 async function answerList(view: platform.RecordStore, query: URLSearchParams): Promise<Answer> {
 	const res = await view.list(query.get('path_prefix') ?? '');
-	if (!res.ok) return spellFailure(res.err);
-	const items = res.value.items.map(spellItem);
+	if (!res.ok) return toFailureAnswer(res.err);
+	const items = res.value.items.map(toWireItem);
 	return [200, { items, has_more: false, current_rev: res.value.revision }];
 }
 
@@ -306,24 +309,24 @@
 	const after = Number(query.get('after'));
 	const waitMs = Number(query.get('wait_ms'));
 	const res = await view.follow(query.get('path_prefix') ?? '', after, waitMs);
-	if (!res.ok) return spellFailure(res.err);
+	if (!res.ok) return toFailureAnswer(res.err);
 	if (res.value.type === 'compacted') return [410, {}];
-	return [200, { events: res.value.changes.map(spellChange), current_rev: res.value.revision }];
+	return [200, { events: res.value.changes.map(toWireChange), current_rev: res.value.revision }];
 }
 
 async function answerGrant(view: platform.RecordStore, body: Body): Promise<Answer> {
 	const res = await view.grantLease(Number(body.ttl_ms));
-	return res.ok ? [200, { lease: Number(res.value), ttl_ms: body.ttl_ms }] : spellFailure(res.err);
+	return res.ok ? [200, { lease: Number(res.value), ttl_ms: body.ttl_ms }] : toFailureAnswer(res.err);
 }
 
 async function answerEndLease(view: platform.RecordStore, lease: string): Promise<Answer> {
 	const res = await view.endLease(lease);
-	return res.ok ? [200, {}] : spellFailure(res.err);
+	return res.ok ? [200, {}] : toFailureAnswer(res.err);
 }
 
 async function answerKeepLease(view: platform.RecordStore, lease: string): Promise<Answer> {
 	const res = await view.keepLease(lease);
-	if (!res.ok) return spellFailure(res.err);
+	if (!res.ok) return toFailureAnswer(res.err);
 	return res.value ? [200, { ttl_ms: 0 }] : [404, {}];
 }
 
@@ -339,18 +342,18 @@
 		})),
 		removes: body.remove as string[],
 	});
-	if (!res.ok) return spellFailure(res.err);
+	if (!res.ok) return toFailureAnswer(res.err);
 	if (res.value.type === 'lease-gone') return [404, {}];
-	if (res.value.type === 'conflict') return [412, { items: res.value.current.map(spellItem) }];
+	if (res.value.type === 'conflict') return [412, { items: res.value.current.map(toWireItem) }];
 	return [200, { revision: res.value.version }];
 }
 
-function spellItem(item: platform.Stored): object {
+function toWireItem(item: platform.Stored): object {
 	const value = Buffer.from(item.value).toString('base64');
 	return { tls_key: item.key, value, revision: item.version, created: item.version, lease: 0 };
 }
 
-function spellChange(change: platform.StoreChange): object {
+function toWireChange(change: platform.StoreChange): object {
 	if (change.value === undefined) return { tls_key: change.key, revision: change.version, removed: true };
-	return spellItem({ key: change.key, value: change.value, version: change.version });
+	return toWireItem({ key: change.key, value: change.value, version: change.version });
 }
--- a/stand-ins/worker/farm.ts
+++ b/stand-ins/worker/farm.ts
@@ -7,11 +7,11 @@
 import * as machines from './machine.js';
 
 const count = Number(process.env.WORKERS ?? '10');
-let bytes = 0;
+let closedSocketBytes = 0;
 let exchanges = 0;
 let starts = 0;
 
-async function startOne(index: number): Promise<string> {
+async function startWorker(index: number): Promise<string> {
 	const machine = machines.Machine.create({
 		id: `worker-${index}`,
 		incarnation: crypto.randomUUID(),
@@ -27,24 +27,24 @@
 	});
 	const { server, address } = await standIn.listen(app, 0);
 	server.on('connection', (socket: net.Socket) => {
-		sockets.add(socket);
+		openSockets.add(socket);
 		socket.on('close', () => {
-			sockets.delete(socket);
-			bytes += socket.bytesRead + socket.bytesWritten;
+			openSockets.delete(socket);
+			closedSocketBytes += socket.bytesRead + socket.bytesWritten;
 		});
 	});
 	return address;
 }
 
-const sockets = new Set<net.Socket>();
+const openSockets = new Set<net.Socket>();
 
-function bytesSoFar(): number {
-	let sum = bytes;
-	for (const socket of sockets) sum += socket.bytesRead + socket.bytesWritten;
+function totalBytes(): number {
+	let sum = closedSocketBytes;
+	for (const socket of openSockets) sum += socket.bytesRead + socket.bytesWritten;
 	return sum;
 }
 
-const addresses = await Promise.all(Array.from({ length: count }, (_, index) => startOne(index)));
-const app = new h3.H3().get('/stats', () => ({ bytes: bytesSoFar(), exchanges, starts }));
+const addresses = await Promise.all(Array.from({ length: count }, (_, index) => startWorker(index)));
+const app = new h3.H3().get('/stats', () => ({ bytes: totalBytes(), exchanges, starts }));
 const { address } = await standIn.listen(app, 0);
 process.stdout.write(`${JSON.stringify({ ready: address, workers: addresses })}\n`);
--- a/stand-ins/worker/machine.ts
+++ b/stand-ins/worker/machine.ts
@@ -27,9 +27,9 @@
 	/** Work done before the last change of speed. */
 	doneMs: number;
 	/** Monotonic time of the last change of speed. */
-	since: number;
+	shareChangedAt: number;
 	share: number;
-	leaseEnds: number;
+	leaseEndsAt: number;
 	reason?: string;
 }
 
@@ -65,12 +65,12 @@
 	/** Takes one message; refuses it whole if its fence or incarnation does not match. */
 	exchange(req: workers.ExchangeReq): workers.ExchangeRes {
 		this.advance();
-		const accepted = this.admits(req);
+		const accepted = this.accepts(req);
 		if (accepted) {
 			this.epoch = req.epoch;
 			this.seq = req.seq;
 			this.renew(req);
-			for (const command of req.commands) this.obey(command);
+			for (const command of req.commands) this.execute(command);
 		}
 		const tasks = [...this.attempts.values()].map((attempt) => this.report(attempt));
 		return { accepted, incarnation: this.opts.incarnation, now: this.opts.now(), epoch: this.epoch, tasks };
@@ -79,11 +79,11 @@
 	/** Brings every task up to the present: ends and lapsed leases. */
 	advance(): void {
 		for (const attempt of this.attempts.values()) {
-			if (attempt.state === 'running') this.advanceOne(attempt);
+			if (attempt.state === 'running') this.advanceAttempt(attempt);
 		}
 	}
 
-	private admits(req: workers.ExchangeReq): boolean {
+	private accepts(req: workers.ExchangeReq): boolean {
 		if (req.epoch < this.epoch) return false;
 		if (req.epoch === this.epoch && req.seq <= this.seq) return false;
 		if (req.incarnation === undefined) return req.commands.length === 0 && req.renew === undefined;
@@ -94,11 +94,11 @@
 		for (const ref of req.renew?.tasks ?? []) {
 			const attempt = this.attempts.get(ref.task);
 			if (attempt?.attempt === ref.attempt)
-				attempt.leaseEnds = Math.max(attempt.leaseEnds, req.renew?.until ?? 0);
+				attempt.leaseEndsAt = Math.max(attempt.leaseEndsAt, req.renew?.until ?? 0);
 		}
 	}
 
-	private obey(command: workers.Command): void {
+	private execute(command: workers.Command): void {
 		if (command.type === 'start') {
 			this.start(command);
 			return;
@@ -114,9 +114,9 @@
 	private start(command: Extract<workers.Command, { type: 'start' }>): void {
 		const now = this.opts.now();
 		if (now > command.notAfter) return;
-		const known = this.attempts.get(command.task);
-		if (known !== undefined && known.attempt >= command.attempt) return;
-		if (known?.state === 'running') this.end(known, 'stopped', 'replaced by a later attempt');
+		const previous = this.attempts.get(command.task);
+		if (previous !== undefined && previous.attempt >= command.attempt) return;
+		if (previous?.state === 'running') this.end(previous, 'stopped', 'replaced by a later attempt');
 		const attempt: Attempt = {
 			task: command.task,
 			attempt: command.attempt,
@@ -125,32 +125,32 @@
 			needs: command.needs,
 			run: command.run,
 			doneMs: Number(command.checkpoint?.replace('done-ms:', '') ?? 0),
-			since: now,
+			shareChangedAt: now,
 			share: 1,
-			leaseEnds: command.kind === 'batch' ? command.notAfter : Infinity,
+			leaseEndsAt: command.kind === 'batch' ? command.notAfter : Infinity,
 		};
 		this.attempts.set(command.task, attempt);
-		this.write(attempt, 'start', 'started');
+		this.writeJournalLine(attempt, 'start', 'started');
 		if (this.faults.failAll || attempt.run.fails === true) this.end(attempt, 'failed', 'exit status 1');
 	}
 
 	private throttle(attempt: Attempt, share: number): void {
-		attempt.doneMs = this.progress(attempt);
-		attempt.since = this.opts.now();
+		attempt.doneMs = this.progressAt(attempt);
+		attempt.shareChangedAt = this.opts.now();
 		attempt.share = share;
 	}
 
-	private advanceOne(attempt: Attempt): void {
+	private advanceAttempt(attempt: Attempt): void {
 		const now = this.opts.now();
 		const duration = Number(attempt.run.durationMs ?? Infinity);
-		const finishesAt = attempt.since + (duration - attempt.doneMs) / attempt.share;
-		if (finishesAt <= Math.min(now, attempt.leaseEnds))
+		const finishesAt = attempt.shareChangedAt + (duration - attempt.doneMs) / attempt.share;
+		if (finishesAt <= Math.min(now, attempt.leaseEndsAt))
 			this.end(attempt, 'finished', 'exit status 0', finishesAt);
-		else if (attempt.leaseEnds <= now) this.end(attempt, 'stopped', 'lease lapsed', attempt.leaseEnds);
+		else if (attempt.leaseEndsAt <= now) this.end(attempt, 'stopped', 'lease lapsed', attempt.leaseEndsAt);
 	}
 
-	private progress(attempt: Attempt, at: number = this.opts.now()): number {
-		return attempt.doneMs + (at - attempt.since) * attempt.share;
+	private progressAt(attempt: Attempt, at: number = this.opts.now()): number {
+		return attempt.doneMs + (at - attempt.shareChangedAt) * attempt.share;
 	}
 
 	private end(
@@ -159,14 +159,14 @@
 		reason: string,
 		at = this.opts.now(),
 	): void {
-		attempt.doneMs = this.progress(attempt, at);
-		attempt.since = at;
+		attempt.doneMs = this.progressAt(attempt, at);
+		attempt.shareChangedAt = at;
 		attempt.state = state;
 		attempt.reason = reason;
-		this.write(attempt, 'end', reason, at);
+		this.writeJournalLine(attempt, 'end', reason, at);
 	}
 
-	private write(attempt: Attempt, what: 'start' | 'end', how: string, at = this.opts.now()): void {
+	private writeJournalLine(attempt: Attempt, what: 'start' | 'end', how: string, at = this.opts.now()): void {
 		this.opts.journal({
 			worker: this.opts.id,
 			incarnation: this.opts.incarnation,
@@ -183,7 +183,7 @@
 
 	private report(attempt: Attempt): workers.TaskReport {
 		const running = attempt.state === 'running';
-		const done = running ? this.progress(attempt) : attempt.doneMs;
+		const done = running ? this.progressAt(attempt) : attempt.doneMs;
 		return {
 			task: attempt.task,
 			attempt: attempt.attempt,
--- a/stand-ins/worker/main.ts
+++ b/stand-ins/worker/main.ts
@@ -6,7 +6,7 @@
 import * as machines from './machine.js';
 
 /** How often leases and ends are looked at, in milliseconds. */
-const tickMs = 10;
+const advanceIntervalMs = 10;
 
 const machine = machines.Machine.create({
 	id: process.env.BOX_ID ?? 'worker',
@@ -30,7 +30,7 @@
 
 setInterval(() => {
 	machine.advance();
-}, tickMs);
+}, advanceIntervalMs);
 
 const { address } = await standIn.listen(app, Number(process.env.PORT ?? '0'));
 standIn.announce(address);
--- a/test/address-reuse.test.ts
+++ b/test/address-reuse.test.ts
@@ -23,14 +23,14 @@
 	const { clock, fleet, takeOver, submit } = environment;
 	const deadEntry = fleet.add('w5').entry;
 	const first = await takeOver();
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	const liveWorker = fleet.add(replacementId, { address: deadEntry.address });
-	fleet.lapsing = [deadEntry];
+	fleet.lapsingEntries = [deadEntry];
 	first.dispatcher.setWorkers([liveWorker.entry], [], false);
-	await clock.pass(500);
+	await clock.advance(500);
 	await submit(first, fixtures.job('job1', [fixtures.step({ milliCores: 10_000 })]));
 	await submit(first, fixtures.job('job2', [fixtures.step({ milliCores: 10_000 })]));
-	await clock.pass(500);
+	await clock.advance(500);
 	return { environment, first, liveWorker };
 }
 
@@ -41,8 +41,8 @@
 	ms: number,
 ) {
 	for (let passed = 0; passed < ms; passed += 10) {
-		await environment.clock.pass(10);
-		t.deepEqual(environment.fleet.doubled(), []);
+		await environment.clock.advance(10);
+		t.deepEqual(environment.fleet.tasksRunningTwice(), []);
 	}
 }
 
@@ -90,15 +90,15 @@
 	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	// The connection hangs: the report request in flight times out after a second.
-	await clock.pass(300);
+	await clock.advance(300);
 	w1.fault = 'silent';
 	const w2 = fleet.add('w2', { address: w1.entry.address });
-	fleet.lapsing = [w1.entry];
+	fleet.lapsingEntries = [w1.entry];
 	owner.dispatcher.setWorkers([w2.entry], [], false);
-	await clock.pass(100);
+	await clock.advance(100);
 	t.deepEqual([...w2.running.keys()], ['job1.0.0.0']);
 	owner.dispatcher.close();
 });
@@ -112,7 +112,7 @@
 			noteStart();
 		},
 		ended: () => undefined,
-		forgotten: () => undefined,
+		acknowledged: () => undefined,
 	};
 	const waitForStarts = (count: number): Promise<void> =>
 		new Promise((resolve) => {
@@ -128,22 +128,22 @@
 	const { owner, other } = await startTwo();
 	const deadWorkerId = 'i-1';
 	const liveWorkerId = 'i-0';
-	await owner.logged((line) => line.name === 'worker.reached' && line.fields.worker === deadWorkerId);
+	await owner.waitForLine((line) => line.name === 'worker.reached' && line.fields.worker === deadWorkerId);
 	platform.replaceWorker(
 		deadWorkerId,
 		liveWorkerId,
 		platform.fleet.workers.get(deadWorkerId)?.entry.address ?? '',
 		'lapsing',
 	);
-	await owner.logged((line) => line.name === 'worker.reached' && line.fields.worker === liveWorkerId);
+	await owner.waitForLine((line) => line.name === 'worker.reached' && line.fields.worker === liveWorkerId);
 	const body = { spec: 'a proof', steps: [{ count: 1, cpu: 10_000, mem_mb: 100, estimate_ms: 100 }] };
 	for (const id of ['00000000000000a1', '00000000000000a2'])
 		t.is((await realBoxes.call(other.callers, 'POST', id, body)).status, 200);
 	await waitForStarts(2);
 	for (const id of ['i-2', 'i-3']) await platform.startWorker(id, (address) => address);
-	await owner.logged((line) => line.name === 'worker.reached' && line.fields.worker === 'i-3');
+	await owner.waitForLine((line) => line.name === 'worker.reached' && line.fields.worker === 'i-3');
 	await owner.kill();
-	await other.logged((line) => line.name === 'takeover.settled');
+	await other.waitForLine((line) => line.name === 'takeover.settled');
 	// The tasks of this job are placed in the same round as all that are startable then, or in a later one: once it is
 	// completed, a second start of the first two would show.
 	t.is((await realBoxes.call(other.callers, 'POST', shortJob, body)).status, 200);
--- a/test/address-view.test.ts
+++ b/test/address-view.test.ts
@@ -11,7 +11,7 @@
 const worker = '127.0.0.1:40001';
 
 /** A box that reaches the worker at `ownAddress`, and records in `unknown` the addresses that it does not know. */
-function createAddressBook(ownAddress: string, unknown: string[]): addressViews.AddressBook {
+function createAddressBook(ownAddress: string, unknown: string[]): addressViews.AddressMap {
 	return {
 		seen: (address) => (address === worker ? ownAddress : address),
 		real: (seen) => {
@@ -30,12 +30,18 @@
 	const clock = virtual.VirtualClock.create();
 	const store = memory.MemoryStore.create(clock);
 	const unknown: string[] = [];
-	const firstView = addressViews.withAddresses(store.view(), createAddressBook('127.0.0.1:50001', unknown));
-	const secondView = addressViews.withAddresses(store.view(), createAddressBook('127.0.0.1:50002', unknown));
+	const firstView = addressViews.withTranslatedAddresses(
+		store.view(),
+		createAddressBook('127.0.0.1:50001', unknown),
+	);
+	const secondView = addressViews.withTranslatedAddresses(
+		store.view(),
+		createAddressBook('127.0.0.1:50002', unknown),
+	);
 	const value = Buffer.from('é 127.0.0.1:50001 and 127.0.0.1:41111');
 	const write = { key: 'k', value };
 	const awaitAfterDelay = async <T>(call: Promise<T>): Promise<T> => {
-		await clock.pass(100);
+		await clock.advance(100);
 		return call;
 	};
 	await awaitAfterDelay(firstView.commit({ expected: [], writes: [write], removes: [] }));
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -145,7 +145,7 @@
 	const { box, log } = createBox(store, clock, () => backlog);
 	const submit = async (id: string): Promise<service.Answer<'accepted'>> => {
 		const answer = box.submit(wideQueue, id, { text: '', steps: wideSteps });
-		await clock.pass(50);
+		await clock.advance(50);
 		return answer;
 	};
 	t.like(await submit('00000000000000a1'), { type: 'ok' });
--- a/test/advice.test.ts
+++ b/test/advice.test.ts
@@ -26,12 +26,12 @@
 	const environment = fixtures.createEnvironment(() => ({ ms: 500, how: 'done' }), undefined, adviser);
 	for (let index = 0; index < workerCount; index += 1) environment.fleet.add(`w${String(index)}`);
 	const owner = await environment.takeOver();
-	await environment.clock.pass(1_200);
+	await environment.clock.advance(1_200);
 	await environment.submit(
 		owner,
 		fixtures.job('job1', [fixtures.step({ milliCores: 32_000, ...spec })], { queue: advised }),
 	);
-	await environment.clock.pass(10_000);
+	await environment.clock.advance(10_000);
 	owner.dispatcher.close();
 	return owner.dispatcher.stateOf('job1');
 }
--- a/test/box.test.ts
+++ b/test/box.test.ts
@@ -52,14 +52,14 @@
 test('without the store nothing is accepted, the answer says so at once, and service comes back', async (t) => {
 	const { platform, start } = await realBoxes.setUp(t);
 	const box = await start('entry-1');
-	await box.logged((line) => line.name === 'owner.taken');
+	await box.waitForLine((line) => line.name === 'owner.taken');
 	platform.storeFault = 'down';
 	const refused = await realBoxes.call(box.callers, 'POST', '00000000000000c1', realBoxes.jobBody);
 	t.is(refused.status, 503);
 	t.is(refused.body.notRun, true);
 	t.is(refused.retryAfter, '1');
 	platform.storeFault = 'none';
-	await box.logged((line) => line.name === 'store.regained');
+	await box.waitForLine((line) => line.name === 'store.regained');
 	t.is((await realBoxes.call(box.callers, 'POST', '00000000000000c2', realBoxes.jobBody)).status, 200);
 	await realBoxes.waitUntilEnded(box, '00000000000000c2');
 	t.false(platform.fleet.starts.some((one) => one.task.startsWith('00000000000000c1')));
@@ -70,9 +70,9 @@
 	const { owner: first, other: second } = await startTwo();
 	const id = '00000000000000d1';
 	t.is((await realBoxes.call(second.callers, 'POST', id, realBoxes.jobBody)).status, 200);
-	await first.logged((line) => line.name === 'task.placed');
+	await first.waitForLine((line) => line.name === 'task.placed');
 	await first.kill();
-	await second.logged((line) => line.name === 'owner.taken');
+	await second.waitForLine((line) => line.name === 'owner.taken');
 	await realBoxes.waitUntilCompleted(second, id);
 	const starts = platform.fleet.starts.map((one) => one.task);
 	t.deepEqual([...starts].sort(), [...new Set(starts)].sort());
@@ -82,7 +82,7 @@
 	const { startTwo } = await realBoxes.setUp(t);
 	const { owner: first, other: second } = await startTwo();
 	const exiting = first.kill('SIGTERM');
-	await second.logged((line) => line.name === 'owner.taken');
+	await second.waitForLine((line) => line.name === 'owner.taken');
 	t.is((await realBoxes.call(second.callers, 'POST', '00000000000000e1', realBoxes.jobBody)).status, 200);
 	t.is(await exiting, 0);
 });
@@ -95,7 +95,7 @@
 	const file = path.join(folder, 'box.yaml');
 	fs.writeFileSync(
 		file,
-		boxes.settingsText('entry-1', '127.0.0.1:1').replace('front: "127.0.0.1:0"', 'front: 7'),
+		boxes.createSettings('entry-1', '127.0.0.1:1').replace('front: "127.0.0.1:0"', 'front: 7'),
 	);
 	const run = childProcess.spawnSync(process.execPath, ['dist/src/cli/box/main.js'], {
 		env: { ...process.env, WOODCROSS_NODE_FILE: file },
--- a/test/call-repeater.test.ts
+++ b/test/call-repeater.test.ts
@@ -20,7 +20,7 @@
 	const owner = await environment.takeOver();
 	const longRunning = { lasting: true, maxPerWorker: 1, count: workerCount };
 	await environment.submit(owner, fixtures.job('lasting', [fixtures.step(longRunning)]));
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	const [worker] = fleet.workers.values();
 	if (worker === undefined) throw new Error('there is no worker');
 	owner.dispatcher.load();
@@ -29,20 +29,20 @@
 
 test('a report request that is carried out late is repeated long before it times out', async (t) => {
 	const { clock, owner, worker } = await createWithLongRunning();
-	const hold = worker.hold.bind(worker);
+	const hold = worker.handleReportRequest.bind(worker);
 	let lastPolledAt = clock.now();
 	let maxIntervalMs = 0;
-	worker.hold = (req) => {
+	worker.handleReportRequest = (req) => {
 		maxIntervalMs = Math.max(maxIntervalMs, clock.now() - lastPolledAt);
 		lastPolledAt = clock.now();
 		return hold(req);
 	};
-	await clock.pass(2_000);
+	await clock.advance(2_000);
 	worker.fault = 'late';
-	await clock.pass(20);
-	while (clock.now() - lastPolledAt < settings.pollWaitMs + 20) await clock.pass(10);
+	await clock.advance(20);
+	while (clock.now() - lastPolledAt < settings.pollWaitMs + 20) await clock.advance(10);
 	worker.fault = 'none';
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.true(maxIntervalMs < settings.pollWaitMs + callTimeoutMs / 2, `${String(maxIntervalMs)} ms`);
 	t.is(owner.events.select(({ name }) => name === 'worker.unanswered').length, 0);
 	owner.dispatcher.close();
@@ -54,9 +54,9 @@
 	const before = fleet.starts.length;
 	await submit(owner, fixtures.job('short', [fixtures.step({ count, maxPerWorker: 2 })]));
 	for (const worker of fleet.workers.values()) worker.fault = 'late';
-	await clock.pass(30);
+	await clock.advance(30);
 	for (const worker of fleet.workers.values()) worker.fault = 'none';
-	await clock.pass(callTimeoutMs - 100);
+	await clock.advance(callTimeoutMs - 100);
 	t.is(fleet.starts.length - before, count);
 	owner.dispatcher.close();
 });
@@ -64,9 +64,9 @@
 test('nothing is repeated while all answers come late', async (t) => {
 	const { clock, fleet, owner } = await createWithLongRunning();
 	for (fleet.reportDelayMs = 0; fleet.reportDelayMs < callTimeoutMs; fleet.reportDelayMs += 50)
-		await clock.pass(500);
+		await clock.advance(500);
 	owner.dispatcher.load();
-	await clock.pass(10_000);
+	await clock.advance(10_000);
 	t.is(owner.dispatcher.load().repeats, 0);
 	owner.dispatcher.close();
 });
@@ -79,8 +79,8 @@
 	let repeats = 0;
 	let maxQueueMs = 0;
 	for (let passed = 0; passed < 8_000; passed += 50) {
-		await clock.pass(50);
-		maxQueueMs = Math.max(maxQueueMs, processor.queueMs);
+		await clock.advance(50);
+		maxQueueMs = Math.max(maxQueueMs, processor.queueWaitMs);
 		repeats += owner.dispatcher.load().repeats;
 	}
 	t.true(maxQueueMs > 200, 'the processor was saturated');
@@ -91,7 +91,7 @@
 test('when no worker answers any more, only the requests to a few are repeated', async (t) => {
 	const { clock, fleet, owner } = await createWithLongRunning();
 	for (const worker of fleet.workers.values()) worker.fault = 'silent';
-	await clock.pass(settings.pollWaitMs + callTimeoutMs + 200);
+	await clock.advance(settings.pollWaitMs + callTimeoutMs + 200);
 	const { repeats } = owner.dispatcher.load();
 	t.true(repeats > 0 && repeats < workerCount, `${String(repeats)} repeats`);
 	owner.dispatcher.close();
@@ -100,9 +100,9 @@
 test('a request to a worker that stays unresponsive is repeated a few times at most', async (t) => {
 	const { clock, owner, worker } = await createWithLongRunning();
 	worker.fault = 'silent';
-	await clock.pass(settings.pollWaitMs + callTimeoutMs + 200);
+	await clock.advance(settings.pollWaitMs + callTimeoutMs + 200);
 	owner.dispatcher.load();
-	await clock.pass(10_000);
+	await clock.advance(10_000);
 	const { repeats } = owner.dispatcher.load();
 	t.true(repeats <= 3 * (10_000 / callTimeoutMs), `${String(repeats)} repeats`);
 	owner.dispatcher.close();
--- a/test/cancelled-runs.test.ts
+++ b/test/cancelled-runs.test.ts
@@ -12,16 +12,16 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => longPlan);
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	w1.fault = 'late';
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(50);
+	await clock.advance(50);
 	owner.dispatcher.cancelJob('job1');
 	// Only the start comes late: from here on the worker answers.
 	w1.fault = 'none';
 	let runningMs = 0;
 	for (let passed = 0; passed < 15_000; passed += 50) {
-		await clock.pass(50);
+		await clock.advance(50);
 		runningMs += w1.running.size * 50;
 	}
 	t.true(runningMs <= maxRunAfterCancelMs, `it ran for ${runningMs} ms`);
@@ -33,14 +33,14 @@
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
 	await submit(first, fixtures.job('job1', [fixtures.step({ count: 3 })]));
-	await clock.pass(500);
+	await clock.advance(500);
 	t.is(w1.running.size, 3);
 	first.dispatcher.close();
 	const cancelling = ledger.cancel(store.view(), 'job1');
-	await clock.pass(50);
+	await clock.advance(50);
 	t.is((await cancelling).type, 'cancelled');
 	const second = await takeOver();
-	await clock.pass(maxRunAfterCancelMs);
+	await clock.advance(maxRunAfterCancelMs);
 	t.is(w1.running.size, 0);
 	t.is(second.dispatcher.stateOf('job1'), 'cancelled');
 	second.dispatcher.close();
@@ -51,13 +51,13 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => longPlan);
 	fleet.add('w1');
 	const owner = await takeOver(undefined, () => fault);
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	await submit(owner, fixtures.job('job1', [fixtures.step({ lasting: true })]));
 	fault = 'down';
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	owner.dispatcher.cancelJob('job1');
 	fault = 'none';
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.is(fleet.starts.length, 0);
 	owner.dispatcher.close();
 });
@@ -67,15 +67,15 @@
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
 	await submit(first, fixtures.job('job1', [fixtures.step({ milliCores: 20_000 })]));
-	await clock.pass(500);
+	await clock.advance(500);
 	first.dispatcher.close();
 	const cancelling = ledger.cancel(store.view(), 'job1');
-	await clock.pass(50);
+	await clock.advance(50);
 	await cancelling;
 	const second = await takeOver();
 	await submit(second, fixtures.job('job2', [fixtures.step({ milliCores: 20_000 })]));
 	for (let passed = 0; passed < 2_000; passed += 10) {
-		await clock.pass(10);
+		await clock.advance(10);
 		t.true(w1.running.size <= 1);
 	}
 	t.deepEqual([...w1.running.keys()], ['job2.0.0.0']);
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -98,10 +98,10 @@
 	for (const applyMs of applyBoundsMs)
 		for (let phaseMs = 0; phaseMs < applyMs; phaseMs += 125) {
 			const harness = TestFollower.create(applyMs);
-			await harness.clock.pass(1_000 + phaseMs);
+			await harness.clock.advance(1_000 + phaseMs);
 			harness.nextWaitHangs = true;
 			harness.write(2);
-			await harness.clock.pass(applyMs);
+			await harness.clock.advance(applyMs);
 			t.is(
 				harness.follower.version,
 				2,
@@ -112,14 +112,14 @@
 
 test('a configuration that the store does not confirm in time is logged repeatedly until it is confirmed', async (t) => {
 	const harness = TestFollower.create(2_000);
-	await harness.clock.pass(3_000);
+	await harness.clock.advance(3_000);
 	t.is(harness.countLogged('config.unconfirmed'), 0);
 	harness.isStoreDown = true;
-	await harness.clock.pass(8_500);
+	await harness.clock.advance(8_500);
 	t.is(harness.countLogged('config.unconfirmed'), 2);
 	t.is(harness.countLogged('config.confirmed'), 0);
 	harness.isStoreDown = false;
-	await harness.clock.pass(1_500);
+	await harness.clock.advance(1_500);
 	t.is(harness.countLogged('config.confirmed'), 1);
 	t.true(harness.follower.ageMs < 2_000);
 });
@@ -136,15 +136,15 @@
 		(harness: TestFollower) => void harness.follower.listIfNewer(2),
 	]) {
 		const harness = TestFollower.create(2_000);
-		await harness.clock.pass(500);
+		await harness.clock.advance(500);
 		harness.omitsChanges = true;
 		harness.write(2);
-		await harness.clock.pass(3_000);
+		await harness.clock.advance(3_000);
 		t.is(harness.follower.version, 1);
 		t.false(harness.follower.mayBeStale, 'the store answers, so nothing indicates the missed change');
 		advertise(harness);
 		t.true(harness.follower.mayBeStale);
-		await harness.clock.pass(2 * slowAnswerMs);
+		await harness.clock.advance(2 * slowAnswerMs);
 		t.is(harness.follower.version, 2);
 		t.false(harness.follower.mayBeStale);
 	}
@@ -152,14 +152,14 @@
 
 test('when the list does not return the version that the owner advertised, the box fetches it from the owner', async (t) => {
 	const harness = TestFollower.create(2_000);
-	await harness.clock.pass(500);
+	await harness.clock.advance(500);
 	const { follower, clock } = harness;
 	const advertise = (): Promise<void> =>
 		follower.onAdvertised({ version: 2, ageMs: 0 }, clock.now(), () =>
 			Promise.resolve(configurations.storedConfiguration(2)),
 		);
 	await advertise();
-	await clock.pass(2 * slowAnswerMs);
+	await clock.advance(2 * slowAnswerMs);
 	t.is(harness.follower.version, 1, 'the list is read first');
 	await advertise();
 	t.is(harness.follower.version, 2);
@@ -167,10 +167,10 @@
 
 test('without the store a box applies the configuration that the owner sends, and relies on its confirmation', async (t) => {
 	const harness = TestFollower.create(2_000);
-	await harness.clock.pass(500);
+	await harness.clock.advance(500);
 	harness.isStoreDown = true;
 	harness.contact.reachable = false;
-	await harness.clock.pass(3_000);
+	await harness.clock.advance(3_000);
 	t.true(harness.follower.mayBeStale);
 	const { follower, clock } = harness;
 	await follower.onAdvertised({ version: 1, ageMs: 300 }, clock.now() - 500, () =>
@@ -209,11 +209,11 @@
 
 test('the configuration of a box that was suspended may be stale until it is confirmed', async (t) => {
 	const harness = TestFollower.create(2_000);
-	await harness.clock.pass(1_000);
+	await harness.clock.advance(1_000);
 	t.false(harness.follower.mayBeStale);
-	harness.clock.resume();
+	harness.clock.noteResume();
 	t.true(harness.follower.mayBeStale);
 	// The answer to the wait that was in flight may be from before the suspension.
-	await harness.clock.pass(4_000);
+	await harness.clock.advance(4_000);
 	t.false(harness.follower.mayBeStale);
 });
--- a/test/conflicting-views.test.ts
+++ b/test/conflicting-views.test.ts
@@ -35,7 +35,7 @@
 	const capacity = { milliCores: 64_000, memoryMb: 128_000, accelerators: 0 };
 	const worker = environment.fleet.add(sharedWorker, { capacity });
 	const first = await environment.takeOver(undefined, fault);
-	await environment.clock.pass(1_200);
+	await environment.clock.advance(1_200);
 	return { environment, first, worker };
 }
 
@@ -55,20 +55,20 @@
 	ms: number,
 ): Promise<void> {
 	for (let passed = 0; passed < ms; passed += 10) {
-		await environment.clock.pass(10);
-		t.deepEqual(environment.fleet.doubled(), []);
+		await environment.clock.advance(10);
+		t.deepEqual(environment.fleet.tasksRunningTwice(), []);
 	}
 }
 
 test('generation 2 frees nothing on a worker that it no longer reaches and that generation 3 renews', async (t) => {
 	const { environment, first, worker } = await setUpSharedWorker();
 	await submitBoth(environment, first);
-	await environment.clock.pass(1_000);
+	await environment.clock.advance(1_000);
 	first.dispatcher.close();
 	addSpareWorkers(environment);
 	let isCut = false;
 	const second = await environment.takeOver((id) => isCut && id === sharedWorker);
-	await environment.clock.pass(1_000);
+	await environment.clock.advance(1_000);
 	t.is(worker.running.size, 2);
 	isCut = true;
 	// The lease that generation 2 granted there has seconds left. Generation 2's last call to the store is more recent than
@@ -85,7 +85,7 @@
 	const { environment, first, worker } = await setUpSharedWorker(() => storeFault);
 	storeFault = 'late';
 	first.dispatcher.setWorkers([], [sharedWorker], false);
-	await environment.clock.pass(300);
+	await environment.clock.advance(300);
 	storeFault = 'none';
 	first.dispatcher.setWorkers([worker.entry], [], false);
 	await submitBoth(environment, first);
@@ -128,7 +128,7 @@
 	const second = await environment.takeOver((id) => id === sharedWorker);
 	// The jobs are stored after the second owner has read all jobs. The first owner, which is not refused yet, starts them.
 	await submitBoth(environment, first);
-	await environment.clock.pass(20);
+	await environment.clock.advance(20);
 	t.is(worker.running.size, 2);
 	const jobs = service.JobService.create({
 		...contacts.monitorContact(environment.store.view(), second.events, () => environment.clock.now()),
@@ -152,7 +152,7 @@
 		const { environment, first, worker } = await setUpSharedWorker();
 		worker.fault = fault;
 		await submitBoth(environment, first);
-		await environment.clock.pass(100);
+		await environment.clock.advance(100);
 		first.dispatcher.close();
 		addSpareWorkers(environment);
 		const second = await environment.takeOver();
@@ -175,7 +175,7 @@
 			if (starts.length === 2) resolveBothStarted();
 		},
 		ended: () => undefined,
-		forgotten: () => undefined,
+		acknowledged: () => undefined,
 	};
 	const shortJob = '00000000000000a3';
 	const plan = (task: string): workers.RunPlan =>
@@ -183,7 +183,7 @@
 	const { platform, startTwo } = await realBoxes.setUp(t, { plan, journal });
 	const { owner, other } = await startTwo();
 	const worker = platform.fleet.workers.get('i-1');
-	await owner.logged((line) => line.name === 'worker.reached');
+	await owner.waitForLine((line) => line.name === 'worker.reached');
 	// The worker carries out commands, and its answers are lost.
 	if (worker !== undefined) worker.fault = 'lost';
 	const body = { spec: 'a proof', steps: [{ count: 1, cpu: 10_000, mem_mb: 100, estimate_ms: 100 }] };
@@ -191,11 +191,11 @@
 		t.is((await realBoxes.call(other.callers, 'POST', id, body)).status, 200);
 	await bothRunsStarted;
 	owner.process.kill('SIGTERM');
-	await other.logged((line) => line.name === 'owner.taken');
+	await other.waitForLine((line) => line.name === 'owner.taken');
 	for (const id of ['i-2', 'i-3']) await platform.startWorker(id, (address) => address);
-	await other.logged((line) => line.name === 'worker.reached' && line.fields.worker === 'i-3');
+	await other.waitForLine((line) => line.name === 'worker.reached' && line.fields.worker === 'i-3');
 	if (worker !== undefined) worker.fault = 'none';
-	await other.logged((line) => line.name === 'takeover.settled');
+	await other.waitForLine((line) => line.name === 'takeover.settled');
 	// The tasks of this job are placed in the same round as all tasks that are free to be placed by then, or in a later one.
 	t.is((await realBoxes.call(other.callers, 'POST', shortJob, body)).status, 200);
 	await realBoxes.waitUntilCompleted(other, shortJob);
--- a/test/crashing-tasks.test.ts
+++ b/test/crashing-tasks.test.ts
@@ -36,9 +36,9 @@
 	return { ...entry, capacity: { ...entry.capacity, milliCores: 0 } };
 }
 
-function planOf(task: string, crashMs: number, soundMs: number): workers.RunPlan {
-	if (task.startsWith('bad')) return { ms: 'endless', how: 'done', crashMs };
-	if (task.startsWith('half') && task.endsWith('.0')) return { ms: 'endless', how: 'done', crashMs };
+function planOf(task: string, crashAfterMs: number, soundMs: number): workers.RunPlan {
+	if (task.startsWith('bad')) return { ms: 'endless', how: 'done', crashAfterMs };
+	if (task.startsWith('half') && task.endsWith('.0')) return { ms: 'endless', how: 'done', crashAfterMs };
 	return task.startsWith('lasting') || task.startsWith('half')
 		? { ms: 'endless', how: 'done' }
 		: { ms: soundMs, how: 'done' };
@@ -53,10 +53,10 @@
 
 	static async start(environment: fixtures.TestEnvironment): Promise<OwnerSuccession> {
 		const succession = new OwnerSuccession(environment, await environment.takeOver());
-		environment.fleet.onListed = (added, removed) => {
+		environment.fleet.onEntriesChanged = (added, removed) => {
 			succession.owner.dispatcher.setWorkers(added, removed, false);
 		};
-		await environment.clock.pass(1_200);
+		await environment.clock.advance(1_200);
 		return succession;
 	}
 
@@ -83,7 +83,7 @@
 	const ids = Array.from({ length: soundJobCount }, (_, index) => `sound${String(index)}`);
 	for (const id of ids) {
 		await environment.submit(succession.owner, fixtures.job(id, [soundStep]));
-		await environment.clock.pass(240);
+		await environment.clock.advance(240);
 	}
 	return ids;
 }
@@ -102,7 +102,7 @@
 		const succession = await OwnerSuccession.start(environment);
 		await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
 		const sound = await submitSound(environment, succession);
-		await environment.clock.pass(soundTimeoutMs);
+		await environment.clock.advance(soundTimeoutMs);
 		t.true(crashes.crashCountsOf(environment, 'bad.0.0.0').late <= crashing.maxStartsAfterCrashes);
 		t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
 		t.deepEqual(notInState(succession, sound, 'completed'), []);
@@ -114,7 +114,7 @@
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
 	await submitSound(environment, succession);
-	await environment.clock.pass(soundTimeoutMs);
+	await environment.clock.advance(soundTimeoutMs);
 	t.is(crashes.crashCountsOf(environment, 'bad.0.0.0').crashes, 2);
 	succession.close();
 });
@@ -126,7 +126,7 @@
 			const succession = await OwnerSuccession.start(environment);
 			await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
 			for (let passed = 0; passed < soundTimeoutMs; passed += tenureMs) {
-				await environment.clock.pass(tenureMs);
+				await environment.clock.advance(tenureMs);
 				await succession.replaceOwner();
 			}
 			t.true(
@@ -141,22 +141,22 @@
 	const environment = createCrashEnvironment(300);
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
-	await environment.clock.pass(290);
+	await environment.clock.advance(290);
 	await succession.replaceOwner();
 	// The new owner learns that the worker crashed, and has no free capacity for the task.
-	const { onListed, workers } = environment.fleet;
-	environment.fleet.onListed = (added, removed) => {
+	const { onEntriesChanged, workers } = environment.fleet;
+	environment.fleet.onEntriesChanged = (added, removed) => {
 		succession.owner.dispatcher.setWorkers(added.map(withoutCapacity), removed, false);
 	};
-	environment.fleet.onListed(
+	environment.fleet.onEntriesChanged(
 		[...workers.values()].map(({ entry }) => entry),
 		[],
 	);
-	await environment.clock.pass(20_000);
+	await environment.clock.advance(20_000);
 	t.is(environment.fleet.starts.length, 1);
-	environment.fleet.onListed = onListed;
+	environment.fleet.onEntriesChanged = onEntriesChanged;
 	await succession.replaceOwner();
-	await environment.clock.pass(soundTimeoutMs);
+	await environment.clock.advance(soundTimeoutMs);
 	t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
 	t.is(
 		crashes.crashCountsOf(environment, 'bad.0.0.0').crashes,
@@ -172,7 +172,7 @@
 	const bad = ['bad0', 'bad1', 'bad2'];
 	for (const id of bad) await environment.submit(succession.owner, fixtures.job(id, [fixtures.step()]));
 	const sound = await submitSound(environment, succession);
-	await environment.clock.pass(soundTimeoutMs);
+	await environment.clock.advance(soundTimeoutMs);
 	for (const id of bad)
 		t.true(crashes.crashCountsOf(environment, `${id}.0.0.0`).late <= crashing.maxStartsAfterCrashes);
 	t.deepEqual(notInState(succession, bad, 'failed'), []);
@@ -185,7 +185,7 @@
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step({ lasting: true })]));
 	const sound = await submitSound(environment, succession);
-	await environment.clock.pass(soundTimeoutMs);
+	await environment.clock.advance(soundTimeoutMs);
 	t.true(crashes.crashCountsOf(environment, 'bad.0.0.0').late <= crashing.maxStartsAfterCrashes);
 	t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
 	t.deepEqual(notInState(succession, sound, 'completed'), []);
@@ -196,7 +196,7 @@
 	const environment = createCrashEnvironment(10);
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('half', [fixtures.step({ count: 3, gang: true })]));
-	await environment.clock.pass(soundTimeoutMs);
+	await environment.clock.advance(soundTimeoutMs);
 	t.true(crashes.crashCountsOf(environment, 'half.0.0.0').late <= crashing.maxStartsAfterCrashes);
 	t.is(succession.owner.dispatcher.stateOf('half'), 'failed');
 	succession.close();
@@ -206,16 +206,16 @@
 	const environment = createCrashEnvironment(10);
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step({ count: 200 })]));
-	await environment.clock.pass(soundTimeoutMs);
+	await environment.clock.advance(soundTimeoutMs);
 	t.is(succession.owner.dispatcher.stateOf('bad'), 'failed');
 	// All ten workers may crash before the first loss is known; after that, one suspect runs at a time.
 	t.true(environment.fleet.crashes.length <= 12, String(environment.fleet.crashes.length));
 	succession.close();
 });
 
-for (const dark of [false, true])
-	test(`workers that crash at random, ${dark ? 'without power' : 'alone or three at a time'}, make no job fail`, async (t) => {
-		const draw = random.seeded(dark ? 2 : 1);
+for (const unresponsive of [false, true])
+	test(`workers that crash at random, ${unresponsive ? 'without power' : 'alone or three at a time'}, make no job fail`, async (t) => {
+		const draw = random.seeded(unresponsive ? 2 : 1);
 		const environment = createCrashEnvironment(10);
 		const { clock, fleet } = environment;
 		const succession = await OwnerSuccession.start(environment);
@@ -226,15 +226,15 @@
 		const ids = Array.from({ length: 60 }, (_, index) => `sound${String(index)}`);
 		for (const [index, id] of ids.entries()) {
 			await environment.submit(succession.owner, fixtures.job(id, [soundStep]));
-			await clock.pass(1_000);
+			await clock.advance(1_000);
 			const count = index % 6 === 5 ? 3 : Number(index % 3 === 2);
 			const living = [...fleet.workers.values()];
 			for (let crashed = 0; crashed < count; crashed += 1) {
 				const [worker] = living.splice(Math.floor(draw() * living.length), 1);
-				if (worker !== undefined) fleet.crash(worker, { downMs: 3_000, dark });
+				if (worker !== undefined) fleet.crashAndRecover(worker, { downMs: 3_000, unresponsive });
 			}
 		}
-		await clock.pass(30_000);
+		await clock.advance(30_000);
 		t.deepEqual(notInState(succession, ids, 'completed'), []);
 		t.is(succession.owner.dispatcher.stateOf('lasting'), 'running');
 		succession.close();
@@ -244,11 +244,11 @@
 	const environment = createCrashEnvironment(10);
 	const succession = await OwnerSuccession.start(environment);
 	await environment.submit(succession.owner, fixtures.job('bad', [fixtures.step()]));
-	await environment.clock.pass(soundTimeoutMs);
+	await environment.clock.advance(soundTimeoutMs);
 	const failure = '2 workers went down, or may have, under task bad.0.0.0: it brought them down';
 	t.deepEqual(succession.owner.dispatcher.viewOf('bad'), { state: 'failed', failure });
 	const reading = ledger.readJob(environment.store.view(), 'bad');
-	await environment.clock.pass(50);
+	await environment.clock.advance(50);
 	const stored = await reading;
 	t.deepEqual(stored.ok && stored.value && ledger.toJobView(stored.value), { state: 'failed', failure });
 	succession.close();
@@ -258,15 +258,15 @@
 	const environment = createCrashEnvironment(10, 500);
 	const { clock, fleet } = environment;
 	let owner = await environment.takeOver();
-	fleet.onListed = (added, removed) => {
+	fleet.onEntriesChanged = (added, removed) => {
 		owner.dispatcher.setWorkers(added, removed, false);
 	};
 	const placedCount = (): number => owner.events.select((event) => event.name === 'task.placed').length;
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	await environment.submit(owner, fixtures.job('sound', [fixtures.step()]));
-	await clock.pass(100);
+	await clock.advance(100);
 	const busyWorker = [...fleet.workers.values()].find((one) => one.running.size > 0);
-	if (busyWorker !== undefined) fleet.crash(busyWorker, { downMs: 1_000, dark: false });
+	if (busyWorker !== undefined) fleet.crashAndRecover(busyWorker, { downMs: 1_000, unresponsive: false });
 	for (let deaths = 0; deaths < 4; deaths += 1) {
 		owner.dispatcher.close();
 		let hasTakenOver = false;
@@ -275,12 +275,12 @@
 			hasTakenOver && placedCount() > 0 ? 'lost' : 'none',
 		);
 		hasTakenOver = true;
-		while (placedCount() === 0) await clock.pass(1);
-		await clock.pass(100);
+		while (placedCount() === 0) await clock.advance(1);
+		await clock.advance(100);
 	}
 	owner.dispatcher.close();
 	owner = await environment.takeOver();
-	await clock.pass(10_000);
+	await clock.advance(10_000);
 	t.deepEqual(
 		fleet.starts.map((one) => one.task),
 		['sound.0.0.0', 'sound.0.0.0'],
--- a/test/dispatch.test.ts
+++ b/test/dispatch.test.ts
@@ -11,9 +11,9 @@
 	const owner = await takeOver();
 	await submit(owner, fixtures.job('job1', [fixtures.step({ count: 2 }), fixtures.step({ after: [0] })]));
 	t.is(owner.dispatcher.stateOf('job1'), 'pending');
-	await clock.pass(200);
+	await clock.advance(200);
 	t.is(owner.dispatcher.stateOf('job1'), 'running');
-	await clock.pass(1_500);
+	await clock.advance(1_500);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	t.snapshot(fleet.starts.map(({ task, run, worker }) => ({ task, run, worker })));
 	owner.dispatcher.close();
@@ -25,12 +25,12 @@
 	fleet.add('w2');
 	const first = await takeOver();
 	await submit(first, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(450);
+	await clock.advance(450);
 	first.dispatcher.close();
 	const second = await takeOver();
-	await clock.pass(200);
+	await clock.advance(200);
 	t.is(second.dispatcher.stateOf('job1'), 'running');
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.is(second.dispatcher.stateOf('job1'), 'failed');
 	t.is(fleet.starts.length, 3);
 	second.dispatcher.close();
@@ -44,19 +44,19 @@
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await submit(owner, fixtures.job('job1', [fixtures.step({ lasting: true })]));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.is(fleet.starts.length, 1);
 	fleet.add('w2');
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
 	w1.fault = 'silent';
-	await clock.pass(4_000);
+	await clock.advance(4_000);
 	t.is(fleet.starts.length, 1);
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.deepEqual(
 		fleet.starts.map((one) => one.worker),
 		['w1', 'w2'],
 	);
-	t.deepEqual(fleet.doubled(), []);
+	t.deepEqual(fleet.tasksRunningTwice(), []);
 	owner.dispatcher.close();
 });
 
@@ -66,16 +66,16 @@
 		how: 'done',
 	}));
 	const w1 = fleet.add('w1');
-	w1.rate = 0.98;
+	w1.clockRate = 0.98;
 	const owner = await takeOver();
 	await submit(owner, fixtures.job('job1', [fixtures.step({ lasting: true })]));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	fleet.add('w2');
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
 	w1.fault = 'silent';
 	for (let passed = 0; passed < 9_000; passed += 50) {
-		await clock.pass(50);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(50);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	t.is(fleet.starts.length, 2);
 	owner.dispatcher.close();
@@ -85,16 +85,16 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 4_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	w1.fault = 'late';
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(300);
+	await clock.advance(300);
 	fleet.add('w2');
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
 	for (let passed = 0; passed < 30_000; passed += 100) {
 		if (passed === 4_000) w1.fault = 'none';
-		await clock.pass(100);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(100);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	owner.dispatcher.close();
@@ -104,12 +104,12 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => halfSecondPlan);
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	w1.fault = 'lost';
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(400);
+	await clock.advance(400);
 	w1.fault = 'none';
-	await clock.pass(4_000);
+	await clock.advance(4_000);
 	t.is(fleet.starts.length, 1);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	owner.dispatcher.close();
@@ -119,19 +119,19 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 4_000, how: 'done' }));
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	w1.fault = 'lost';
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(300);
+	await clock.advance(300);
 	w1.fault = 'refused';
 	fleet.add('w2');
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
 	for (let passed = 0; passed < 3_000; passed += 50) {
-		await clock.pass(50);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(50);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	w1.fault = 'none';
-	await clock.pass(10_000);
+	await clock.advance(10_000);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	owner.dispatcher.close();
 });
@@ -142,15 +142,15 @@
 	const w2 = fleet.add('w2');
 	const first = await takeOver();
 	await submit(first, fixtures.job('job1', [fixtures.step({ count: 6 })]));
-	await clock.pass(500);
+	await clock.advance(500);
 	t.is(fleet.starts.length, 6);
 	w2.fault = 'silent';
 	first.dispatcher.close();
 	const second = await takeOver();
 	for (let passed = 0; passed < 16_000; passed += 100) {
 		if (passed === 1_500) w2.fault = 'none';
-		await clock.pass(100);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(100);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	t.is(second.dispatcher.stateOf('job1'), 'completed');
 	t.is(fleet.starts.length, 6);
@@ -162,17 +162,17 @@
 	fleet.add('w1');
 	fleet.add('w2');
 	const first = await takeOver();
-	await clock.pass(500);
+	await clock.advance(500);
 	const second = await takeOver((worker) => worker === 'w1');
-	await clock.pass(100);
+	await clock.advance(100);
 	// The accepting box still knows the first owner, which reaches the worker that the second owner can't reach.
 	const job = fixtures.job('job1', [fixtures.step({ maxPerWorker: 1 })]);
 	await submit(first, job);
-	await clock.pass(20);
+	await clock.advance(20);
 	second.dispatcher.addJob({ ...job, acceptedUnder: first.ledger.generation });
 	for (let passed = 0; passed < 12_000; passed += 100) {
-		await clock.pass(100);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(100);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	first.dispatcher.close();
 	second.dispatcher.close();
@@ -183,19 +183,19 @@
 	fleet.add('w1');
 	fleet.add('w2');
 	const first = await takeOver();
-	await clock.pass(500);
+	await clock.advance(500);
 	let isCut = true;
 	const second = await takeOver(() => isCut);
 	const job = fixtures.job('job1', [fixtures.step({ count: 2 })]);
 	await submit(first, job);
-	await clock.pass(20);
+	await clock.advance(20);
 	t.is(fleet.starts.length, 2);
 	isCut = false;
-	await clock.pass(1_500);
+	await clock.advance(1_500);
 	second.dispatcher.addJob({ ...job, acceptedUnder: first.ledger.generation });
 	for (let passed = 0; passed < 5_000; passed += 100) {
-		await clock.pass(100);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(100);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	t.is(fleet.starts.length, 2);
 	t.is(second.dispatcher.stateOf('job1'), 'completed');
@@ -207,18 +207,18 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => halfSecondPlan);
 	fleet.add('w1');
 	const first = await takeOver();
-	await clock.pass(500);
+	await clock.advance(500);
 	let isCut = true;
 	const second = await takeOver(() => isCut);
 	const job = fixtures.job('job1', [fixtures.step()]);
 	await submit(first, job);
-	await clock.pass(20);
+	await clock.advance(20);
 	first.dispatcher.close();
-	await clock.pass(700);
+	await clock.advance(700);
 	isCut = false;
-	await clock.pass(1_500);
+	await clock.advance(1_500);
 	second.dispatcher.addJob({ ...job, acceptedUnder: first.ledger.generation });
-	await clock.pass(2_000);
+	await clock.advance(2_000);
 	t.is(fleet.starts.length, 1);
 	t.is(second.dispatcher.stateOf('job1'), 'completed');
 	second.dispatcher.close();
@@ -229,12 +229,12 @@
 	fleet.add('w1');
 	const w2 = fleet.add('w2');
 	const first = await takeOver();
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	w2.fault = 'silent';
 	first.dispatcher.close();
 	const second = await takeOver();
 	await submit(second, fixtures.job('job2', [fixtures.step()]));
-	await clock.pass(100);
+	await clock.advance(100);
 	t.is(fleet.starts.length, 1);
 	second.dispatcher.close();
 });
@@ -243,13 +243,13 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => halfSecondPlan);
 	fleet.add('w1');
 	const first = await takeOver();
-	await clock.pass(500);
+	await clock.advance(500);
 	const second = await takeOver();
-	await clock.pass(1_500);
+	await clock.advance(1_500);
 	t.true(first.isFenced());
 	await submit(second, fixtures.job('job1', [fixtures.step()]));
 	first.dispatcher.addJob(fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(2_000);
+	await clock.advance(2_000);
 	t.is(fleet.starts.length, 1);
 	second.dispatcher.close();
 });
@@ -260,13 +260,13 @@
 	const w1 = fleet.add('w1');
 	const owner = await takeOver(undefined, () => fault);
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(300);
+	await clock.advance(300);
 	fault = 'down';
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.is(owner.dispatcher.stateOf('job1'), 'running');
 	t.is(w1.ended.length, 1);
 	fault = 'none';
-	await clock.pass(2_000);
+	await clock.advance(2_000);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	t.is(w1.ended.length, 0);
 	owner.dispatcher.close();
@@ -277,10 +277,10 @@
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await submit(owner, fixtures.job('job1', [fixtures.step(), fixtures.step({ after: [0] })]));
-	await clock.pass(200);
+	await clock.advance(200);
 	owner.dispatcher.cancelJob('job1');
 	t.is(owner.dispatcher.stateOf('job1'), 'cancelled');
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.is(w1.running.size, 0);
 	t.is(fleet.starts.length, 1);
 	owner.dispatcher.close();
@@ -294,10 +294,10 @@
 	fleet.add('w1');
 	const owner = await takeOver();
 	await submit(owner, fixtures.job('job1', [fixtures.step({ lasting: true })]));
-	await clock.pass(500);
+	await clock.advance(500);
 	fleet.add('w1-again', { address: 'w1:1' });
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
-	await clock.pass(500);
+	await clock.advance(500);
 	t.deepEqual(
 		fleet.starts.map((one) => one.worker),
 		['w1', 'w1-again'],
@@ -315,12 +315,12 @@
 		owner,
 		fixtures.job('lasting', [fixtures.step({ count: 4, milliCores: 8_000, lasting: true })]),
 	);
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.is(w1.running.size, 4);
 	await submit(owner, fixtures.job('short', [fixtures.step({ count: 2 })]));
-	await clock.pass(2_000);
+	await clock.advance(2_000);
 	t.is(owner.dispatcher.stateOf('short'), 'completed');
-	await clock.pass(8_000);
+	await clock.advance(8_000);
 	t.is(w1.running.size, 4);
 	owner.dispatcher.close();
 });
@@ -333,9 +333,9 @@
 	fleet.add('w2');
 	const owner = await takeOver();
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(2_000);
+	await clock.advance(2_000);
 	t.is(fleet.starts.length, 1);
-	await clock.pass(4_000);
+	await clock.advance(4_000);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	t.not(fleet.starts[0]?.worker, fleet.starts[1]?.worker);
 	owner.dispatcher.close();
@@ -348,9 +348,9 @@
 	// The tasks run one at a time; each should be done within 1.5 s of its submission.
 	const whole = [fixtures.step({ milliCores: 32_000, estimateMs: 500 })];
 	for (let number = 0; number < 6; number += 1) await submit(owner, fixtures.job(`old${number}`, whole));
-	await clock.pass(3_500);
+	await clock.advance(3_500);
 	await submit(owner, fixtures.job('new', whole));
-	await clock.pass(6_000);
+	await clock.advance(6_000);
 	const order = fleet.starts.map((one) => one.task);
 	t.true(order.indexOf('new.0.0.0') <= 4, order.join(' '));
 	t.is(order.length, 7);
@@ -366,12 +366,12 @@
 	const owner = await takeOver();
 	const longRunning = (milliCores: number): jobs.StepSpec[] => [fixtures.step({ milliCores, lasting: true })];
 	await submit(owner, fixtures.job('first', longRunning(20_000)));
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	// It can't fit beside the first, which stays.
 	await submit(owner, fixtures.job('large', longRunning(16_000)));
-	await clock.pass(3_500);
+	await clock.advance(3_500);
 	await submit(owner, fixtures.job('small', longRunning(10_000)));
-	await clock.pass(6_000);
+	await clock.advance(6_000);
 	t.deepEqual([...w1.running.keys()].sort(), ['first.0.0.0', 'small.0.0.0']);
 	owner.dispatcher.close();
 });
@@ -384,11 +384,11 @@
 	const owner = await takeOver();
 	const longRunning = (milliCores: number): jobs.StepSpec[] => [fixtures.step({ milliCores, lasting: true })];
 	await submit(owner, fixtures.job('first', longRunning(20_000)));
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	await submit(owner, fixtures.job('large', longRunning(16_000)));
-	await clock.pass(3_500);
+	await clock.advance(3_500);
 	await submit(owner, fixtures.job('short', [fixtures.step()]));
-	await clock.pass(100);
+	await clock.advance(100);
 	t.is(owner.dispatcher.stateOf('short'), 'running');
 	owner.dispatcher.close();
 });
@@ -403,13 +403,13 @@
 		owner,
 		fixtures.job('lasting', [fixtures.step({ count: 3, milliCores: 8_000, lasting: true })]),
 	);
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	const awayMs = [0, 0, 0];
 	let maxAwayMs = 0;
 	for (let round = 0; round < 150; round += 1) {
 		// More than the worker can hold; and no two exits together free enough for a long-running task.
 		await submit(owner, fixtures.job(`short${round}`, [fixtures.step({ count: 2, milliCores: 5_000 })]));
-		await clock.pass(90);
+		await clock.advance(90);
 		for (const index of awayMs.keys()) {
 			const isAway = !w1.running.has(`lasting.0.0.${index}`);
 			awayMs[index] = isAway ? (awayMs[index] ?? 0) + 100 : 0;
--- a/test/draining-workers.test.ts
+++ b/test/draining-workers.test.ts
@@ -9,7 +9,7 @@
 	w1.fault = 'none';
 	const w2 = fleet.add('w2');
 	owner.dispatcher.setWorkers([w2.entry], [], false);
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.deepEqual(
 		fleet.starts.map((one) => one.worker),
 		['w2'],
--- a/test/evacuations.test.ts
+++ b/test/evacuations.test.ts
@@ -17,7 +17,7 @@
 	for (const zone of ['rennes', 'brest'])
 		for (const number of [1, 2]) environment.fleet.add(`${zone}-${String(number)}`, { zone, labels: [zone] });
 	const owner = await environment.takeOver();
-	await environment.clock.pass(1_200);
+	await environment.clock.advance(1_200);
 	const evacuate = (...zones: string[]): void => {
 		owner.dispatcher.noteEvacuations(new Set(zones), environment.clock.now());
 	};
@@ -35,13 +35,13 @@
 	}));
 	const wide = [fixtures.step({ count: 40, milliCores: 3_000 })];
 	await submit(owner, fixtures.job('before', wide));
-	await clock.pass(500);
+	await clock.advance(500);
 	const startedBefore = startsIn('rennes').length;
 	t.true(startedBefore > 0);
 	evacuate('rennes');
 	const evacuatedAt = clock.now();
 	await submit(owner, fixtures.job('after', [fixtures.step({ count: 30, milliCores: 2_000 })]));
-	await clock.pass(8_000);
+	await clock.advance(8_000);
 	t.deepEqual(startsIn('rennes', evacuatedAt), []);
 	t.is(owner.dispatcher.stateOf('before'), 'completed');
 	t.is(owner.dispatcher.stateOf('after'), 'completed');
@@ -51,7 +51,7 @@
 	t.is(names.filter((name) => name === 'zone.emptied').length, 1);
 	evacuate();
 	await submit(owner, fixtures.job('again', wide));
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.true(startsIn('rennes', evacuatedAt).length > 0);
 	t.is(owner.dispatcher.stateOf('again'), 'completed');
 	owner.dispatcher.close();
@@ -64,10 +64,10 @@
 	}));
 	for (const worker of fleet.workers.values()) worker.fault = 'silent';
 	await submit(owner, fixtures.job('job1', [fixtures.step({ count: 12, milliCores: 10_000 })]));
-	await clock.pass(500);
+	await clock.advance(500);
 	evacuate('rennes');
 	for (const worker of fleet.workers.values()) worker.fault = 'none';
-	await clock.pass(15_000);
+	await clock.advance(15_000);
 	t.deepEqual(startsIn('rennes'), []);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	owner.dispatcher.close();
@@ -80,11 +80,11 @@
 	}));
 	await submit(owner, fixtures.job('job1', [fixtures.step({ count: 4, milliCores: 10_000, lasting: true })]));
 	store.writeMs = 400;
-	await clock.pass(100);
+	await clock.advance(100);
 	t.deepEqual(startsIn(''), []);
 	evacuate('rennes');
 	const evacuatedAt = clock.now();
-	await clock.pass(8_000);
+	await clock.advance(8_000);
 	t.deepEqual(startsIn('rennes', evacuatedAt), []);
 	t.is(startsIn('brest').length, 4);
 	owner.dispatcher.close();
@@ -98,11 +98,11 @@
 		fixtures.job('job1', [fixtures.step({ count: 4, gang: true }), fixtures.step({ count: 3, after: [0] })]),
 	);
 	await submit(owner, fixtures.job('job2', [fixtures.step({ count: 2, speculative: true })]));
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.deepEqual(fleet.starts, []);
 	t.is(owner.dispatcher.pendingOf(fixtures.queue.name), 2);
 	evacuate();
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	t.is(owner.dispatcher.stateOf('job2'), 'completed');
 	owner.dispatcher.close();
@@ -113,7 +113,7 @@
 	evacuate('rennes');
 	owner.dispatcher.noteEvacuations(new Set(), clock.now() - 1);
 	await submit(owner, fixtures.job('job1', [fixtures.step({ count: 30 })]));
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.deepEqual(startsIn('rennes'), []);
 	owner.dispatcher.close();
 });
@@ -144,13 +144,13 @@
 	const { clock, store, reads, list, put } = followList();
 	put('rennes', '{}');
 	store.forget();
-	await clock.pass(evacuateMs);
+	await clock.advance(evacuateMs);
 	t.deepEqual(reads.at(-1)?.zones, ['rennes']);
 	put('brest', '{"reason":"flood"}');
-	await clock.pass(evacuateMs);
+	await clock.advance(evacuateMs);
 	t.deepEqual(reads.at(-1)?.zones, ['brest', 'rennes']);
-	store.drop('op/evacuate/rennes');
-	await clock.pass(evacuateMs);
+	store.remove('op/evacuate/rennes');
+	await clock.advance(evacuateMs);
 	t.deepEqual(reads.at(-1)?.zones, ['brest']);
 	list.close();
 });
@@ -158,11 +158,11 @@
 test('an entry that can not be read leaves its zone as it was, and is told of once', async (t) => {
 	const { clock, reads, list, put, rejected } = followList();
 	put('rennes', '{}');
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	put('rennes', 'no JSON');
 	put('brest', '[1]');
 	put('nantes', '{}');
-	await clock.pass(10_000);
+	await clock.advance(10_000);
 	t.deepEqual(reads.at(-1)?.zones, ['nantes', 'rennes']);
 	t.snapshot(rejected());
 	list.close();
@@ -172,10 +172,10 @@
 	let fault: memory.StoreFault = 'none';
 	const { clock, reads, list, put } = followList(() => fault);
 	put('rennes', '{}');
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	fault = 'down';
 	const downAt = clock.now();
-	await clock.pass(10_000);
+	await clock.advance(10_000);
 	t.true((reads.at(-1)?.heldAt ?? Infinity) <= downAt);
 	t.deepEqual(reads.at(-1)?.zones, ['rennes']);
 	list.close();
@@ -188,24 +188,24 @@
 		journal: {
 			started: ({ worker }) => void starts.push(worker),
 			ended: () => undefined,
-			forgotten: () => undefined,
+			acknowledged: () => undefined,
 		},
 	});
 	const { owner, other } = await startTwo();
 	await realBoxes.call(other.callers, 'POST', '0000000000000001', realBoxes.jobBody);
 	await realBoxes.waitUntilCompleted(other, '0000000000000001');
 	platform.evacuate('rennes');
-	await owner.logged((line) => line.name === 'zone.evacuated');
-	await owner.logged((line) => line.name === 'zone.emptied');
+	await owner.waitForLine((line) => line.name === 'zone.evacuated');
+	await owner.waitForLine((line) => line.name === 'zone.emptied');
 	const before = starts.length;
 	await realBoxes.call(other.callers, 'POST', '0000000000000002', realBoxes.jobBody);
-	await other.logged((line) => line.name === 'owner.found');
+	await other.waitForLine((line) => line.name === 'owner.found');
 	await owner.kill();
-	await other.logged((line) => line.name === 'zone.evacuated');
+	await other.waitForLine((line) => line.name === 'zone.evacuated');
 	await realBoxes.call(other.callers, 'POST', '0000000000000003', realBoxes.jobBody);
-	await other.logged((line) => line.name === 'owner.load' && line.fields.waiting === 4);
+	await other.waitForLine((line) => line.name === 'owner.load' && line.fields.waiting === 4);
 	t.is(starts.length, before);
-	platform.takeBack('rennes');
+	platform.cancelEvacuation('rennes');
 	await realBoxes.waitUntilCompleted(other, '0000000000000002');
 	await realBoxes.waitUntilCompleted(other, '0000000000000003');
 	t.is(starts.length, before + 4);
--- a/test/hung-runs.test.ts
+++ b/test/hung-runs.test.ts
@@ -26,12 +26,12 @@
 	const { clock } = environment;
 	const w1 = environment.fleet.add('w1');
 	const owner = await environment.takeOver();
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	const sendCommands = async (forMs: number): Promise<void> => {
 		const endsAt = clock.now() + forMs;
 		while (clock.now() < endsAt) {
 			await environment.submit(owner, fixtures.job(`brief${String(clock.now())}`, [fixtures.step()]));
-			await clock.pass(300);
+			await clock.advance(300);
 		}
 	};
 	return { ...environment, w1, owner, sendCommands };
@@ -40,12 +40,12 @@
 test('a run is not presumed hung while nothing is reported of it', async (t) => {
 	const environment = await startOne(40);
 	const { clock, w1, owner, sendCommands } = environment;
-	const hold = w1.hold.bind(w1);
-	w1.hold = () => results.fail({ kind: 'no-answer', reason: 'late' });
+	const hold = w1.handleReportRequest.bind(w1);
+	w1.handleReportRequest = () => results.fail({ kind: 'no-answer', reason: 'late' });
 	await environment.submit(owner, fixtures.job('job1', [fixtures.step()]));
 	await sendCommands(unansweredMs);
-	w1.hold = hold;
-	await clock.pass(settings.hungAfterMs);
+	w1.handleReportRequest = hold;
+	await clock.advance(settings.hungAfterMs);
 	t.is(countHungStops(owner), 0);
 	t.true(w1.running.has('job1.0.0.0'));
 	owner.dispatcher.close();
--- a/test/inherited-runs.test.ts
+++ b/test/inherited-runs.test.ts
@@ -21,7 +21,7 @@
 	check: () => void,
 ): Promise<void> {
 	for (let passed = 0; passed < ms; passed += 10) {
-		await clock.pass(10);
+		await clock.advance(10);
 		check();
 	}
 }
@@ -29,7 +29,7 @@
 /** Cancels a job in the store. */
 async function cancel({ clock, store }: fixtures.TestEnvironment, id: string): Promise<void> {
 	const cancelling = ledger.cancel(store.view(), id);
-	await clock.pass(50);
+	await clock.advance(50);
 	await cancelling;
 }
 
@@ -42,13 +42,13 @@
 async function leaveEndedJob(environment: fixtures.TestEnvironment, w1: workers.FakeWorker): Promise<void> {
 	const first = await environment.takeOver();
 	await environment.submit(first, bigJob('job1'));
-	await environment.clock.pass(500);
+	await environment.clock.advance(500);
 	w1.fault = 'silent';
 	await cancel(environment, 'job1');
 	first.dispatcher.cancelJob('job1');
-	await environment.clock.pass(500);
+	await environment.clock.advance(500);
 	first.dispatcher.close();
-	await environment.clock.pass(1_000);
+	await environment.clock.advance(1_000);
 	w1.fault = 'none';
 }
 
@@ -72,7 +72,7 @@
 	await leaveEndedJob(environment, w1);
 	const second = await environment.takeOver();
 	const version = await progressVersion(environment, 'job1');
-	await environment.clock.pass(2_000);
+	await environment.clock.advance(2_000);
 	t.is(w1.running.size, 0);
 	t.is(w1.ended.length, 0);
 	t.is(await progressVersion(environment, 'job1'), version);
@@ -110,11 +110,11 @@
 	const { clock, fleet } = environment;
 	const [, , w3] = ['w1', 'w2', 'w3'].map((id) => fleet.add(id));
 	const first = await environment.takeOver();
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	const startedAt = clock.wall();
 	const { record, command } = repeatedJob(startedAt);
 	await environment.submit(first, record);
-	await clock.pass(3_000 - clockAheadMs - 50 - (clock.wall() - startedAt));
+	await clock.advance(3_000 - clockAheadMs - 50 - (clock.wall() - startedAt));
 	first.dispatcher.close();
 	w3?.start(command);
 	return environment.takeOver();
@@ -126,7 +126,7 @@
 		how: 'done',
 	}));
 	const second = await takeOverEarly(environment);
-	await checkWhile(environment.clock, 5_000, () => t.deepEqual(environment.fleet.doubled(), []));
+	await checkWhile(environment.clock, 5_000, () => t.deepEqual(environment.fleet.tasksRunningTwice(), []));
 	t.is(environment.fleet.starts.filter((one) => one.task === 'job1.1.0.0').length, 1);
 	second.dispatcher.close();
 });
@@ -134,7 +134,7 @@
 test("a task that is done before its occurrence is due by the successor's clock is not run again", async (t) => {
 	const environment = fixtures.createEnvironment(() => ({ ms: 10, how: 'done' }));
 	const second = await takeOverEarly(environment);
-	await environment.clock.pass(5_000);
+	await environment.clock.advance(5_000);
 	t.is(environment.fleet.starts.filter((one) => one.task === 'job1.1.0.0').length, 1);
 	t.is(second.dispatcher.stateOf('job1'), 'completed');
 	second.dispatcher.close();
@@ -144,10 +144,10 @@
 	const environment = fixtures.createEnvironment(() => ({ ms: 1_000, how: 'done' }));
 	environment.fleet.add('w1');
 	const first = await environment.takeOver();
-	await environment.clock.pass(1_200);
+	await environment.clock.advance(1_200);
 	const schedule = { times: 3, firstAt: environment.clock.wall(), intervalMs: 3_000 };
 	await environment.submit(first, fixtures.job('job1', [fixtures.step()], { schedule }));
-	await environment.clock.pass(100);
+	await environment.clock.advance(100);
 	first.dispatcher.close();
 	const savedProgress = {
 		state: 'running' as const,
@@ -156,14 +156,14 @@
 		checkpoints: {},
 	};
 	const saving = first.ledger.saveProgress(new Map([['job1', { ...savedProgress, endedAt: 0 }]]));
-	await environment.clock.pass(50);
+	await environment.clock.advance(50);
 	t.is(await saving, 'committed');
 	const second = await environment.takeOver();
-	await environment.clock.pass(1_500);
+	await environment.clock.advance(1_500);
 	t.deepEqual((await readStored(environment, 'job1'))?.progress?.finished['0.0'], 'all');
 	second.dispatcher.close();
 	const third = await environment.takeOver();
-	await environment.clock.pass(8_000);
+	await environment.clock.advance(8_000);
 	t.deepEqual(
 		environment.fleet.starts.map((one) => one.task),
 		['job1.0.0.0', 'job1.2.0.0'],
@@ -176,7 +176,7 @@
 	const environment = fixtures.createEnvironment(() => longPlan);
 	const w1 = environment.fleet.add('w1');
 	const first = await environment.takeOver();
-	await environment.clock.pass(500);
+	await environment.clock.advance(500);
 	first.dispatcher.close();
 	w1.start(startCommandFor('gone.0.0.0', 1));
 	const second = await environment.takeOver();
@@ -190,17 +190,17 @@
 	const environment = fixtures.createEnvironment(() => longPlan);
 	const w1 = environment.fleet.add('w1');
 	const owner = await environment.takeOver();
-	await environment.clock.pass(500);
+	await environment.clock.advance(500);
 	await environment.submit(
 		owner,
 		fixtures.job('job1', [fixtures.step({ milliCores: bigMilliCores, requiredLabel: 'other' })]),
 	);
 	environment.fleet.add('w2', { labels: ['other'] });
 	owner.dispatcher.setWorkers(environment.fleet.entries(), [], true);
-	await environment.clock.pass(500);
+	await environment.clock.advance(500);
 	// A worker that was suspended past its leases reports for a moment what ran there, when it resumes.
 	w1.start({ ...startCommandFor('job1.0.0.0', 1), token: fixtures.firstToken(1) });
-	await environment.clock.pass(1_100);
+	await environment.clock.advance(1_100);
 	await environment.submit(owner, bigJob('job2'));
 	await checkWhile(environment.clock, 2_000, () => t.true(w1.running.size <= 1));
 	t.deepEqual([...w1.running.keys()], ['job2.0.0.0']);
@@ -213,14 +213,14 @@
 	const environment = fixtures.createEnvironment(plan);
 	const [w1, , w3] = ['w1', 'w2', 'w3'].map((id) => environment.fleet.add(id));
 	const first = await environment.takeOver();
-	await environment.clock.pass(500);
+	await environment.clock.advance(500);
 	first.dispatcher.close();
 	await environment.submit(first, bigJob('job1'));
 	w3?.start(startCommandFor('job1.0.0.0', 1));
 	w1?.start({ ...startCommandFor('job1.0.0.0', 1), run: 2 });
-	await environment.clock.pass(50);
+	await environment.clock.advance(50);
 	const second = await environment.takeOver();
-	await checkWhile(environment.clock, 2_000, () => t.deepEqual(environment.fleet.doubled(), []));
+	await checkWhile(environment.clock, 2_000, () => t.deepEqual(environment.fleet.tasksRunningTwice(), []));
 	t.is(environment.fleet.starts.length, 3);
 	second.dispatcher.close();
 });
@@ -246,7 +246,7 @@
 	id: string,
 ): Promise<ledger.StoredJob | undefined> {
 	const reading = ledger.readJob(store.view(), id);
-	await clock.pass(50);
+	await clock.advance(50);
 	const res = await reading;
 	return res.ok ? res.value : undefined;
 }
--- a/test/interference-under-faults.test.ts
+++ b/test/interference-under-faults.test.ts
@@ -50,7 +50,7 @@
 
 /** Begins or ends a fault of a worker. */
 function setFault(worker: workers.FakeWorker, fault: (typeof faults)[number], isOn: boolean): void {
-	if (fault === 'delays-paces') worker.delaysPaces = isOn;
+	if (fault === 'delays-paces') worker.delaysPaceCommands = isOn;
 	else if (fault === 'ignores-stops') worker.ignoresStops = isOn;
 	else worker.fault = isOn ? fault : 'none';
 }
@@ -71,8 +71,8 @@
 	const environment = fixtures.createEnvironment((task) => {
 		if (task.startsWith('serving')) return { ms: 'endless', how: 'done', reading: undisturbedTailMs };
 		const ms = random.between(random.seeded(random.hash(`${task} ${String(seed)}`)), 500, 8_000);
-		const disturbs = task.startsWith('loud') ? interferencePerNeighbour : undefined;
-		return { ms, how: 'done', reading: 1_600, disturbs };
+		const interference = task.startsWith('loud') ? interferencePerNeighbour : undefined;
+		return { ms, how: 'done', reading: 1_600, interference };
 	});
 	const { clock, fleet, takeOver } = environment;
 	for (let number = 0; number < workerCount; number += 1) fleet.add(`w${String(number)}`);
@@ -82,7 +82,7 @@
 		owner,
 		fixtures.job('serving', [fixtures.step({ ...servingStep, count: workerCount })]),
 	);
-	await clock.pass(warmUpMs);
+	await clock.advance(warmUpMs);
 	const watched = new Map([...fleet.workers.values()].map((one) => [one, createWatched()]));
 	const dueAt = { fault: 0, job: 0, owner: random.between(draw, 5_000, maxOwnerIntervalMs) };
 	const violations: string[] = [];
@@ -100,11 +100,11 @@
 		}
 		if (now >= dueAt.owner) {
 			owner.dispatcher.close();
-			await clock.pass(random.between(draw, 0, 1_500));
+			await clock.advance(random.between(draw, 0, 1_500));
 			owner = await takeOver();
 			dueAt.owner = now + random.between(draw, 5_000, maxOwnerIntervalMs);
 		}
-		await clock.pass(checkIntervalMs);
+		await clock.advance(checkIntervalMs);
 		for (const [worker, state] of watched) checkWorker(worker, state, clock.now(), violations);
 	}
 	owner.dispatcher.close();
--- a/test/job-service.test.ts
+++ b/test/job-service.test.ts
@@ -45,7 +45,7 @@
 
 /** The result of a call, after enough time for every answer. */
 async function awaitAfterDelay<T>(clock: time.VirtualClock, call: Promise<T>): Promise<T> {
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	return call;
 }
 
--- a/test/kept-connections.test.ts
+++ b/test/kept-connections.test.ts
@@ -61,7 +61,7 @@
 		await Promise.all(Array.from({ length: concurrentCalls }, send)),
 		Array(concurrentCalls).fill(true),
 	);
-	proxy.silence();
+	proxy.stallConnections();
 	t.false(await send());
 	const after = [];
 	for (let call = 1; call < concurrentCalls; call += 1) after.push(await send());
@@ -74,7 +74,7 @@
 	const send = async (ms = timeoutMs): Promise<boolean> =>
 		(await calls.send(proxy.address, { method: 'GET', path: '/', timeoutMs: ms })).ok;
 	await Promise.all(Array.from({ length: concurrentCalls }, () => send()));
-	proxy.silence();
+	proxy.stallConnections();
 	let isWaiting = true;
 	const deadCall = send(20 * timeoutMs).finally(() => {
 		isWaiting = false;
--- a/test/lease-expiries.test.ts
+++ b/test/lease-expiries.test.ts
@@ -18,7 +18,7 @@
 	const expiries = leaseExpiries.LeaseExpiries.create(() => clock.now());
 	expiries.update(reply({ rosterVersion, leftMs: { w1: 4_000 } }));
 	const arrivedAt = clock.now();
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	const expiry = expiries.validFor(generation + 1, rosterVersion).get('w1') ?? 0;
 	t.true(expiry >= arrivedAt + 4_000 && expiry < arrivedAt + 5_000);
 	t.is(expiries.validFor(generation + 2, rosterVersion).size, 0);
--- a/test/loads.test.ts
+++ b/test/loads.test.ts
@@ -74,24 +74,24 @@
 	const clock = time.VirtualClock.create();
 	const store = memory.MemoryStore.create(clock);
 	const takeOwnership = async (box: string): Promise<ledger.OwnerLedger> => {
-		store.drop(ledger.keys.ownerKey);
+		store.remove(ledger.keys.ownerKey);
 		const lease = store.view().grantLease(60_000);
-		await clock.pass(20);
+		await clock.advance(20);
 		const granted = await lease;
 		const identity = { box, peer: `${box}:1`, lease: granted.ok ? granted.value : '', strongest: 1 };
 		const takingOver = ledger.OwnerLedger.acquire(store.view(), () => clock.now(), identity, undefined);
-		await clock.pass(50);
+		await clock.advance(50);
 		const taken = await takingOver;
 		if (!taken.ok) throw new Error(taken.err);
 		return taken.value;
 	};
 	const first = await takeOwnership('entry-1');
 	const storing = first.publish(ledger.keys.learnedModelsKey, wire.encodeValue({ periods: { web: 3 } }));
-	await clock.pass(20);
+	await clock.advance(20);
 	t.is(await storing, 'committed');
 	const second = await takeOwnership('entry-2');
 	const loading = second.load();
-	await clock.pass(50);
+	await clock.advance(50);
 	const contents = await loading;
 	t.deepEqual(contents.ok ? contents.value.learnedModels : undefined, { periods: { web: 3 } });
 });
@@ -119,11 +119,11 @@
 	const serving = fixtures.step({ count: 3, lasting: true, image: 'web', targetMs: 100 });
 	await submit(owner, fixtures.job('job1', [serving]));
 	await submit(owner, fixtures.job('job2', [serving]));
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.deepEqual(Object.keys(owner.dispatcher.exportLearnedModels().loads), ['job1.0.0', 'job2.0.0']);
 	owner.dispatcher.cancelJob('job1');
 	// The exit of the first task that stops brings a report that still lists the others.
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.false(fleet.workers.get('w1')?.running.has('job1.0.0.0'));
 	t.deepEqual(Object.keys(owner.dispatcher.exportLearnedModels().loads), ['job2.0.0']);
 	owner.dispatcher.close();
@@ -141,11 +141,11 @@
 		owner,
 		fixtures.job('job1', [fixtures.step({ count: 3, lasting: true, image: 'web', targetMs: 100 })]),
 	);
-	await clock.pass(300);
+	await clock.advance(300);
 	t.is(w1.running.size, 3);
 	t.deepEqual(owner.dispatcher.exportLearnedModels().loads, {});
 	owner.dispatcher.cancelJob('job1');
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.is(w1.running.size, 0);
 	// The exit of the first task that stops brings a report that still lists the others: the first report with readings.
 	t.deepEqual(Object.keys(owner.dispatcher.exportLearnedModels().periods), ['web']);
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -30,14 +30,14 @@
 	const pattern = patterns.createPattern('large-workers-burst', workerCount, patternMs, seed);
 	const { clock, fleet, takeOverBusy, submit } = fixtures.createEnvironment((task) => ({
 		...pattern.plan(task),
-		...(task.startsWith('wide') && { disturbs: 0.1 }),
+		...(task.startsWith('wide') && { interference: 0.1 }),
 	}));
 	const capacity = { milliCores: pattern.workerMilliCores, memoryMb: 256_000, accelerators: 0 };
 	for (let number = 1; number <= workerCount; number += 1) fleet.add(`w${String(number)}`, { capacity });
 	let { owner } = await takeOverBusy(costs);
-	await clock.pass(500);
+	await clock.advance(500);
 	for (const one of pattern.arrivals) if (one.atMs === 0) void submit(owner, jobOf(one));
-	await clock.pass(warmUpMs);
+	await clock.advance(warmUpMs);
 	const from = clock.now();
 	const loads: dispatch.DispatchLoad[] = [];
 	const endS = burstEndS + recoveryS;
@@ -51,10 +51,10 @@
 		while ((arriving[0]?.atMs ?? Infinity) < untilMs) {
 			const [one] = arriving.splice(0, 1);
 			if (one === undefined) break;
-			await clock.pass(Math.max(0, from + one.atMs - clock.now()));
+			await clock.advance(Math.max(0, from + one.atMs - clock.now()));
 			void submit(owner, jobOf(one));
 		}
-		await clock.pass(Math.max(0, from + untilMs - clock.now()));
+		await clock.advance(Math.max(0, from + untilMs - clock.now()));
 		loads.push(owner.dispatcher.load());
 	}
 	owner.dispatcher.close();
@@ -83,17 +83,17 @@
 	}));
 	for (let number = 1; number <= 340; number += 1) fleet.add(`w${String(number)}`);
 	const first = await takeOver();
-	await clock.pass(500);
+	await clock.advance(500);
 	const steps = [fixtures.step({ count: 1_000, milliCores: 8_000 })];
 	await submit(first, fixtures.job('job1', steps));
-	await clock.pass(100);
+	await clock.advance(100);
 	first.dispatcher.close();
-	await clock.pass(500);
+	await clock.advance(500);
 	const { owner, processor } = await takeOverBusy({ send: 1, answer: 3 });
 	let longestMs = 0;
 	for (let passed = 0; passed < 4_000; passed += 10) {
-		longestMs = Math.max(longestMs, processor.queueMs);
-		await clock.pass(10);
+		longestMs = Math.max(longestMs, processor.queueWaitMs);
+		await clock.advance(10);
 	}
 	// A renewal waits behind the calls that are queued for the processor; delayed by one interval, it is still in time.
 	t.true(longestMs <= ownership.settings.renewalIntervalMs, `${String(longestMs)} ms`);
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -44,7 +44,7 @@
 	static async withOwner(name: string, processor: number): Promise<{ boxes: TestBoxes; owner: TestBox }> {
 		const boxes = TestBoxes.create();
 		const owner = boxes.start(name, processor);
-		await boxes.clock.pass(300);
+		await boxes.clock.advance(300);
 		return { boxes, owner };
 	}
 
@@ -149,7 +149,7 @@
 	const { boxes } = await TestBoxes.withOwner('weak-1', weak);
 	boxes.start('weak-2', weak);
 	boxes.start('strong-1', strong);
-	await boxes.clock.pass(20_000);
+	await boxes.clock.advance(20_000);
 	t.snapshot(boxes.owners);
 });
 
@@ -157,7 +157,7 @@
 	const { boxes } = await TestBoxes.withOwner('box-1', weak);
 	boxes.start('box-2', weak);
 	boxes.start('box-3', weak);
-	await boxes.clock.pass(20_000);
+	await boxes.clock.advance(20_000);
 	t.snapshot(boxes.owners);
 });
 
@@ -165,32 +165,32 @@
 	const { boxes, owner: first } = await TestBoxes.withOwner('strong-1', strong);
 	for (const name of ['weak-1', 'weak-2', 'weak-3']) boxes.start(name, weak);
 	boxes.start('strong-2', strong);
-	await boxes.clock.pass(3_000);
+	await boxes.clock.advance(3_000);
 	first.isDown = true;
-	await boxes.clock.pass(1_000);
+	await boxes.clock.advance(1_000);
 	t.snapshot(boxes.owners);
 });
 
 test('weak boxes take over where no strong one is left', async (t) => {
 	const { boxes, owner: only } = await TestBoxes.withOwner('strong-1', strong);
 	boxes.start('weak-1', weak);
-	await boxes.clock.pass(3_000);
+	await boxes.clock.advance(3_000);
 	only.isDown = true;
-	await boxes.clock.pass(1_000);
+	await boxes.clock.advance(1_000);
 	t.snapshot(boxes.owners);
 });
 
 test('after all went down, a strong box that is up a little later than weak ones comes first', async (t) => {
 	const { boxes, owner: before } = await TestBoxes.withOwner('strong-1', strong);
 	const weakBefore = boxes.start('weak-1', weak);
-	await boxes.clock.pass(3_000);
+	await boxes.clock.advance(3_000);
 	before.isDown = true;
 	weakBefore.isDown = true;
-	await boxes.clock.pass(5_000);
+	await boxes.clock.advance(5_000);
 	boxes.start('weak-2', weak);
-	await boxes.clock.pass(250);
+	await boxes.clock.advance(250);
 	boxes.start('strong-2', strong);
-	await boxes.clock.pass(1_000);
+	await boxes.clock.advance(1_000);
 	t.snapshot(boxes.owners);
 });
 
@@ -198,10 +198,10 @@
 	const { boxes, owner: first } = await TestBoxes.withOwner('strong-1', strong);
 	boxes.start('strong-2', strong);
 	boxes.start('weak-1', weak);
-	await boxes.clock.pass(3_000);
+	await boxes.clock.advance(3_000);
 	first.isCut = true;
 	// The lease was last renewed up to one renewal interval before.
-	await boxes.clock.pass(ownership.settings.leaseMs + 100);
+	await boxes.clock.advance(ownership.settings.leaseMs + 100);
 	t.snapshot(boxes.owners);
 });
 
@@ -209,45 +209,45 @@
 	const { boxes, owner: first } = await TestBoxes.withOwner('strong-1', strong);
 	boxes.start('strong-2', strong);
 	boxes.start('weak-1', weak);
-	await boxes.clock.pass(3_000);
+	await boxes.clock.advance(3_000);
 	// Busy with other work, the owner no longer renews its lease, and it answers one box for longer than the other.
 	first.cannotReachStore = true;
 	first.unansweredBoxes.add('weak-1');
-	await boxes.clock.pass(ownership.settings.leaseMs - ownership.settings.renewalIntervalMs);
+	await boxes.clock.advance(ownership.settings.leaseMs - ownership.settings.renewalIntervalMs);
 	first.isCut = true;
-	await boxes.clock.pass(4_000);
+	await boxes.clock.advance(4_000);
 	t.deepEqual(boxes.owners, ['strong-1', 'strong-2']);
 });
 
 test('that lease is noticed as soon where the store has forgotten the time before', async (t) => {
 	const { boxes, owner: first } = await TestBoxes.withOwner('strong-1', strong);
 	boxes.start('strong-2', strong);
-	await boxes.clock.pass(3_000);
+	await boxes.clock.advance(3_000);
 	boxes.store.put('another/key', new Uint8Array(0));
 	boxes.store.forget();
 	first.isCut = true;
-	await boxes.clock.pass(ownership.settings.leaseMs + 100);
+	await boxes.clock.advance(ownership.settings.leaseMs + 100);
 	t.deepEqual(boxes.owners, ['strong-1', 'strong-2']);
 });
 
 test('a box that is told to stop while it takes over does not own', async (t) => {
 	const boxes = TestBoxes.create();
 	const leaving = boxes.start('weak-1', weak);
-	await boxes.clock.pass(14);
+	await boxes.clock.advance(14);
 	const released = leaving.election.release();
-	await boxes.clock.pass(100);
+	await boxes.clock.advance(100);
 	await released;
 	boxes.start('weak-2', weak);
-	await boxes.clock.pass(1_000);
+	await boxes.clock.advance(1_000);
 	t.snapshot(boxes.owners);
 });
 
 test('an owner whose calls to the store take most of a second stays the owner', async (t) => {
 	const boxes = TestBoxes.create();
 	boxes.start('slow-1', strong, 900);
-	await boxes.clock.pass(8_000);
+	await boxes.clock.advance(8_000);
 	t.deepEqual(boxes.owners, ['slow-1']);
 	boxes.start('box-2', strong);
-	await boxes.clock.pass(20_000);
+	await boxes.clock.advance(20_000);
 	t.deepEqual(boxes.owners, ['slow-1']);
 });
--- a/test/partial-knowledge.test.ts
+++ b/test/partial-knowledge.test.ts
@@ -25,8 +25,8 @@
 async function findDoubleRuns(environment: fixtures.TestEnvironment, ms: number): Promise<string[]> {
 	const doubleRuns = new Set<string>();
 	for (let passed = 0; passed < ms; passed += 10) {
-		await environment.clock.pass(10);
-		for (const task of environment.fleet.doubled()) doubleRuns.add(task);
+		await environment.clock.advance(10);
+		for (const task of environment.fleet.tasksRunningTwice()) doubleRuns.add(task);
 	}
 	return [...doubleRuns];
 }
@@ -62,7 +62,7 @@
 	id: string,
 ): Promise<service.Answer<'accepted'>> {
 	const answer = box.submit(fixtures.queue, id, { text: '', steps: [fixtures.step()] });
-	await environment.clock.pass(20);
+	await environment.clock.advance(20);
 	return answer;
 }
 
@@ -84,9 +84,9 @@
 	fleet.add('w1');
 	fleet.add('w2');
 	const first = await environment.takeOver();
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	const second = await environment.takeOver((worker) => worker === 'w1' && faults.isCut(), faults.fault);
-	await clock.pass(100);
+	await clock.advance(100);
 	const id = '00000000000000a1';
 	const notifyOwner = (owner: fixtures.TestOwner) => (req: protocol.BoxReq) => {
 		if (req.type === 'job.stored') owner.dispatcher.addJob(req.record);
@@ -142,11 +142,11 @@
 	const owner = await takeOver();
 	const spread = { count: 2, milliCores: 20_000, lasting: true, mayMiss: 1 };
 	await submit(owner, fixtures.job('job1', [fixtures.step(spread)]));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.deepEqual(fleet.starts.map((one) => one.worker).sort(), ['w1', 'w2']);
 	w2.fault = 'silent';
 	// Longer than users take to notice that a task is down, shorter than the lease.
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.is(owner.dispatcher.vacate('w1'), 'protected');
 	owner.dispatcher.close();
 });
@@ -163,12 +163,12 @@
 	fleet.add('w1');
 	const first = await takeOver();
 	await submit(first, scheduled(environment));
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	t.is(fleet.starts.length, 1);
 	first.dispatcher.close();
-	await clock.pass(500);
+	await clock.advance(500);
 	const second = await takeOver(undefined, undefined, undefined, -2_400);
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.is(fleet.starts.length, 1);
 	t.is(second.dispatcher.stateOf('timed'), 'completed');
 	second.dispatcher.close();
@@ -180,7 +180,7 @@
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
 	await submit(first, scheduled(environment));
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	t.is(w1.running.size, 1);
 	first.dispatcher.close();
 	fleet.add('w2');
@@ -203,9 +203,9 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 3_000, how: 'done' }));
 	fleet.add('w1');
 	const owner = await takeOver();
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	await submit(owner, manySmallTasks());
-	await clock.pass(12_000);
+	await clock.advance(12_000);
 	t.is(fleet.starts.length, smallTaskCount);
 	owner.dispatcher.close();
 });
@@ -214,13 +214,13 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 3_000, how: 'done' }));
 	fleet.add('w1');
 	const first = await takeOver();
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	await submit(first, manySmallTasks());
-	await clock.pass(2_000);
+	await clock.advance(2_000);
 	first.dispatcher.close();
-	await clock.pass(2_000);
+	await clock.advance(2_000);
 	const second = await takeOver();
-	await clock.pass(12_000);
+	await clock.advance(12_000);
 	t.is(fleet.starts.length, smallTaskCount);
 	second.dispatcher.close();
 });
@@ -232,14 +232,14 @@
 	const owner = await takeOver(undefined, () => fault);
 	const record = fixtures.job('job1', [fixtures.step()]);
 	await submit(owner, record);
-	await clock.pass(119_000);
+	await clock.advance(119_000);
 	t.is(fleet.starts.length, 1);
 	fault = 'down';
-	await clock.pass(2_500);
+	await clock.advance(2_500);
 	t.true(store.keys().some((key) => key.endsWith('/job/job1')));
 	owner.dispatcher.addJob({ ...record, acceptedUnder: owner.ledger.generation });
 	fault = 'none';
-	await clock.pass(4_500);
+	await clock.advance(4_500);
 	t.is(fleet.starts.length, 1);
 	owner.dispatcher.close();
 });
@@ -249,9 +249,9 @@
 	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await clock.pass(500);
+	await clock.advance(500);
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(500);
+	await clock.advance(500);
 	w1.entry.address = 'elsewhere:1';
 	fleet.add('w2', { address: 'w1:1' });
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
--- a/test/peer-links.test.ts
+++ b/test/peer-links.test.ts
@@ -34,9 +34,9 @@
 	t.deepEqual(await client.call(server.address, 'quick', 500), results.ok(results.ok('quick')));
 	const held = client.call(server.address, 'held', 5_000);
 	const overdue = client.call(server.address, 'overdue', 500);
-	await clock.pass(100);
+	await clock.advance(100);
 	await client.call(server.address, 'quick', 500);
-	await clock.pass(500);
+	await clock.advance(500);
 	const outcome = await overdue;
 	t.is(outcome.ok ? undefined : outcome.err.cause, 'silent');
 	answerAll();
@@ -52,7 +52,7 @@
 	await client.call(server.address, 'quick', 500);
 	const held = client.call(server.address, 'held', 10_000);
 	const overdue = client.call(server.address, 'overdue', 1_200);
-	await clock.pass(1_300);
+	await clock.advance(1_300);
 	await overdue;
 	const broken = await held;
 	t.is(broken.ok ? undefined : broken.err.cause, 'broken');
--- a/test/placer.test.ts
+++ b/test/placer.test.ts
@@ -33,7 +33,7 @@
 		confirmEpoch: () => Promise.resolve(),
 		onFenced: () => undefined,
 		workers: () => {
-			clock.spend(scanMs);
+			clock.blockFor(scanMs);
 			spentMs += scanMs;
 			return [];
 		},
@@ -68,7 +68,7 @@
 	// Reports arrive all the time, and each wakes the placer.
 	while (clock.now() - from < 5_000) {
 		slowPlacer.placer.requestRound();
-		await clock.pass(5);
+		await clock.advance(5);
 	}
 	const fraction = slowPlacer.spentMs() / (clock.now() - from);
 	t.true(fraction > 0.1, 'rounds were run');
--- a/test/planned-stops.test.ts
+++ b/test/planned-stops.test.ts
@@ -26,7 +26,7 @@
 	const box = await start('entry-1');
 	const ended = events.once(box.process, 'exit');
 	box.process.kill('SIGTERM');
-	await box.logged((line) => line.name === 'process.stopping');
+	await box.waitForLine((line) => line.name === 'process.stopping');
 	box.process.kill('SIGTERM');
 	t.is((await requestUnknownPath(box)).status, 404);
 	t.deepEqual(await ended, [0, null]);
--- a/test/preemptible-tasks.test.ts
+++ b/test/preemptible-tasks.test.ts
@@ -34,7 +34,7 @@
 	const owner = await environment.takeOver();
 	const serving = { count: 8, milliCores: 3_200, lasting: true, image: 'serving', targetMs, maxPerWorker: 4 };
 	await environment.submit(owner, fixtures.job('serving', [fixtures.step(serving)]));
-	await environment.clock.pass(5_000);
+	await environment.clock.advance(5_000);
 	if (environment.fleet.starts.length !== 8) throw new Error('the serving tasks do not run');
 	return { ...environment, owner };
 }
@@ -70,7 +70,7 @@
 	const { clock, submit, owner } = await createServingEnvironment();
 	const preemptible = { count: 9, milliCores: 3_400, fills: true, image: 'filling', checkpoints: true };
 	await submit(owner, fixtures.job('filling', [fixtures.step(preemptible)]));
-	await clock.pass(40_000);
+	await clock.advance(40_000);
 	t.is(owner.dispatcher.stateOf('filling'), 'completed');
 	owner.dispatcher.close();
 });
@@ -79,7 +79,7 @@
 	const { clock, submit, owner } = await createServingEnvironment();
 	const preemptibleGang = { count: 2, milliCores: 3_400, fills: true, gang: true, image: 'filling' };
 	await submit(owner, fixtures.job('filling', [fixtures.step(preemptibleGang)]));
-	await clock.pass(20_000);
+	await clock.advance(20_000);
 	t.is(owner.dispatcher.stateOf('filling'), 'completed');
 	owner.dispatcher.close();
 });
@@ -131,7 +131,7 @@
 	const owner = await environment.takeOver();
 	const serving = { count: 4, milliCores: 4_000, lasting: true, image: 'serving', targetMs, maxPerWorker: 1 };
 	await environment.submit(owner, fixtures.job('serving', [fixtures.step(serving)]));
-	await environment.clock.pass(30_000);
+	await environment.clock.advance(30_000);
 	return { ...environment, owner };
 }
 
@@ -143,11 +143,11 @@
 		const { clock, fleet, owner, submit } = await createLoadedEnvironment();
 		const before = fleet.starts.length;
 		await submit(owner, fixtures.job('filling', [fixtures.step({ ...interferingStep, count })]));
-		await clock.pass(2_000);
+		await clock.advance(2_000);
 		t.is(fleet.starts.length, before);
-		await clock.pass(4_000);
+		await clock.advance(4_000);
 		t.true(fleet.starts.length > before);
-		await clock.pass(30_000);
+		await clock.advance(30_000);
 		t.is(owner.dispatcher.stateOf('filling'), 'completed');
 		owner.dispatcher.close();
 	});
--- a/test/progress-saver.test.ts
+++ b/test/progress-saver.test.ts
@@ -18,12 +18,12 @@
 	});
 	const running = fixtures.createJobs(120, clock.now());
 	for (const job of running) progressSaver.mark(job);
-	await clock.pass(100);
+	await clock.advance(100);
 	const ending = fixtures.createJob('ending', clock.now());
 	ending.state = 'completed';
 	const endedAt = clock.now();
 	progressSaver.mark(ending);
-	await clock.pass(10_000);
+	await clock.advance(10_000);
 	const waitedMs = (storedAt.get('ending') ?? Infinity) - endedAt;
 	t.true(waitedMs <= 2 * (writeMs + 25), `it was stored after ${String(waitedMs)} ms`);
 	t.is(storedAt.size, 121);
@@ -62,10 +62,10 @@
 	);
 	for (let number = 0; number < 40; number += 1)
 		progressSaver.mark(fixtures.createJob(`job${String(number)}`, clock.now()), number % 3 === 1);
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.is(stored.size, 39);
 	t.deepEqual(refused, ['job7']);
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.deepEqual(refused, ['job7', 'job7']);
 	progressSaver.close();
 });
@@ -93,7 +93,7 @@
 	void progressSaver.whenStored(changed).then(() => (storedAt = clock.now()));
 	for (let round = 0; round < 100; round += 1) {
 		progressSaver.mark(changed[round] ?? fixtures.createJob('none', 0));
-		await clock.pass(10);
+		await clock.advance(10);
 	}
 	t.true(storedAt - beganAt <= settings.acknowledgeWithinMs, `${String(storedAt - beganAt)} ms`);
 	progressSaver.close();
@@ -109,14 +109,14 @@
 	});
 	const job = fixtures.createJob('job1', clock.now());
 	progressSaver.mark(job);
-	await clock.pass(60);
+	await clock.advance(60);
 	job.state = 'completed';
 	progressSaver.mark(job);
 	let isStored = false;
 	void progressSaver.whenStored([job]).then(() => (isStored = true));
-	await clock.pass(100);
+	await clock.advance(100);
 	t.deepEqual([saved, isStored], [['job1 pending'], false]);
-	await clock.pass(150);
+	await clock.advance(150);
 	t.deepEqual([saved, isStored], [['job1 pending', 'job1 completed'], true]);
 	progressSaver.close();
 });
--- a/test/record-follower.test.ts
+++ b/test/record-follower.test.ts
@@ -59,33 +59,33 @@
 test('an unanswered wait is followed by a list, which contains only the newest version', async (t) => {
 	let isAnswerLost = true;
 	const { clock, store, calls, seen } = setUp(true, () => (isAnswerLost ? unanswered : undefined));
-	await clock.pass(5);
+	await clock.advance(5);
 	for (const version of ['2', '3', '4']) store.put('op/config', Buffer.from(version));
-	await clock.pass(300);
+	await clock.advance(300);
 	isAnswerLost = false;
-	await clock.pass(600);
+	await clock.advance(600);
 	t.deepEqual(calls.slice(0, 3), ['list', 'follow', 'list']);
 	t.deepEqual(seen.slice(0, 2), ['1', '4']);
 });
 
 test('where lists are long, several waits are tried before a list is read', async (t) => {
 	const { clock, calls } = setUp(false, () => unanswered);
-	await clock.pass(900);
+	await clock.advance(900);
 	t.deepEqual(calls.slice(0, 5), ['list', 'follow', 'follow', 'follow', 'list']);
 });
 
 test('a refused wait is not followed by a list, as no answer was too long', async (t) => {
 	const { clock, calls } = setUp(true, () => refused);
-	await clock.pass(900);
+	await clock.advance(900);
 	t.deepEqual([...new Set(calls.slice(1))], ['follow']);
 });
 
 test('changes that arrive late are followed by a list, as more may have been written meanwhile', async (t) => {
 	const { clock, store, calls, seen } = setUp(true, () => undefined);
-	await clock.pass(5);
+	await clock.advance(5);
 	store.put('op/config', Buffer.from('2'));
-	clock.spend(700);
-	await clock.pass(20);
+	clock.blockFor(700);
+	await clock.advance(20);
 	t.deepEqual(calls.slice(0, 3), ['list', 'follow', 'list']);
 	t.deepEqual(seen, ['1', '2', '2']);
 });
--- a/test/renewed-by-successor.test.ts
+++ b/test/renewed-by-successor.test.ts
@@ -13,7 +13,7 @@
 	const first = await takeOver();
 	for (const id of ['job1', 'job2'])
 		await submit(first, fixtures.job(id, [fixtures.step({ milliCores: 10_000 })]));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.is(w1.running.size, 2);
 	first.dispatcher.close();
 	let isCut = false;
@@ -22,19 +22,19 @@
 		(worker) => worker === 'w1' && isCut,
 		() => fault,
 	);
-	await clock.pass(10_000);
+	await clock.advance(10_000);
 	for (const id of ['w2', 'w3'])
 		fleet.add(id, { capacity: { milliCores: 12_000, memoryMb: 128_000, accelerators: 0 } });
 	second.dispatcher.setWorkers(fleet.entries(), [], true);
 	isCut = true;
-	await clock.pass(4_500);
+	await clock.advance(4_500);
 	fault = 'down';
-	await clock.pass(500);
+	await clock.advance(500);
 	// The third owner reaches the worker that the second one lost, and not yet the others.
 	const third = await takeOver((worker) => worker !== 'w1');
 	for (let passed = 0; passed < 6_000; passed += 10) {
-		await clock.pass(10);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(10);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	t.is(w1.running.size, 2);
 	second.dispatcher.close();
--- a/test/restarted-workers.test.ts
+++ b/test/restarted-workers.test.ts
@@ -46,7 +46,7 @@
 			crashed: (tasks) => {
 				for (const task of tasks) this.running.delete(task);
 			},
-			forgotten: ({ task, how }: fleetTypes.RunExit) => {
+			acknowledged: ({ task, how }: fleetTypes.RunExit) => {
 				if (how === 'done') this.done.add(task);
 			},
 		};
@@ -69,10 +69,10 @@
 	for (let index = 0; index < workerCount; index += 1)
 		environment.fleet.add(`w${String(index)}`, {}, index + 1);
 	let owner = await environment.takeOver();
-	environment.fleet.onListed = (added, removed) => {
+	environment.fleet.onEntriesChanged = (added, removed) => {
 		owner.dispatcher.setWorkers(added, removed, false);
 	};
-	await environment.clock.pass(1_200);
+	await environment.clock.advance(1_200);
 	const replaceOwner = async (): Promise<void> => {
 		owner.dispatcher.close();
 		owner = await environment.takeOver();
@@ -115,9 +115,9 @@
 			if (worker === undefined) continue;
 			if (scenario.late === true) worker.fault = 'late';
 			clock.after(scenario.late === true ? 400 : 0, () => {
-				fleet.crash(worker, {
+				fleet.crashAndRecover(worker, {
 					downMs: scenario.downMs,
-					dark: scenario.leavesConnectionsOpen ?? false,
+					unresponsive: scenario.leavesConnectionsOpen ?? false,
 					keepsName: true,
 				});
 			});
@@ -133,7 +133,7 @@
 	void submitJobs();
 	void crashWorkers();
 	void replaceOwners();
-	await clock.pass(crashPhaseMs + recoveryPhaseMs);
+	await clock.advance(crashPhaseMs + recoveryPhaseMs);
 	return ids.filter((id) => !isCompletedOrAbandoned(trial, id));
 }
 
@@ -174,14 +174,14 @@
 		trial.close();
 	});
 
-for (const crashMs of [10, 900])
-	test(`a task that crashes each worker ${String(crashMs)} ms after its start is abandoned where workers restart`, async (t) => {
+for (const crashAfterMs of [10, 900])
+	test(`a task that crashes each worker ${String(crashAfterMs)} ms after its start is abandoned where workers restart`, async (t) => {
 		const trial = await startTrial((task) =>
-			task.startsWith('bad') ? { ms: 'endless', how: 'done', crashMs } : { ms: 1_500, how: 'done' },
+			task.startsWith('bad') ? { ms: 'endless', how: 'done', crashAfterMs } : { ms: 1_500, how: 'done' },
 		);
 		const { environment } = trial;
 		environment.fleet.onCrash = (worker) => {
-			environment.fleet.crash(worker, { downMs: 300, dark: false, keepsName: true });
+			environment.fleet.crashAndRecover(worker, { downMs: 300, unresponsive: false, keepsName: true });
 		};
 		await environment.submit(trial.owner(), fixtures.job('bad', [fixtures.step()]));
 		const healthyJobs = Array.from({ length: 24 }, (_, index) => `sound${String(index)}`);
@@ -190,9 +190,9 @@
 				trial.owner(),
 				fixtures.job(id, [fixtures.step({ count: 6, milliCores: 4_000 })]),
 			);
-			await environment.clock.pass(240);
+			await environment.clock.advance(240);
 		}
-		await environment.clock.pass(60_000);
+		await environment.clock.advance(60_000);
 		const history = crashes.crashCountsOf(environment, 'bad.0.0.0');
 		t.true(history.late <= crashing.maxStartsAfterCrashes, `${String(history.crashes)} crashes`);
 		t.is(trial.owner().dispatcher.stateOf('bad'), 'failed');
@@ -205,15 +205,15 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 500, how: 'done' }));
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
-	fleet.onListed = (added, removed) => {
+	fleet.onEntriesChanged = (added, removed) => {
 		owner.dispatcher.setWorkers(added, removed, false);
 	};
 	owner.dispatcher.setWorkers([{ ...w1.entry, draining: true, remainingMs: 500 }], [], false);
-	await clock.pass(1_000);
-	fleet.crash(w1, { downMs: 500, dark: false, keepsName: true });
-	await clock.pass(2_000);
+	await clock.advance(1_000);
+	fleet.crashAndRecover(w1, { downMs: 500, unresponsive: false, keepsName: true });
+	await clock.advance(2_000);
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	t.deepEqual(
 		fleet.starts.map((one) => one.run),
@@ -226,15 +226,15 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(() => ({ ms: 500, how: 'done' }));
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
-	fleet.onListed = (added, removed) => {
+	fleet.onEntriesChanged = (added, removed) => {
 		owner.dispatcher.setWorkers(added, removed, false);
 	};
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	t.is(owner.dispatcher.vacate('w1'), 'empty');
-	fleet.crash(w1, { downMs: 500, dark: false, keepsName: true });
-	await clock.pass(2_000);
+	fleet.crashAndRecover(w1, { downMs: 500, unresponsive: false, keepsName: true });
+	await clock.advance(2_000);
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	owner.dispatcher.close();
 });
@@ -245,16 +245,16 @@
 	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	await submit(owner, fixtures.job('before', [fixtures.step({ count: 3 })]));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	// Nothing reports the restart: the poll in flight hangs, and the list of workers is not read.
-	fleet.crash(w1, { downMs: 100, dark: true, keepsName: true });
-	await clock.pass(150);
+	fleet.crashAndRecover(w1, { downMs: 100, unresponsive: true, keepsName: true });
+	await clock.advance(150);
 	await submit(owner, fixtures.job('after', [fixtures.step({ count: 2 })]));
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.deepEqual(recorder.repeatedStarts, []);
 	t.is(owner.dispatcher.stateOf('after'), 'completed');
 	owner.dispatcher.close();
@@ -266,17 +266,17 @@
 	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await takeOver();
-	await clock.pass(1_200);
-	fleet.crash(w1, { downMs: 100, dark: true, keepsName: true });
-	await clock.pass(150);
+	await clock.advance(1_200);
+	fleet.crashAndRecover(w1, { downMs: 100, unresponsive: true, keepsName: true });
+	await clock.advance(150);
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
 	const restarted = fleet.workers.get('w1');
 	const isLossLogged = (): boolean => owner.events.select((event) => event.name === 'worker.lost').length > 0;
-	while (!isLossLogged()) await clock.pass(1);
+	while (!isLossLogged()) await clock.advance(1);
 	if (restarted !== undefined) restarted.fault = 'silent';
 	fleet.add('w2');
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
-	await clock.pass(15_000);
+	await clock.advance(15_000);
 	t.deepEqual(recorder.repeatedStarts, []);
 	t.is(owner.dispatcher.stateOf('job1'), 'completed');
 	owner.dispatcher.close();
@@ -289,7 +289,7 @@
 	const { platform, start } = await realBoxes.setUp(t, { journal: { ...journal, started } });
 	const box = await start('entry-1');
 	const address = platform.fleet.workers.get('i-1')?.entry.address ?? '';
-	await box.logged((line) => line.name === 'worker.reached');
+	await box.waitForLine((line) => line.name === 'worker.reached');
 	const [before, after] = ['00000000000000b1', '00000000000000b2'];
 	t.is((await realBoxes.call(box.callers, 'POST', before, realBoxes.jobBody)).status, 200);
 	await realBoxes.waitUntilCompleted(box, before);
--- a/test/roster.test.ts
+++ b/test/roster.test.ts
@@ -73,17 +73,17 @@
 		},
 	});
 	pool.setWorkers(fleet.entries(), [], true);
-	await clock.pass(50);
+	await clock.advance(50);
 	const token = fixtures.firstToken(1);
 	const command = { task: 'job1.0.0.0', run: 1, text: '', token, checkpoint: '', ticket: '' };
 	worker.start({ ...command, leaseUntil: worker.clockMs() + 5_000 });
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	pool.setWorkers([{ ...worker.entry, draining: true }], [], false);
 	pool.tick();
-	await clock.pass(10);
+	await clock.advance(10);
 	storeExits();
 	pool.tick();
-	await clock.pass(10);
+	await clock.advance(10);
 	t.deepEqual(
 		writtenRosters.map(([entry]) => entry?.tasks),
 		[undefined, ['job1.0.0.0'], []],
@@ -101,26 +101,26 @@
 	const worker = fleet.add('w1');
 	const { pool, writtenRosters } = createPool(clock, fleet, {});
 	pool.setWorkers(fleet.entries(), [], true);
-	await clock.pass(50);
+	await clock.advance(50);
 	const options = { cancelled: false, inherited: false, workersStored: true, now: 0, age: 0 };
 	const job = jobs.ActiveJob.create(fixtures.job('job1', [fixtures.step()]), undefined, options);
 	const [task] = job.openNextOccurrence(clock.now());
 	const session = pool.get('w1');
 	if (task === undefined || session === undefined) throw new Error('no task or no session');
 	session.place(task, 1, 'running');
-	fleet.crash(worker, { downMs: 500, dark: false });
-	await clock.pass(1_500);
+	fleet.crashAndRecover(worker, { downMs: 500, unresponsive: false });
+	await clock.advance(1_500);
 	t.true(session.hasEnded);
 	// Another worker joins, so the roster is written.
 	pool.setWorkers([fleet.add('w2').entry], [], false);
-	await clock.pass(10);
+	await clock.advance(10);
 	t.deepEqual(writtenRosters.at(-1), [
 		{ id: 'w1', address: 'w1:1', tasks: ['job1.0.0.0'] },
 		{ id: 'w2', address: 'w2:1' },
 	]);
 	pool.forget(session);
 	pool.tick();
-	await clock.pass(10);
+	await clock.advance(10);
 	t.deepEqual(writtenRosters.at(-1), [{ id: 'w2', address: 'w2:1' }]);
 	pool.close();
 });
@@ -136,7 +136,7 @@
 	third.dispatcher.close();
 	const fourth = await takeOver();
 	fourth.dispatcher.close();
-	const contents = await Promise.all([clock.pass(50), fourth.ledger.load()]);
+	const contents = await Promise.all([clock.advance(50), fourth.ledger.load()]);
 	const storedSince = contents[1].ok ? contents[1].value.workersStoredSince : 0;
 	t.is(storedSince, 3);
 	const progress: jobs.ProgressRecord = {
--- a/test/run-log.test.ts
+++ b/test/run-log.test.ts
@@ -24,13 +24,13 @@
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
 	await submit(first, fixtures.job('job1', [fixtures.step({ count: 2, milliCores: 10_000 })]));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	first.dispatcher.close();
 	const second = await takeOver();
-	await clock.pass(500);
+	await clock.advance(500);
 	fleet.add('w2', { address: w1.entry.address });
 	second.dispatcher.setWorkers(fleet.entries(), [], true);
-	await clock.pass(2_000);
+	await clock.advance(2_000);
 	t.snapshot(linesOf(second));
 	second.dispatcher.close();
 });
@@ -40,11 +40,11 @@
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
 	await submit(first, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	first.dispatcher.close();
 	w1.fault = 'silent';
 	const second = await takeOver();
-	await clock.pass(12_000);
+	await clock.advance(12_000);
 	const lost = second.events.select((event) => event.name === 'worker.lost');
 	t.deepEqual(
 		lost.map(({ fields }) => fields),
--- a/test/shrinking-capacity.test.ts
+++ b/test/shrinking-capacity.test.ts
@@ -25,17 +25,17 @@
 	const w1 = fleet.add('w1');
 	let fault: memory.StoreFault = 'none';
 	const owner = await environment.takeOver(undefined, () => fault);
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	fault = 'down';
 	const record = fixtures.job('job1', [fixtures.step({ milliCores, lasting: true })]);
 	owner.dispatcher.addJob({ ...record, acceptedUnder: 1 });
-	await clock.pass(500);
+	await clock.advance(500);
 	t.is(fleet.starts.length, 0);
 	reduceCapacity(owner, w1.entry);
 	const w2 = fleet.add('w2');
 	owner.dispatcher.setWorkers([w2.entry], [], false);
 	fault = 'none';
-	await clock.pass(4_000);
+	await clock.advance(4_000);
 	t.deepEqual(
 		fleet.starts.map((one) => one.worker),
 		['w2'],
@@ -48,7 +48,7 @@
 	const { clock, fleet } = environment;
 	reduceCapacity(owner, w1.entry);
 	w1.fault = 'none';
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.is(w1.running.size, 0);
 	t.is(fleet.starts.length, 0);
 	owner.dispatcher.close();
@@ -60,15 +60,15 @@
 	fleet.add('w1');
 	const owner = await environment.takeOver();
 	owner.dispatcher.noteListRead(clock.now());
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	await environment.submit(owner, fixtures.job('job1', [fixtures.step({ milliCores: 1_000 })]));
-	await clock.pass(3_500);
+	await clock.advance(3_500);
 	t.is(fleet.starts.length, 1);
 	await environment.submit(owner, fixtures.job('job2', [fixtures.step({ milliCores: 1_000 })]));
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.is(fleet.starts.length, 1);
 	owner.dispatcher.noteListRead(clock.now());
-	await clock.pass(500);
+	await clock.advance(500);
 	t.is(fleet.starts.length, 2);
 	owner.dispatcher.close();
 });
@@ -78,15 +78,15 @@
 	const { clock, fleet } = environment;
 	const w1 = fleet.add('w1');
 	const owner = await environment.takeOver();
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	await environment.submit(owner, fixtures.job('job1', [fixtures.step({ milliCores })]));
-	await clock.pass(500);
+	await clock.advance(500);
 	reduceCapacity(owner, w1.entry);
 	await environment.submit(owner, fixtures.job('job2', [fixtures.step({ milliCores: 1_000 })]));
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.deepEqual([...w1.running.keys()], ['job1.0.0.0']);
 	owner.dispatcher.setWorkers([w1.entry], [], false);
-	await clock.pass(500);
+	await clock.advance(500);
 	t.is(w1.running.size, 2);
 	owner.dispatcher.close();
 });
--- a/test/silent-connections.test.ts
+++ b/test/silent-connections.test.ts
@@ -44,7 +44,7 @@
 	const platform = users.UsersPlatform.create({ plan: () => ({ ms: 50, how: 'done' }) });
 	const storeAddress = await platform.startStore();
 	await platform.startWorker('i-1', (address) => address);
-	platform.configure(3, realBoxes.host);
+	platform.writeConfiguration(3, realBoxes.host);
 	const linked: LinkedBox[] = [];
 	t.teardown(async () => {
 		await Promise.all(linked.map(({ box }) => box.kill()));
@@ -56,13 +56,13 @@
 		const box = await boxes.BoxProcess.create(name, store.address);
 		linked.push({ box, store });
 		await waitUntilApplied(box, 3);
-		await box.logged((line) => line.name === (linked.length === 1 ? 'owner.taken' : 'owner.found'));
+		await box.waitForLine((line) => line.name === (linked.length === 1 ? 'owner.taken' : 'owner.found'));
 	}
 	return { platform, linked: linked as [LinkedBox, ...LinkedBox[]] };
 }
 
 function waitUntilApplied(box: boxes.BoxProcess, version: number): Promise<boxes.LogLine> {
-	return box.logged((line) => line.name === 'config.applied' && line.fields.version === version);
+	return box.waitForLine((line) => line.name === 'config.applied' && line.fields.version === version);
 }
 
 /** Whether `event` happens by `dueAt`, a time of `performance.now()`. */
@@ -94,12 +94,12 @@
 test('kept connections go dead: queues added and removed meanwhile are in force in time', async (t) => {
 	const { platform, linked } = await setUp(t, ['entry-1', 'entry-2']);
 	await Promise.all(linked.map(({ box }, number) => openConnections(box, 0xa0 + number * 0x10)));
-	platform.configure(4, realBoxes.host, ['/jobs/', '/old/']);
+	platform.writeConfiguration(4, realBoxes.host, ['/jobs/', '/old/']);
 	// A new read waits from here on. Its connection is silenced as the read begins, which is detected last.
 	await Promise.all(linked.map(({ box }) => waitUntilApplied(box, 4)));
-	for (const { store } of linked) store.silence();
+	for (const { store } of linked) store.stallConnections();
 	const silencedAt = performance.now();
-	platform.configure(5, realBoxes.host, ['/jobs/', '/new/']);
+	platform.writeConfiguration(5, realBoxes.host, ['/jobs/', '/new/']);
 	await Promise.all(
 		linked.map(async ({ box }) => {
 			t.true(await isInTime(waitUntilApplied(box, 5), silencedAt + maxRecoveryMs));
@@ -113,13 +113,13 @@
 	const { platform, linked } = await setUp(t, ['entry-1']);
 	const [{ box, store }] = linked;
 	await openConnections(box, 0xa0);
-	platform.configure(4, realBoxes.host, ['/jobs/', '/4/']);
+	platform.writeConfiguration(4, realBoxes.host, ['/jobs/', '/4/']);
 	await waitUntilApplied(box, 4);
-	store.silence();
+	store.stallConnections();
 	const silencedAt = performance.now();
 	for (const version of [5, 6, 7, 8]) {
 		const confirmedAt = performance.now();
-		platform.configure(version, realBoxes.host, ['/jobs/', `/${version}/`]);
+		platform.writeConfiguration(version, realBoxes.host, ['/jobs/', `/${version}/`]);
 		const dueAt = Math.max(confirmedAt + maxApplyMs, silencedAt + maxRecoveryMs);
 		t.true(await isInTime(waitUntilApplied(box, version), dueAt), `version ${version}`);
 	}
@@ -129,7 +129,7 @@
 	const { platform, linked } = await setUp(t, ['entry-1']);
 	const [{ box }] = linked;
 	box.process.kill('SIGSTOP');
-	platform.configure(4, realBoxes.host, ['/jobs/', '/new/']);
+	platform.writeConfiguration(4, realBoxes.host, ['/jobs/', '/new/']);
 	// Longer than any long poll: its timeout has passed when the process resumes, and its answer is in the socket.
 	await new Promise((resolve) => setTimeout(resolve, 4_000));
 	box.process.kill('SIGCONT');
@@ -146,7 +146,8 @@
 	// 3,000 queues take about 0.6 MB in the store's encoding: eight versions are 5 MB, six seconds of this link.
 	const many = Array.from({ length: 3_000 }, (_, number) => `/${number.toString().padStart(60, '0')}/`);
 	const last = 11;
-	for (let version = 4; version <= last; version += 1) platform.configure(version, realBoxes.host, many);
+	for (let version = 4; version <= last; version += 1)
+		platform.writeConfiguration(version, realBoxes.host, many);
 	box.process.kill('SIGCONT');
 	const sentAt = performance.now();
 	t.true(await isInTime(waitUntilApplied(box, last), sentAt + maxRecoveryMs));
@@ -160,8 +161,8 @@
 		return;
 	}
 	other.store.set({ kind: 'cut' });
-	await other.box.logged((line) => line.name === 'store.lost');
-	platform.configure(4, realBoxes.host, ['/jobs/', '/new/']);
+	await other.box.waitForLine((line) => line.name === 'store.lost');
+	platform.writeConfiguration(4, realBoxes.host, ['/jobs/', '/new/']);
 	const confirmedAt = performance.now();
 	t.true(await isInTime(waitUntilApplied(other.box, 4), confirmedAt + maxApplyMs));
 	t.is(other.box.lines.find((line) => line.fields.version === 4)?.fields.source, 'owner');
@@ -173,10 +174,10 @@
 	const [{ box, store }] = linked;
 	await openConnections(box, 0xa0);
 	store.set({ kind: 'drop-answers' });
-	await box.logged((line) => line.name === 'config.unconfirmed');
-	platform.configure(4, realBoxes.host, ['/jobs/', '/new/']);
+	await box.waitForLine((line) => line.name === 'config.unconfirmed');
+	platform.writeConfiguration(4, realBoxes.host, ['/jobs/', '/new/']);
 	// A connection that was opened during the cut is as dead as those from before it.
-	store.silence();
+	store.stallConnections();
 	store.set({ kind: 'pass' });
 	t.true(await isInTime(waitUntilApplied(box, 4), performance.now() + maxRecoveryMs));
 });
