--- a/test/slo-violations.test.ts
+++ b/test/slo-violations.test.ts
@@ -35,12 +35,12 @@
 		owner,
 		fixtures.job('serving', [fixtures.step({ ...servingStep, count: workerCount })]),
 	);
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	const runs = [...fleet.workers.values()].flatMap((worker) => [...worker.running]);
 	const servingRuns = runs.map(([, run]) => run);
 	for (const one of servingRuns) one.reading = underTargetTailMs;
 	// The load of the serving tasks has to be known before interference can be distinguished from it.
-	await clock.pass(60_000);
+	await clock.advance(60_000);
 	const preemptible = {
 		milliCores: 1_600,
 		image: 'filling',
@@ -52,7 +52,7 @@
 		owner,
 		fixtures.job('filling', [fixtures.step({ ...preemptible, count: 2 * workerCount })]),
 	);
-	await clock.pass(20_000);
+	await clock.advance(20_000);
 	const [observedWorker] = fleet.workers.values();
 	const [serving] = servingRuns;
 	if (observedWorker === undefined || serving === undefined) throw new Error('no serving task runs');
@@ -71,10 +71,10 @@
 test('preemptible tasks are paused before a serving task is over its target for too long', async (t) => {
 	const { clock, owner, setTail, working } = await createColocated();
 	setTail(overTargetTailMs);
-	await clock.pass(maxSloViolationMs);
+	await clock.advance(maxSloViolationMs);
 	t.deepEqual(working(), []);
 	setTail(underTargetTailMs);
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.is(working().length, 2);
 	owner.dispatcher.close();
 });
@@ -84,7 +84,7 @@
 	owner.dispatcher.close();
 	setTail(overTargetTailMs);
 	const next = await takeOver();
-	await clock.pass(maxSloViolationMs);
+	await clock.advance(maxSloViolationMs);
 	t.deepEqual(working(), []);
 	next.dispatcher.close();
 });
@@ -93,9 +93,9 @@
 	const { clock, owner, takeOver, setTail, working } = await createColocated();
 	owner.dispatcher.close();
 	setTail(overTargetTailMs);
-	await clock.pass(maxSloViolationMs - 600);
+	await clock.advance(maxSloViolationMs - 600);
 	const next = await takeOver();
-	await clock.pass(550);
+	await clock.advance(550);
 	t.deepEqual(working(), []);
 	next.dispatcher.close();
 });
@@ -104,7 +104,7 @@
 	const { clock, owner, observedWorker, takeOver, setTail, working } = await createColocated();
 	const record = fixtures.job('stranger', [fixtures.step({ count: 2 * workerCount, lasting: true })]);
 	owner.dispatcher.addJob({ ...record, acceptedUnder: owner.ledger.generation });
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.true([...observedWorker.running.keys()].some((task) => task.startsWith('stranger')));
 	owner.dispatcher.close();
 	setTail(overTargetTailMs);
@@ -115,7 +115,7 @@
 		return report();
 	};
 	const next = await takeOver(undefined, () => (isStoreDown ? 'down' : 'none'));
-	await clock.pass(maxSloViolationMs - 100);
+	await clock.advance(maxSloViolationMs - 100);
 	t.deepEqual(
 		working().filter((task) => task.startsWith('filling')),
 		[],
@@ -126,13 +126,13 @@
 test('preemptible tasks that a previous owner paused continue only after the new one has seen the serving task under its target for some time', async (t) => {
 	const { clock, owner, takeOver, setTail, working } = await createColocated();
 	setTail(overTargetTailMs);
-	await clock.pass(maxSloViolationMs);
+	await clock.advance(maxSloViolationMs);
 	owner.dispatcher.close();
 	setTail(underTargetTailMs);
 	const next = await takeOver();
-	await clock.pass(underTargetMs - 100);
+	await clock.advance(underTargetMs - 100);
 	t.deepEqual(working(), []);
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.is(working().length, 2);
 	next.dispatcher.close();
 });
@@ -144,7 +144,7 @@
 		const overMs = clock.now() - startedAt;
 		const isDip = overMs >= 1_900 && overMs < 2_300;
 		setTail(isDip ? targetMs - 5 : overTargetTailMs);
-		await clock.pass(100);
+		await clock.advance(100);
 	}
 	t.deepEqual(working(), []);
 	owner.dispatcher.close();
@@ -153,9 +153,9 @@
 test('preemptible tasks are paused in time although the owner receives reports late', async (t) => {
 	const { clock, fleet, owner, setTail, working } = await createColocated();
 	fleet.reportDelayMs = 1_200;
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	setTail(overTargetTailMs);
-	await clock.pass(maxSloViolationMs);
+	await clock.advance(maxSloViolationMs);
 	t.deepEqual(working(), []);
 	owner.dispatcher.close();
 });
@@ -173,11 +173,11 @@
 	test(`preemptible tasks are paused in time although their worker is unresponsive for ${String(forMs)} ms, ${String(fromMs)} ms after the overload began`, async (t) => {
 		const { clock, owner, observedWorker, setTail, working } = await createColocated();
 		setTail(overTargetTailMs);
-		await clock.pass(fromMs);
+		await clock.advance(fromMs);
 		observedWorker.fault = 'silent';
-		await clock.pass(forMs);
+		await clock.advance(forMs);
 		observedWorker.fault = 'none';
-		await clock.pass(maxSloViolationMs - fromMs - forMs);
+		await clock.advance(maxSloViolationMs - fromMs - forMs);
 		t.deepEqual(working(), []);
 		owner.dispatcher.close();
 	});
@@ -185,9 +185,9 @@
 test('paused tasks continue only after the serving task has been reported under its target for some time', async (t) => {
 	const { clock, owner, observedWorker, setTail, working } = await createColocated();
 	setTail(overTargetTailMs);
-	await clock.pass(maxSloViolationMs);
+	await clock.advance(maxSloViolationMs);
 	observedWorker.fault = 'silent';
-	await clock.pass(1_500);
+	await clock.advance(1_500);
 	setTail(underTargetTailMs);
 	observedWorker.fault = 'none';
 	const report = observedWorker.report.bind(observedWorker);
@@ -196,9 +196,9 @@
 		reportedAt = Math.min(reportedAt, clock.now());
 		return report();
 	};
-	while (clock.now() - reportedAt < underTargetMs - 50) await clock.pass(50);
+	while (clock.now() - reportedAt < underTargetMs - 50) await clock.advance(50);
 	t.deepEqual(working(), []);
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.is(working().length, 2);
 	owner.dispatcher.close();
 });
@@ -215,7 +215,7 @@
 	while (clock.now() < endsAt) {
 		since = working().length === 0 ? undefined : (since ?? clock.now());
 		longestMs = Math.max(longestMs, clock.now() - (since ?? clock.now()));
-		await clock.pass(50);
+		await clock.advance(50);
 	}
 	return longestMs;
 }
@@ -228,12 +228,12 @@
 		const environment = await createColocated();
 		const { clock, owner, observedWorker, setTail, working } = environment;
 		setTail(overTargetTailMs);
-		await clock.pass(maxSloViolationMs);
+		await clock.advance(maxSloViolationMs);
 		setTail(underTargetTailMs);
-		observedWorker.delaysPaces = true;
-		await clock.pass(underTargetMs + 400);
-		observedWorker.delaysPaces = false;
-		await clock.pass(pauseMs);
+		observedWorker.delaysPaceCommands = true;
+		await clock.advance(underTargetMs + 400);
+		observedWorker.delaysPaceCommands = false;
+		await clock.advance(pauseMs);
 		setTail(overTargetTailMs);
 		t.true((await longestWorkMs(environment, 12_000)) < maxSloViolationMs);
 		t.deepEqual(working(), []);
@@ -242,12 +242,12 @@
 
 test('preemptible tasks continue although an earlier command to pause is carried out late', async (t) => {
 	const { clock, owner, observedWorker, setTail, working } = await createColocated();
-	observedWorker.delaysPaces = true;
+	observedWorker.delaysPaceCommands = true;
 	setTail(overTargetTailMs);
-	await clock.pass(maxSloViolationMs / 2 + 500);
-	observedWorker.delaysPaces = false;
+	await clock.advance(maxSloViolationMs / 2 + 500);
+	observedWorker.delaysPaceCommands = false;
 	setTail(underTargetTailMs);
-	await clock.pass(10_000);
+	await clock.advance(10_000);
 	t.is(working().length, 2);
 	owner.dispatcher.close();
 });
@@ -255,11 +255,11 @@
 test('a pace command that fails after a newer one was answered changes nothing', async (t) => {
 	const { clock, owner, observedWorker, setTail, working } = await createColocated();
 	const pacedCount = (): number => owner.events.select(({ name }) => name === 'task.paced').length;
-	observedWorker.delaysPaces = true;
+	observedWorker.delaysPaceCommands = true;
 	setTail(overTargetTailMs);
-	while (pacedCount() === 0) await clock.pass(10);
-	observedWorker.delaysPaces = false;
-	await clock.pass(maxSloViolationMs);
+	while (pacedCount() === 0) await clock.advance(10);
+	observedWorker.delaysPaceCommands = false;
+	await clock.advance(maxSloViolationMs);
 	t.deepEqual(working(), []);
 	t.is(pacedCount(), 2);
 	owner.dispatcher.close();
@@ -270,7 +270,7 @@
 	observedWorker.ignoresStops = true;
 	owner.dispatcher.cancelJob('filling');
 	setTail(overTargetTailMs);
-	await clock.pass(maxSloViolationMs);
+	await clock.advance(maxSloViolationMs);
 	t.deepEqual(working(), []);
 	owner.dispatcher.close();
 });
@@ -282,16 +282,16 @@
 		() => fault,
 	);
 	setTail(overTargetTailMs);
-	await clock.pass(maxSloViolationMs / 2);
+	await clock.advance(maxSloViolationMs / 2);
 	const briefStep = { milliCores: 500, count: 40, maxPerWorker: 10 };
 	await submit(owner, fixtures.job('short', [fixtures.step(briefStep)]));
-	await clock.pass(200);
+	await clock.advance(200);
 	fault = 'down';
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	setTail(underTargetTailMs);
 	const underTargetAt = clock.now();
 	const isPaused = (): boolean => working().every((task) => task.startsWith('short'));
-	while (isPaused() && clock.now() - underTargetAt < 5_000) await clock.pass(50);
+	while (isPaused() && clock.now() - underTargetAt < 5_000) await clock.advance(50);
 	// A report comes every 0.8 s at the latest: the owner waits for half of that time, and the worker for the other half.
 	t.true(clock.now() - underTargetAt <= underTargetMs + 2 * 800, `${String(clock.now() - underTargetAt)} ms`);
 	t.true(observedWorker.ended.length > 0);
@@ -307,7 +307,7 @@
 		const preemptible = { milliCores: 1_600, image: 'filling', fills: true, count: 6 };
 		const record = fixtures.job(`short${String(number)}`, [fixtures.step(preemptible)]);
 		owner.dispatcher.addJob({ ...record, acceptedUnder: owner.ledger.generation });
-		await clock.pass(100);
+		await clock.advance(100);
 		if (clock.now() - overloadedAt > maxSloViolationMs) for (const task of working()) startedTasks.add(task);
 	}
 	t.deepEqual([...startedTasks], []);
@@ -321,14 +321,14 @@
 async function addFreeWorker(environment: Awaited<ReturnType<typeof createColocated>>): Promise<void> {
 	environment.fleet.add('free');
 	environment.owner.dispatcher.setWorkers(environment.fleet.entries(), [], true);
-	await environment.clock.pass(2_000);
+	await environment.clock.advance(2_000);
 }
 
 /** Adds many waiting tasks that would take any capacity that is freed, if it were large enough. */
 async function addBacklog(environment: Awaited<ReturnType<typeof createColocated>>): Promise<void> {
 	const backlogStep = { milliCores: 1_600, image: 'filling', fills: true, count: 40, memoryMb: 200_000 };
 	await environment.submit(environment.owner, fixtures.job('crowd', [fixtures.step(backlogStep)]));
-	await environment.clock.pass(2_000);
+	await environment.clock.advance(2_000);
 }
 
 /** How long a restore from a checkpoint takes, in milliseconds, of tasks with an estimate of 500 ms. */
@@ -342,9 +342,9 @@
 	await addBacklog(environment);
 	const before = fleet.starts.length;
 	setTail(overTargetTailMs);
-	await clock.pass(peakMs);
+	await clock.advance(peakMs);
 	setTail(underTargetTailMs);
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.is(fleet.starts.length, before);
 	t.is(working().length, 2);
 	owner.dispatcher.close();
@@ -380,7 +380,7 @@
 		if (hasBacklog) await addBacklog(environment);
 		const before = fleet.starts.length;
 		setTail(overTargetTailMs);
-		await clock.pass(afterMs);
+		await clock.advance(afterMs);
 		const migratedTo = fleet.starts.slice(before).map((one) => one.worker);
 		t.deepEqual(migratedTo, ['free', 'free']);
 		owner.dispatcher.close();
@@ -394,14 +394,14 @@
 	const before = fleet.starts.length;
 	const runPeak = async (): Promise<void> => {
 		setTail(overTargetTailMs);
-		await clock.pass(peakMs);
+		await clock.advance(peakMs);
 		setTail(underTargetTailMs);
-		await clock.pass(1_000);
+		await clock.advance(1_000);
 	};
 	await runPeak();
 	t.is(fleet.starts.length, before);
 	owner.dispatcher.cancelJob('crowd');
-	await clock.pass(2_000);
+	await clock.advance(2_000);
 	await runPeak();
 	t.deepEqual(
 		fleet.starts.slice(before).map((one) => one.worker),
--- a/test/slow-links.test.ts
+++ b/test/slow-links.test.ts
@@ -32,7 +32,7 @@
 		await links.addLinks(address);
 		for (const { box, proxy } of links.to(address)) proxy.set(modeByBox.get(box) ?? { kind: 'pass' });
 	}
-	platform.configure(3, realBoxes.host);
+	platform.writeConfiguration(3, realBoxes.host);
 	const started: boxes.BoxProcess[] = [];
 	const stores: proxies.FaultProxy[] = [];
 	t.teardown(async () => {
@@ -47,8 +47,8 @@
 		stores.push(store);
 		const box = await boxes.BoxProcess.create(name, store.address);
 		started.push(box);
-		await box.logged((line) => line.name === (started.length === 1 ? 'owner.taken' : 'owner.found'));
-		await box.logged((line) => line.name === 'config.applied');
+		await box.waitForLine((line) => line.name === (started.length === 1 ? 'owner.taken' : 'owner.found'));
+		await box.waitForLine((line) => line.name === 'config.applied');
 	}
 	return started;
 }
--- a/test/start-window.test.ts
+++ b/test/start-window.test.ts
@@ -19,10 +19,10 @@
 	const { clock, fleet, takeOverLinked, submit } = fixtures.createEnvironment(shortRun);
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner, link } = await takeOverLinked(bytesPerS);
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	const steps = [fixtures.step({ count: 500, milliCores: 500, memoryMb: 10 })];
 	await submit(owner, fixtures.job('burst', steps, { text }));
-	await clock.pass(6_000);
+	await clock.advance(6_000);
 	t.is(fleet.starts.length, 500);
 	// 500 starts sent at once occupy the link for 3,200 ms, longer than the owner's lease.
 	t.true(
@@ -36,13 +36,13 @@
 	const { clock, fleet, takeOverLinked, submit } = fixtures.createEnvironment(shortRun);
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner } = await takeOverLinked(bytesPerS);
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	const steps = [fixtures.step({ count: 500, milliCores: 500, memoryMb: 10 })];
 	await submit(owner, fixtures.job('burst', steps, { text, queue: { ...fixtures.queue, priority: 2 } }));
-	await clock.pass(100);
+	await clock.advance(100);
 	const sentAt = clock.now();
 	await submit(owner, fixtures.job('urgent', [fixtures.step()], { text }));
-	await clock.pass(6_000);
+	await clock.advance(6_000);
 	const urgent = fleet.starts.find((one) => one.task.startsWith('urgent'));
 	t.true((urgent?.at ?? Infinity) - sentAt < 600, `it waited for ${String((urgent?.at ?? 0) - sentAt)} ms`);
 	t.is(fleet.starts.length, 501);
@@ -53,11 +53,11 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(shortRun);
 	const added = Array.from({ length: 30 }, (_, number) => fleet.add(`w${String(number)}`));
 	const owner = await takeOver();
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	for (const worker of added.slice(0, 20)) worker.fault = 'silent';
 	const steps = [fixtures.step({ count: 400, milliCores: 4_000, memoryMb: 10 })];
 	await submit(owner, fixtures.job('burst', steps));
-	await clock.pass(4_000);
+	await clock.advance(4_000);
 	// Ten workers run 80 tasks at once, for 300 ms each. The tasks left after 160 placements on unresponsive workers take a
 	// second.
 	t.true(fleet.starts.length >= 240, `${String(fleet.starts.length)} were started`);
@@ -71,17 +71,17 @@
 	for (let number = 1; number <= 40; number += 1) fleet.add(`w${String(number)}`);
 	let fault: memory.StoreFault = 'none';
 	const owner = await takeOver(undefined, () => fault);
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	const longRunningSteps = [fixtures.step({ count: 200, milliCores: 2_000, lasting: true })];
 	await submit(
 		owner,
 		fixtures.job('lasting', longRunningSteps, { queue: { ...fixtures.queue, priority: 2 } }),
 	);
 	fault = 'down';
-	await clock.pass(300);
+	await clock.advance(300);
 	const startsBefore = fleet.starts.length;
 	owner.dispatcher.addJob({ ...fixtures.job('short', [fixtures.step({ count: 50 })]), acceptedUnder: 1 });
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	const short = fleet.starts.slice(startsBefore).filter((one) => one.task.startsWith('short'));
 	t.is(short.length, 50);
 	t.true(store.writes > 0);
@@ -102,13 +102,13 @@
 	const { clock, fleet, takeOverBusy, submit } = fixtures.createEnvironment(shortRun);
 	for (let number = 1; number <= 60; number += 1) fleet.add(`w${String(number)}`);
 	const { owner, processor } = await takeOverBusy({ send: 0.1, answer: 0.1 });
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	// Everything that needs the processor waits for this time, as it does on a processor that is full of reports.
-	processor.delayMs = 150;
+	processor.extraDelayMs = 150;
 	const startsBefore = fleet.starts.length;
 	const steps = [fixtures.step({ count: 2_000, milliCores: 100, memoryMb: 10 })];
 	await submit(owner, fixtures.job('burst', steps));
-	await clock.pass(6_000);
+	await clock.advance(6_000);
 	t.is(fleet.starts.length - startsBefore, 2_000);
 	owner.dispatcher.close();
 });
--- a/test/takeover.test.ts
+++ b/test/takeover.test.ts
@@ -24,20 +24,20 @@
 	const first = await takeOver();
 	// The same holds for short and long-running tasks. These are short: they exit by themselves unless they are stopped.
 	await submit(first, fixtures.job('job1', [fixtures.step({ count: 2, milliCores: 20_000 })]));
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.is(fleet.starts.length, 2);
 	first.dispatcher.setWorkers([{ ...w2.entry, draining: true, remainingMs: 3_000 }], [], false);
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.is(w2.running.size, 0);
 	fleet.workers.delete('w2');
 	first.dispatcher.setWorkers([], ['w2'], false);
-	await clock.pass(500);
+	await clock.advance(500);
 	first.dispatcher.close();
 	const w3 = fleet.add('w3');
 	const second = await takeOver();
-	await clock.pass(takeoverAndStartMs);
+	await clock.advance(takeoverAndStartMs);
 	t.is(w3.running.size, 1);
-	t.deepEqual(fleet.doubled(), []);
+	t.deepEqual(fleet.tasksRunningTwice(), []);
 	second.dispatcher.close();
 });
 
@@ -48,12 +48,12 @@
 	const w3 = fleet.add('w3');
 	const first = await takeOver();
 	await submit(first, fixtures.job('job1', longRunningSteps(3)));
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.is(fleet.starts.length, 3);
 	const onW3 = [...w3.running.keys()];
 	first.dispatcher.setWorkers([{ ...w2.entry, draining: true, remainingMs: 20_000 }], [], false);
 	await submit(first, fixtures.job('never-started', longRunningSteps(1)));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.is(w2.running.size, 0);
 	// The owner and a worker fail at the same moment, so nothing could be stored about the worker.
 	w3.fault = 'silent';
@@ -62,14 +62,14 @@
 	fleet.add('w5');
 	fleet.add('w6');
 	const second = await takeOver();
-	await clock.pass(takeoverAndStartMs);
+	await clock.advance(takeoverAndStartMs);
 	const started = fleet.starts.slice(3).map((one) => one.task);
 	t.is(started.length, 2);
 	t.true(started.includes('never-started.0.0.0'));
 	t.false(started.some((task) => onW3.includes(task)));
 	for (let passed = 0; passed < 10_000; passed += 100) {
-		await clock.pass(100);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(100);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	t.deepEqual(
 		fleet.starts.slice(5).map((one) => one.task),
@@ -84,17 +84,17 @@
 	let isCut = false;
 	const first = await takeOver((worker) => isCut && worker === 'w1');
 	await submit(first, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.is(fleet.starts.length, 1);
 	const w2 = fleet.add('w2');
 	first.dispatcher.setWorkers(fleet.entries(), [], true);
 	isCut = true;
 	// The lease granted to w1 has a second left, and the first owner's last call to the store is more recent than that.
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	const second = await takeOver((worker) => worker === 'w2');
 	for (let passed = 0; passed < 6_000; passed += 50) {
-		await clock.pass(50);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(50);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	t.is(w2.running.size, 0);
 	first.dispatcher.close();
@@ -109,7 +109,7 @@
 	const w1 = environment.fleet.add('w1');
 	const owner = await environment.takeOver(undefined, fault);
 	await environment.submit(owner, fixtures.job('job1', longRunningSteps(1)));
-	await environment.clock.pass(1_000);
+	await environment.clock.advance(1_000);
 	w1.fault = 'silent';
 	return { ...environment, owner, w1 };
 }
@@ -121,14 +121,14 @@
 
 test('a successor waits for an unresponsive worker no longer than its predecessor would have', async (t) => {
 	const { clock, fleet, takeOver, owner: first } = await setUpUnresponsiveWorker();
-	await clock.pass(4_000);
+	await clock.advance(4_000);
 	const leaseEnds = leaseEndsFrom(first.dispatcher.unresponsiveLeases(), clock.now());
 	first.dispatcher.close();
 	const w2 = fleet.add('w2');
 	const second = await takeOver(undefined, undefined, leaseEnds);
 	for (let passed = 0; passed < 3_000; passed += 50) {
-		await clock.pass(50);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(50);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	t.is(w2.running.size, 1);
 	second.dispatcher.close();
@@ -137,21 +137,21 @@
 test('a worker whose lease end was published gets no lease before the roster has changed', async (t) => {
 	let fault: 'none' | 'down' = 'none';
 	const { clock, owner, w1 } = await setUpUnresponsiveWorker(() => fault);
-	await clock.pass(3_300);
+	await clock.advance(3_300);
 	t.deepEqual(Object.keys(owner.dispatcher.unresponsiveLeases()), ['w1']);
 	fault = 'down';
 	w1.fault = 'none';
-	await clock.pass(3_700);
+	await clock.advance(3_700);
 	t.is(w1.running.size, 0);
 	owner.dispatcher.close();
 });
 
 test('a worker whose lease end was published is renewed once the roster has changed', async (t) => {
 	const { clock, fleet, owner, w1 } = await setUpUnresponsiveWorker();
-	await clock.pass(3_300);
+	await clock.advance(3_300);
 	t.deepEqual(Object.keys(owner.dispatcher.unresponsiveLeases()), ['w1']);
 	w1.fault = 'none';
-	await clock.pass(20_000);
+	await clock.advance(20_000);
 	t.is(w1.running.size, 1);
 	t.is(fleet.starts.length, 1);
 	owner.dispatcher.close();
@@ -168,13 +168,13 @@
 	const { clock, fleet, takeOver, submit } = environment;
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	// The first attempts are lost in transit.
 	w1.fault = 'silent';
 	await submit(owner, fixtures.job('job1', [fixtures.step()]));
-	await clock.pass(2_300);
+	await clock.advance(2_300);
 	w1.fault = 'late';
-	await clock.pass(500);
+	await clock.advance(500);
 	w1.fault = 'silent';
 	fleet.add('w2');
 	owner.dispatcher.setWorkers(fleet.entries(), [], true);
@@ -183,12 +183,12 @@
 
 test('a start that is carried out after its run was presumed lost has no effect', async (t) => {
 	const { clock, fleet, owner, w1 } = await setUpStartInFlight();
-	await clock.pass(3_700);
+	await clock.advance(3_700);
 	t.is(fleet.starts.length, 1);
 	w1.fault = 'none';
 	for (let passed = 0; passed < 10_000; passed += 50) {
-		await clock.pass(50);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(50);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	t.is(fleet.starts.length, 1);
 	owner.dispatcher.close();
@@ -197,13 +197,13 @@
 test('an unconfirmed run is not forgotten when its worker leaves the list and comes back', async (t) => {
 	const { clock, fleet, owner, w1 } = await setUpStartInFlight();
 	owner.dispatcher.setWorkers([], ['w1'], false);
-	await clock.pass(3_700);
+	await clock.advance(3_700);
 	t.is(fleet.starts.length, 1);
 	w1.fault = 'none';
 	owner.dispatcher.setWorkers([w1.entry], [], false);
 	for (let passed = 0; passed < 10_000; passed += 50) {
-		await clock.pass(50);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(50);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	t.is(fleet.starts.length, 1);
 	owner.dispatcher.close();
@@ -215,25 +215,25 @@
 	const second = await takeOver();
 	t.is(second.dispatcher.vacate('w1'), 'protected');
 	w1.fault = 'none';
-	await clock.pass(takeoverAndStartMs);
+	await clock.advance(takeoverAndStartMs);
 	t.is(second.dispatcher.vacate('w1'), 'moving');
 	second.dispatcher.close();
 });
 
 test('owners that follow each other quickly do not restart the wait for an unresponsive worker', async (t) => {
 	const { clock, fleet, takeOver, owner: first } = await setUpUnresponsiveWorker();
-	await clock.pass(3_500);
+	await clock.advance(3_500);
 	const leaseEnds = leaseEndsFrom(first.dispatcher.unresponsiveLeases(), clock.now());
 	first.dispatcher.close();
 	const w2 = fleet.add('w2');
 	const second = await takeOver(undefined, undefined, leaseEnds);
-	await clock.pass(500);
+	await clock.advance(500);
 	const laterLeaseEnds = leaseEndsFrom(second.dispatcher.unresponsiveLeases(), clock.now());
 	second.dispatcher.close();
 	const third = await takeOver(undefined, undefined, laterLeaseEnds);
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.is(w2.running.size, 1);
-	t.deepEqual(fleet.doubled(), []);
+	t.deepEqual(fleet.tasksRunningTwice(), []);
 	third.dispatcher.close();
 });
 
@@ -244,19 +244,19 @@
 	const first = await takeOver();
 	const gang = { count: 2, milliCores: 20_000, gang: true };
 	await submit(first, fixtures.job('gang', [fixtures.step(gang)]));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.is(fleet.starts.length, 2);
 	const [lostTask] = [...(fleet.workers.get('w1')?.running.keys() ?? [])];
 	// w2 is cut off while its task runs on, so its roster entry is closed. Then the other worker restarts.
 	w2.fault = 'silent';
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	first.dispatcher.close();
 	fleet.add('w1-again', { address: 'w1:1' });
 	fleet.add('w3');
 	const second = await takeOver();
 	for (let passed = 0; passed < 12_000; passed += 50) {
-		await clock.pass(50);
-		t.deepEqual(fleet.doubled(), []);
+		await clock.advance(50);
+		t.deepEqual(fleet.tasksRunningTwice(), []);
 	}
 	t.true(fleet.starts.slice(2).some((one) => one.task === lostTask));
 	second.dispatcher.close();
@@ -267,10 +267,10 @@
 	const w1 = fleet.add('w1');
 	const first = await takeOver();
 	await submit(first, fixtures.job('job1', [fixtures.step({ count: 4, milliCores: 8_000, lasting: true })]));
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.is(w1.running.size, 4);
 	await submit(first, fixtures.job('short', [fixtures.step({ count: 2, milliCores: 4_000 })]));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	const stoppedTasks = [0, 1, 2, 3]
 		.map((index) => `job1.0.0.${index}`)
 		.filter((name) => !w1.running.has(name));
@@ -280,7 +280,7 @@
 	first.dispatcher.close();
 	const w2 = fleet.add('w2');
 	const second = await takeOver();
-	await clock.pass(takeoverAndStartMs);
+	await clock.advance(takeoverAndStartMs);
 	t.deepEqual([...w2.running.keys()], stoppedTasks);
 	second.dispatcher.close();
 });
@@ -290,14 +290,14 @@
 	const { clock, fleet, takeOver, submit } = fixtures.createEnvironment(endlessRun);
 	const w1 = fleet.add('w1');
 	const owner = await takeOver(undefined, () => fault);
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	await submit(owner, fixtures.job('job1', longRunningSteps(1)));
 	fault = 'down';
-	await clock.pass(500);
+	await clock.advance(500);
 	owner.dispatcher.setWorkers([{ ...w1.entry, draining: true, remainingMs: 20_000 }], [], false);
-	await clock.pass(500);
+	await clock.advance(500);
 	fault = 'none';
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.is(fleet.starts.length, 0);
 	owner.dispatcher.close();
 });
--- a/test/unacknowledged-exits.test.ts
+++ b/test/unacknowledged-exits.test.ts
@@ -48,12 +48,12 @@
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	await submit(owner, fixtures.job('job1', [fixtures.step({ count: 2 })]));
-	await clock.pass(500);
+	await clock.advance(500);
 	t.is(w1.running.size, 2);
 	w1.fault = 'silent';
-	await clock.pass(fixtures.maxLeaseMs + 500);
+	await clock.advance(fixtures.maxLeaseMs + 500);
 	w1.fault = 'none';
-	await clock.pass(1_500);
+	await clock.advance(1_500);
 	const [lapsed] = owner.events.select(({ name }) => name === 'lease.lapsed');
 	t.is(lapsed?.fields.runs, 2);
 	t.true(Number(lapsed?.fields.silentMs) >= fixtures.maxLeaseMs);
--- a/test/unnoted-ends.test.ts
+++ b/test/unnoted-ends.test.ts
@@ -32,7 +32,7 @@
 		return {
 			started: () => undefined,
 			ended: ({ task, run }) => void this.listed.set(`${task}#${String(run)}`, this.now()),
-			forgotten: ({ task, run }) => void this.acknowledged.set(`${task}#${String(run)}`, this.now()),
+			acknowledged: ({ task, run }) => void this.acknowledged.set(`${task}#${String(run)}`, this.now()),
 		};
 	}
 
@@ -57,12 +57,12 @@
 		now = () => environment.clock.now();
 		environment.fleet.add('w1', {}, 1);
 		const owner = await environment.takeOver();
-		await environment.clock.pass(1_200);
+		await environment.clock.advance(1_200);
 		environment.store.writeMs = writeMs;
 		for (let at = 0; at < submitPhaseMs; at += jobIntervalMs) {
 			const record = fixtures.job(`job${String(at)}`, [fixtures.step({ count: 3, milliCores: 200 })]);
 			owner.dispatcher.addJob({ ...record, acceptedUnder: owner.ledger.generation });
-			await environment.clock.pass(jobIntervalMs);
+			await environment.clock.advance(jobIntervalMs);
 		}
 		t.true(exits.count > submitPhaseMs / jobIntervalMs);
 		// An exit waits for the write in progress and for its own.
@@ -78,13 +78,13 @@
 	const { fleet, store, clock } = environment;
 	fleet.add('w1', {}, 1);
 	const owner = await environment.takeOver();
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	store.writeMs = 300;
 	fleet.reportDelayMs = 600;
 	for (let at = 0; at < submitPhaseMs; at += jobIntervalMs) {
 		const record = fixtures.job(`job${String(at)}`, [fixtures.step({ count: 3, milliCores: 200 })]);
 		owner.dispatcher.addJob({ ...record, acceptedUnder: owner.ledger.generation });
-		await clock.pass(jobIntervalMs);
+		await clock.advance(jobIntervalMs);
 	}
 	t.true(exits.count > submitPhaseMs / jobIntervalMs);
 	// Two reports come late: the one that lists the exit, and the one after whose answer the exit is acknowledged.
@@ -101,15 +101,15 @@
 	const w1 = fleet.add('w1', {}, 1);
 	const owner = await environment.takeOver();
 	await submit(owner, fixtures.job('running', [fixtures.step({ count: 3 })]));
-	await clock.pass(1_200);
+	await clock.advance(1_200);
 	w1.fault = 'silent';
 	await submit(owner, fixtures.job('unanswered', [fixtures.step()]));
 	// The worker's leases expire, so its runs have lapsed, and the start that was not answered is unconfirmed.
-	await clock.pass(fixtures.maxLeaseMs + 2_000);
+	await clock.advance(fixtures.maxLeaseMs + 2_000);
 	t.is(exits.count, 3);
 	w1.ignoresStops = true;
 	w1.fault = 'none';
-	await clock.pass(2 * maxReportWaitMs);
+	await clock.advance(2 * maxReportWaitMs);
 	t.is(owner.dispatcher.load().listedEnds, 0);
 	t.deepEqual(w1.ended, []);
 	owner.dispatcher.close();
@@ -122,7 +122,7 @@
 		journal: exits.journal,
 	});
 	const box = await start('entry-1');
-	await box.logged((line) => line.name === 'owner.taken');
+	await box.waitForLine((line) => line.name === 'owner.taken');
 	await realBoxes.call(box.callers, 'POST', '00000000000000ff', realBoxes.jobBody);
 	await realBoxes.waitUntilCompleted(box, '00000000000000ff');
 	platform.store.writeMs = 300;
--- a/test/unstored-progress.test.ts
+++ b/test/unstored-progress.test.ts
@@ -49,7 +49,7 @@
 	const healthy = fixtures.createJobs(60, clock.now());
 	for (let at = 0; at < durationMs; at += reportIntervalMs) {
 		for (const job of [refused, ...healthy]) progressSaver.mark(job);
-		await clock.pass(reportIntervalMs);
+		await clock.advance(reportIntervalMs);
 	}
 	// At first the job is in a full batch, which is halved until the job is alone.
 	const isolatingWrites = Math.ceil(Math.log2(15)) + 1;
@@ -68,13 +68,13 @@
 	const progressSaver = createSaver(clock, 20, () => (isRefused ? 'refused' : 'committed'));
 	const job = fixtures.createJob('job1', clock.now());
 	progressSaver.mark(job);
-	await clock.pass(200);
+	await clock.advance(200);
 	let isStored = false;
 	void progressSaver.whenStored([job]).then(() => (isStored = true));
-	await clock.pass(retryIntervalMs / 2);
+	await clock.advance(retryIntervalMs / 2);
 	t.false(isStored);
 	isRefused = false;
-	await clock.pass(retryIntervalMs);
+	await clock.advance(retryIntervalMs);
 	t.true(isStored);
 	progressSaver.close();
 });
@@ -93,7 +93,7 @@
 				const job = fixtures.createJob(`ended${String((ended += 1))}`, clock.now());
 				job.state = 'completed';
 				progressSaver.mark(job);
-				await clock.pass(exitIntervalMs);
+				await clock.advance(exitIntervalMs);
 			}
 		};
 		await endJobs(1_000);
@@ -121,9 +121,9 @@
 	};
 	for (let round = 0; round < 20; round += 1) {
 		for (const job of running) void mark(job);
-		await clock.pass(500);
+		await clock.advance(500);
 	}
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.true(longestMs <= maxStoreMs, `${String(longestMs)} ms`);
 	progressSaver.close();
 });
@@ -136,13 +136,13 @@
 	fleet.add('w1', {}, 1);
 	const owner = await takeOver();
 	await submit(owner, dispatching.job('job1', [dispatching.step()]));
-	await clock.pass(200);
+	await clock.advance(200);
 	store.writeMs = 2_000;
 	const before = store.writes;
 	// The job's task exits, and about five reports list the exit before it is stored.
-	await clock.pass(250);
+	await clock.advance(250);
 	store.writeMs = 4;
-	await clock.pass(4_000);
+	await clock.advance(4_000);
 	t.is(store.writes - before, 1);
 	owner.dispatcher.close();
 });
--- a/test/unworkable-jobs.test.ts
+++ b/test/unworkable-jobs.test.ts
@@ -29,12 +29,12 @@
 		const environment = fixtures.createEnvironment(() => shortRun);
 		environment.fleet.add('w1');
 		const first = await environment.takeOver();
-		await environment.clock.pass(1_000);
+		await environment.clock.advance(1_000);
 		environment.store.put(ledger.keys.jobKey('bad'), value);
 		first.dispatcher.close();
 		const second = await environment.takeOver();
 		await environment.submit(second, fixtures.job('good', [fixtures.step()]));
-		await environment.clock.pass(2_000);
+		await environment.clock.advance(2_000);
 		t.is(second.dispatcher.stateOf('good'), 'completed');
 		t.deepEqual(
 			second.events.select((event) => event.name === 'job.unreadable').map((event) => event.fields.job),
@@ -48,17 +48,17 @@
 	environment.fleet.add('w1');
 	const first = await environment.takeOver();
 	await environment.submit(first, fixtures.job('bad', [fixtures.step()]));
-	await environment.clock.pass(2_000);
+	await environment.clock.advance(2_000);
 	first.dispatcher.close();
 	environment.store.put(ledger.keys.progressKey('bad'), Buffer.from([0xff]));
 	const second = await environment.takeOver();
 	await environment.submit(second, fixtures.job('good', [fixtures.step()]));
-	await environment.clock.pass(2_000);
+	await environment.clock.advance(2_000);
 	t.is(second.dispatcher.stateOf('good'), 'completed');
 	t.is(environment.fleet.starts.filter((one) => one.task.startsWith('bad')).length, 1);
 	// The job exists, but its progress can't be read.
 	const reading = ledger.readJob(environment.store.view(), 'bad');
-	await environment.clock.pass(50);
+	await environment.clock.advance(50);
 	t.false((await reading).ok);
 	second.dispatcher.close();
 });
--- a/test/upkeep.test.ts
+++ b/test/upkeep.test.ts
@@ -73,7 +73,7 @@
 		},
 	});
 	running.add({ number: 7, machines: ['m1', 'm2', 'm3', 'm4'], withinMs: 60_000, maximum: 2 });
-	await clock.pass(20_000);
+	await clock.advance(20_000);
 	running.close();
 	t.deepEqual([...machines.takenDown].sort(), ['m1', 'm2', 'm3', 'm4']);
 	t.is(machines.maxDown(), 2);
@@ -89,10 +89,10 @@
 		report: () => Promise.resolve(true),
 	});
 	running.add({ number: 1, machines: ['m1'], withinMs: 5_000, maximum: 1 });
-	await clock.pass(10_000);
+	await clock.advance(10_000);
 	t.deepEqual(machines.takenDown, []);
 	state = 'empty';
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	running.close();
 	t.deepEqual(machines.takenDown, ['m1']);
 });
@@ -108,12 +108,12 @@
 	const owner = await takeOver();
 	await submit(owner, fixtures.job('free', [fixtures.step({ lasting: true })]));
 	await submit(owner, fixtures.job('kept', [fixtures.step({ lasting: true, mayMiss: 0 })]));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.is(owner.dispatcher.vacate('w1'), 'protected');
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.deepEqual([...w1.running.keys()], ['kept.0.0.0']);
 	owner.dispatcher.reopen('w1');
-	await clock.pass(4_000);
+	await clock.advance(4_000);
 	t.is(w1.running.size, 2);
 	owner.dispatcher.close();
 });
@@ -128,14 +128,14 @@
 	workers.add('w1');
 	const owner = await takeOver();
 	await submit(owner, fixtures.job('gang', [fixtures.step({ count: 4, milliCores: 10_000, gang: true })]));
-	await clock.pass(1_500);
+	await clock.advance(1_500);
 	t.is(workers.starts.length, 0);
 	workers.add('w2');
 	owner.dispatcher.setWorkers(workers.entries(), [], true);
-	await clock.pass(300);
+	await clock.advance(300);
 	t.is(workers.starts.length, 4);
 	t.is(new Set(workers.starts.map((one) => one.run)).size, 1);
-	await clock.pass(2_000);
+	await clock.advance(2_000);
 	t.is(owner.dispatcher.stateOf('gang'), 'completed');
 	owner.dispatcher.close();
 });
@@ -164,13 +164,13 @@
 	advisory.requestTickets(step, ['w1', 'w2']);
 	advisory.requestTickets(step, ['w1', 'w2']);
 	t.is(advisory.ticket(step, 'w2'), undefined);
-	await clock.pass(150);
+	await clock.advance(150);
 	t.is(advisory.ticket(step, 'w2'), 'pass');
 	t.is(advisory.ticket(step, 'w1'), undefined);
-	await clock.pass(900);
+	await clock.advance(900);
 	t.is(advisory.ticket(step, 'w2'), undefined);
 	advisory.requestTickets(step, ['w1', 'w2']);
-	await clock.pass(150);
+	await clock.advance(150);
 	t.deepEqual(asked, [['w1', 'w2'], ['w2']]);
 });
 
@@ -184,10 +184,10 @@
 		mayAct: () => mayAct,
 	});
 	running.add({ number: 1, machines: ['m1', 'm2'], withinMs: 10_000, maximum: 2 });
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.deepEqual(machines.takenDown, []);
 	mayAct = true;
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	t.deepEqual(machines.takenDown, ['m1', 'm2']);
 	running.close();
 });
--- a/test/worker-entries.test.ts
+++ b/test/worker-entries.test.ts
@@ -68,16 +68,16 @@
 		},
 		onRead: () => undefined,
 	});
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	store.put('servers/w1', Buffer.from('{'));
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	// The history is gone, so the list is read again, with that entry in it.
 	store.forget();
-	await clock.pass(3_000);
+	await clock.advance(3_000);
 	store.put('servers/w1', encodeJson(validEntry));
-	await clock.pass(1_000);
-	store.drop('servers/w1');
-	await clock.pass(1_000);
+	await clock.advance(1_000);
+	store.remove('servers/w1');
+	await clock.advance(1_000);
 	follower.close();
 	const rejected = log.select((event) => event.name === 'wire.rejected').map((event) => event.fields.reason);
 	t.snapshot({ told, rejected });
@@ -91,11 +91,11 @@
 	const first = '00000000000000a1';
 	const second = '00000000000000a2';
 	await realBoxes.call(box.callers, 'POST', first, realBoxes.jobBody);
-	await box.logged((line) => line.name === 'task.placed');
+	await box.waitForLine((line) => line.name === 'task.placed');
 	const entry = platform.store.keys().find((key) => key.startsWith('servers/')) ?? '';
 	const before = await platform.store.view().get(entry);
 	platform.store.put(entry, Buffer.from([0xff]));
-	await box.logged((line) => line.name === 'wire.rejected');
+	await box.waitForLine((line) => line.name === 'wire.rejected');
 	await realBoxes.call(box.callers, 'POST', second, realBoxes.jobBody);
 	void realBoxes.waitUntilEnded(box, first).then(endFirst);
 	await firstEnds;
--- a/test/worker-responsiveness.test.ts
+++ b/test/worker-responsiveness.test.ts
@@ -19,24 +19,24 @@
 	const clock = time.VirtualClock.create();
 	const responsiveness = workerResponsiveness.WorkerResponsiveness.create(clock);
 	responsiveness.noteConnected();
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.false(responsiveness.isHanging, 'connections opened before a call failed prove nothing');
 	t.true(responsiveness.noteFailure());
 	t.false(responsiveness.noteFailure());
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.false(responsiveness.isHanging, 'it may have crashed at that moment');
 	responsiveness.noteConnected();
 	t.false(responsiveness.isHanging, 'the answer may be on its way');
-	await clock.pass(300);
+	await clock.advance(300);
 	t.true(responsiveness.isHanging);
 	responsiveness.noteAnswer();
 	responsiveness.noteFailure();
 	responsiveness.noteConnected();
 	responsiveness.notePollFailed();
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	t.false(responsiveness.isHanging, 'a connection that breaks at once is what a crash leaves');
 	responsiveness.noteConnected();
-	await clock.pass(1_000);
+	await clock.advance(1_000);
 	responsiveness.notePollFailed();
 	t.true(responsiveness.isHanging);
 	responsiveness.noteAnswer();
@@ -49,11 +49,11 @@
 	const w1 = fleet.add('w1');
 	const owner = await takeOver();
 	let polls = 0;
-	w1.hold = () => {
+	w1.handleReportRequest = () => {
 		polls += 1;
 		return results.fail({ kind: 'refused', status: 503 });
 	};
-	await clock.pass(5_000);
+	await clock.advance(5_000);
 	t.true(polls <= 5_000 / settings.pollRetryMs, `${String(polls)} times in five seconds`);
 	owner.dispatcher.close();
 });
