--- a/dev/cluster.ts
+++ b/dev/cluster.ts
@@ -20,18 +20,18 @@
 	/** Extra environment of backend servers. */
 	backendEnv?: Record<string, string>;
 	/** The address a program reaches something by, for a proxy between; the default is the address itself. */
-	via?: (from: string, to: string, address: string) => Promise<string> | string;
+	proxiedAddress?: (from: string, to: string, address: string) => Promise<string> | string;
 }
 
 /** A backend server or worker with its address. */
-export interface Box {
+export interface StandInMachine {
 	id: string;
 	zone: string;
 	address: string;
 	/** The address by which the programs know it, if a proxy stands between. */
 	listedAddress: string;
 	state: 'live' | 'leaving';
-	process: processes.Started;
+	process: processes.StartedProcess;
 }
 
 /** A program of the system with its addresses. */
@@ -41,7 +41,7 @@
 	role: 'entry' | 'scheduler' | 'operator';
 	peer: string;
 	serves: string;
-	process: processes.Started;
+	process: processes.StartedProcess;
 }
 
 /** Capacity of each stand-in worker. */
@@ -59,13 +59,13 @@
 
 /** A running deployment. */
 export class Cluster {
-	readonly backends: Box[] = [];
-	readonly workers: Box[] = [];
+	readonly backends: StandInMachine[] = [];
+	readonly workers: StandInMachine[] = [];
 	readonly programs: Program[] = [];
 	platformAddress = '';
-	platform!: processes.Started;
+	platform!: processes.StartedProcess;
 	private store!: platform.EtcdStore;
-	private nextBox = 1;
+	private nextBoxNumber = 1;
 
 	private constructor(readonly opts: ClusterOptions) {}
 
@@ -75,7 +75,7 @@
 		cluster.platform = processes.start('platform', 'stand-ins/platform/main.js');
 		cluster.platformAddress = await processes.readyAddress(cluster.platform);
 		cluster.store = platform.EtcdStore.create(`http://${cluster.platformAddress}`);
-		await cluster.startBoxes();
+		await cluster.startMachines();
 		for (const zone of opts.zones) await cluster.publish(zone);
 		const starting: Promise<unknown>[] = [];
 		for (const zone of opts.zones) {
@@ -90,16 +90,25 @@
 
 	/** Starts one program and resolves once it listens. */
 	async startProgram(role: Program['role'], zone: string, flags: string[] = []): Promise<Program> {
-		const box = `${role}-${zone}-${this.nextBox}`;
-		this.nextBox += 1;
-		const extra = { scheduler: this.opts.schedulerFlags, entry: this.opts.entryFlags, operator: undefined }[
-			role
-		];
-		const origin = await this.via(box, 'platform', this.platformAddress);
+		const box = `${role}-${zone}-${this.nextBoxNumber}`;
+		this.nextBoxNumber += 1;
+		const roleFlags = {
+			scheduler: this.opts.schedulerFlags,
+			entry: this.opts.entryFlags,
+			operator: undefined,
+		}[role];
+		const platformOrigin = await this.proxiedAddress(box, 'platform', this.platformAddress);
 		const args = [
 			...['--box', box, '--zone', zone, '--zones', this.opts.zones.join(',')],
-			...['--platform', `http://${origin}`, '--log', 'json', '--log-level', this.opts.logLevel ?? 'debug'],
-			...(extra ?? []),
+			...[
+				'--platform',
+				`http://${platformOrigin}`,
+				'--log',
+				'json',
+				'--log-level',
+				this.opts.logLevel ?? 'debug',
+			],
+			...(roleFlags ?? []),
 			...flags,
 		];
 		const process = processes.start(box, `src/cli/${role}/main.js`, args);
@@ -110,28 +119,28 @@
 	}
 
 	/** Starts a worker under an id, or starts it anew after it ended. */
-	async startWorker(id: string, zone: string): Promise<Box> {
+	async startWorker(id: string, zone: string): Promise<StandInMachine> {
 		const process = processes.start(id, 'stand-ins/worker/main.js', [], { BOX_ID: id });
 		const address = await processes.readyAddress(process);
-		const listedAddress = await this.via('scheduler', id, address);
+		const listedAddress = await this.proxiedAddress('scheduler', id, address);
 		return { id, zone, address, listedAddress, state: 'live', process };
 	}
 
 	/** Writes a zone's box lists, as the platform would. */
 	async publish(zone: string): Promise<void> {
-		const workers = this.workers.filter((box) => box.zone === zone);
-		const workerList: boxes.WorkerBox[] = workers.map((box, index) => ({
-			id: box.id,
-			address: box.listedAddress,
-			state: box.state,
+		const workers = this.workers.filter((worker) => worker.zone === zone);
+		const workerList: boxes.WorkerBox[] = workers.map((worker, index) => ({
+			id: worker.id,
+			address: worker.listedAddress,
+			state: worker.state,
 			rack: `${zone}-rack-${Math.floor(index / rackSize)}`,
 			...workerCapacity,
 		}));
-		const backends = this.backends.filter((box) => box.zone === zone);
-		const backendList: boxes.BackendBox[] = backends.map((box) => ({
-			id: box.id,
-			address: box.listedAddress,
-			state: box.state,
+		const backends = this.backends.filter((backend) => backend.zone === zone);
+		const backendList: boxes.BackendBox[] = backends.map((backend) => ({
+			id: backend.id,
+			address: backend.listedAddress,
+			state: backend.state,
 			service: serviceName,
 			slots: backendSlots,
 			connections: backendConnections,
@@ -141,8 +150,10 @@
 	}
 
 	/** Programs of a role, of one zone if given. */
-	of(role: Program['role'], zone?: string): Program[] {
-		return this.programs.filter((one) => one.role === role && (zone === undefined || one.zone === zone));
+	programsOf(role: Program['role'], zone?: string): Program[] {
+		return this.programs.filter(
+			(program) => program.role === role && (zone === undefined || program.zone === zone),
+		);
 	}
 
 	/** Sets faults of the platform stand-in. */
@@ -152,40 +163,44 @@
 
 	/** Ends every process. */
 	async close(): Promise<void> {
-		const all = [...this.programs, ...this.workers, ...this.backends].map((one) => one.process);
-		await Promise.all([...all, this.platform].map((one) => kill(one)));
+		const all = [...this.programs, ...this.workers, ...this.backends].map((started) => started.process);
+		await Promise.all([...all, this.platform].map((started) => kill(started)));
 		await this.store.close();
 	}
 
-	private async startBoxes(): Promise<void> {
+	private async startMachines(): Promise<void> {
 		const starting: Promise<unknown>[] = [];
 		for (const zone of this.opts.zones) {
 			for (let i = 0; i < this.opts.backendsPerZone; i += 1) {
-				starting.push(this.startBackend(`backend-${zone}-${i}`, zone).then((box) => this.backends.push(box)));
+				starting.push(
+					this.startBackend(`backend-${zone}-${i}`, zone).then((backend) => this.backends.push(backend)),
+				);
 			}
 			for (let i = 0; i < this.opts.workersPerZone; i += 1) {
-				starting.push(this.startWorker(`worker-${zone}-${i}`, zone).then((box) => this.workers.push(box)));
+				starting.push(
+					this.startWorker(`worker-${zone}-${i}`, zone).then((worker) => this.workers.push(worker)),
+				);
 			}
 		}
 		await Promise.all(starting);
-		const byId = (a: Box, b: Box): number => (a.id < b.id ? -1 : 1);
+		const byId = (a: StandInMachine, b: StandInMachine): number => (a.id < b.id ? -1 : 1);
 		this.backends.sort(byId);
 		this.workers.sort(byId);
 	}
 
-	private async startBackend(id: string, zone: string): Promise<Box> {
+	private async startBackend(id: string, zone: string): Promise<StandInMachine> {
 		const process = processes.start(id, 'stand-ins/backend-server/main.js', [], {
 			SLOTS: String(backendSlots),
 			CONNECTIONS: String(backendConnections),
 			...this.opts.backendEnv,
 		});
 		const address = await processes.readyAddress(process);
-		const listedAddress = await this.via('entry', id, address);
+		const listedAddress = await this.proxiedAddress('entry', id, address);
 		return { id, zone, address, listedAddress, state: 'live', process };
 	}
 
-	private async via(from: string, to: string, address: string): Promise<string> {
-		return this.opts.via === undefined ? address : this.opts.via(from, to, address);
+	private async proxiedAddress(from: string, to: string, address: string): Promise<string> {
+		return this.opts.proxiedAddress === undefined ? address : this.opts.proxiedAddress(from, to, address);
 	}
 
 	/** Writes a box list, as the platform would. */
@@ -199,7 +214,7 @@
 }
 
 /** Kills a process, stopped ones included. */
-export async function kill(started: processes.Started): Promise<void> {
+export async function kill(started: processes.StartedProcess): Promise<void> {
 	started.child.kill('SIGCONT');
 	await processes.stop(started, 'SIGKILL');
 }
--- a/dev/demo.ts
+++ b/dev/demo.ts
@@ -12,32 +12,35 @@
 const requestsPerEntry = 50;
 
 /** Milliseconds the whole demonstration may take. */
-const limitMs = 55_000;
+const timeoutMs = 55_000;
 
 /** Events shown of the time line. */
-const shownEvents = 40;
+const maxShownEvents = 40;
 
-function must(condition: boolean, what: string): asserts condition {
-	if (!condition) throw new Error(`demo: ${what} did not happen`);
+function ensure(condition: boolean, expectation: string): asserts condition {
+	if (!condition) throw new Error(`demo: ${expectation} did not happen`);
 }
 
-async function must2xx<T>(what: string, call: Promise<results.Result<T, operator.CallError>>): Promise<T> {
+async function valueOrThrow<T>(
+	callName: string,
+	call: Promise<results.Result<T, operator.CallError>>,
+): Promise<T> {
 	const res = await call;
-	if (!res.ok) throw new Error(`demo: ${what} failed: ${res.err.name} ${res.err.message}`);
+	if (!res.ok) throw new Error(`demo: ${callName} failed: ${res.err.name} ${res.err.message}`);
 	return res.value;
 }
 
-async function until(what: string, check: () => Promise<boolean>): Promise<void> {
-	const giveUpAt = Date.now() + 20_000;
+async function waitUntil(expectation: string, check: () => Promise<boolean>): Promise<void> {
+	const deadline = Date.now() + 20_000;
 	while (!(await check())) {
-		must(Date.now() < giveUpAt, what);
+		ensure(Date.now() < deadline, expectation);
 		await new Promise((resolve) => setTimeout(resolve, 100));
 	}
 }
 
 /** Sends distinct bodies to an entry box and checks each answer by hash. */
-async function askEntry(entry: clusters.Program): Promise<number> {
-	const asked = Array.from({ length: requestsPerEntry }, async () => {
+async function checkEntry(entry: clusters.Program): Promise<number> {
+	const checks = Array.from({ length: requestsPerEntry }, async () => {
 		const body = crypto.randomBytes(1 + Math.floor(Math.random() * 20_000));
 		const path = `http://${entry.serves}/services/${clusters.serviceName}/proof`;
 		const res = await undici.request(path, {
@@ -48,25 +51,25 @@
 		const answer = Buffer.from(await res.body.arrayBuffer());
 		return res.statusCode === 200 && answer.equals(body);
 	});
-	const whole = (await Promise.all(asked)).filter(Boolean).length;
-	must(
-		whole === requestsPerEntry,
-		`${entry.box} answering all ${requestsPerEntry} requests whole (it was ${whole})`,
+	const correctCount = (await Promise.all(checks)).filter(Boolean).length;
+	ensure(
+		correctCount === requestsPerEntry,
+		`${entry.box} answering all ${requestsPerEntry} requests whole (it was ${correctCount})`,
 	);
-	return whole;
+	return correctCount;
 }
 
-async function demo(cluster: clusters.Cluster): Promise<void> {
-	const [first] = cluster.of('operator');
-	must(first !== undefined, 'an operator process');
-	const client = operator.OperatorClient.create(first.serves);
+async function runDemo(cluster: clusters.Cluster): Promise<void> {
+	const [operatorProgram] = cluster.programsOf('operator');
+	ensure(operatorProgram !== undefined, 'an operator process');
+	const client = operator.OperatorClient.create(operatorProgram.serves);
 	consola.start('Waiting for the schedulers to take over their shards');
-	await until('every shard owned', async () => {
+	await waitUntil('every shard owned', async () => {
 		const status = await client.call('status', { team: '' });
 		return (
 			status.ok &&
 			status.value.shards.every(
-				(shard) => shard.problem === '' && shard.workers.every((one) => one.state === 'live'),
+				(shard) => shard.problem === '' && shard.workers.every((worker) => worker.state === 'live'),
 			)
 		);
 	});
@@ -83,55 +86,57 @@
 		run: { durationMs: 1500 },
 	};
 	for (const spec of [service, batch]) {
-		const res = await must2xx(
+		const res = await valueOrThrow(
 			`submit ${spec.name}`,
 			client.call('submit', { specJson: JSON.stringify(spec) }),
 		);
 		consola.success(`Submitted ${res.parts.map((part) => `${part.id} (shard ${part.shard})`).join(', ')}`);
 	}
 
-	const answered = await Promise.all(cluster.of('entry').map(askEntry));
+	const correctCounts = await Promise.all(cluster.programsOf('entry').map(checkEntry));
 	consola.success(
-		`${answered.reduce((sum, one) => sum + one, 0)} requests answered whole through ${answered.length} entry boxes`,
+		`${correctCounts.reduce((sum, count) => sum + count, 0)} requests answered whole through ${correctCounts.length} entry boxes`,
 	);
 
-	const set = await must2xx(
+	const change = await valueOrThrow(
 		'config set',
 		client.call('setConfig', { key: 'entry.retryBudgetPercent', value: '7', by: 'demo', seenVersion: 0 }),
 	);
-	await until('the configuration on every process', async () => {
-		const res = await must2xx('boxes', client.call('boxes', {}));
-		return res.boxes.every((box) => box.reachable && box.configVersion === set.version);
+	await waitUntil('the configuration on every process', async () => {
+		const res = await valueOrThrow('boxes', client.call('boxes', {}));
+		return res.boxes.every((box) => box.reachable && box.configVersion === change.version);
 	});
-	const boxes = await must2xx('boxes', client.call('boxes', {}));
-	must(boxes.boxes.length === cluster.programs.length, 'every process known');
-	consola.success(`Configuration version ${set.version} is in force on all ${boxes.boxes.length} processes`);
+	const boxes = await valueOrThrow('boxes', client.call('boxes', {}));
+	ensure(boxes.boxes.length === cluster.programs.length, 'every process known');
+	consola.success(
+		`Configuration version ${change.version} is in force on all ${boxes.boxes.length} processes`,
+	);
 
-	await until('the batch job finished and the service running', async () => {
-		const res = await must2xx('status', client.call('status', { team: 'press' }));
+	await waitUntil('the batch job finished and the service running', async () => {
+		const res = await valueOrThrow('status', client.call('status', { team: 'press' }));
 		const jobs = res.shards.flatMap((shard) => shard.jobs);
 		const running = jobs
 			.filter((job) => job.kind === 'service')
 			.reduce((sum, job) => sum + (job.counts.running ?? 0), 0);
 		return running === service.tasks && jobs.some((job) => job.kind === 'batch' && job.state === 'finished');
 	});
-	const ended = cluster.workers.flatMap((box) =>
-		box.process.lines.filter((line) => journalHow(line) === 'exit status 0'),
+	const successfulExits = cluster.workers.flatMap((box) =>
+		box.process.jsonLines.filter((line) => exitDetail(line) === 'exit status 0'),
 	);
-	must(
-		ended.length === batch.tasks,
-		`each of ${batch.tasks} tasks finishing once by the workers' journals (${ended.length} did)`,
+	ensure(
+		successfulExits.length === batch.tasks,
+		`each of ${batch.tasks} tasks finishing once by the workers' journals (${successfulExits.length} did)`,
 	);
 	consola.success(
-		`Job press/certificates finished: ${ended.length} tasks, each once by the workers' own journals`,
+		`Job press/certificates finished: ${successfulExits.length} tasks, each once by the workers' own journals`,
 	);
 
-	const explained = await must2xx('explain', client.call('explain', { task: 'press/guichet@rennes/0' }));
+	const explained = await valueOrThrow('explain', client.call('explain', { task: 'press/guichet@rennes/0' }));
 	consola.info(`press/guichet@rennes/0 is ${explained.state} on ${explained.worker}: ${explained.why}`);
-	const line = await must2xx('timeline', client.call('timeline', { about: '', limit: 2000 }));
-	must(line.missing.length === 0 && line.events.length > 0, 'a time line of every process');
-	consola.info(`The newest ${shownEvents} of ${line.events.length} events over all processes:`);
-	for (const event of line.events.slice(-shownEvents)) {
+	const timeline = await valueOrThrow('timeline', client.call('timeline', { about: '', limit: 2000 }));
+	ensure(timeline.missing.length === 0 && timeline.events.length > 0, 'a time line of every process');
+	consola.info(`The newest ${maxShownEvents} of ${timeline.events.length} events over all processes:`);
+	for (const event of timeline.events.slice(-maxShownEvents)) {
 		const fields = Object.entries(event.fields).map(([key, value]) => `${key}=${value}`);
 		const at = new Date(event.ms).toISOString().slice(11, 23);
 		process.stdout.write(`  ${at} ${event.id} ${event.name} [${event.process}] ${fields.join(' ')}\n`);
@@ -140,9 +145,9 @@
 }
 
 const timer = setTimeout(() => {
-	consola.error(`The demonstration took longer than ${limitMs} ms`);
+	consola.error(`The demonstration took longer than ${timeoutMs} ms`);
 	process.exit(1);
-}, limitMs);
+}, timeoutMs);
 const cluster = await clusters.Cluster.create({
 	...{
 		zones: ['rennes', 'brest'],
@@ -153,7 +158,7 @@
 	},
 });
 try {
-	await demo(cluster);
+	await runDemo(cluster);
 	consola.success('Everything the demonstration promises has happened');
 } catch (err) {
 	consola.error(err);
@@ -163,6 +168,6 @@
 	clearTimeout(timer);
 }
 
-function journalHow(line: Record<string, unknown>): string {
+function exitDetail(line: Record<string, unknown>): string {
 	return (line.journal as { how?: string } | undefined)?.how ?? '';
 }
--- a/dev/experiment/main.ts
+++ b/dev/experiment/main.ts
@@ -5,17 +5,17 @@
 import * as cmd from 'cmd-ts';
 import * as fs from 'node:fs';
 import * as path from 'node:path';
-import * as plays from './plays.js';
+import * as experimentRuns from './plays.js';
 import * as plot from './plot.js';
 import * as table from './table.js';
 import type * as types from './types.js';
 
 const variantType: cmd.Type<string[], types.Variant[]> = {
-	from: (given) =>
+	from: (pairs) =>
 		Promise.resolve(
-			given.map((one) => {
-				const [name = '', checkout = ''] = one.split('=');
-				if (checkout === '') throw new Error(`a variant is NAME=CHECKOUT, not '${one}'`);
+			pairs.map((pair) => {
+				const [name = '', checkout = ''] = pair.split('=');
+				if (checkout === '') throw new Error(`a variant is NAME=CHECKOUT, not '${pair}'`);
 				return { name, checkout };
 			}),
 		),
@@ -36,8 +36,8 @@
 	},
 	handler: async (args) => {
 		const seeds = args.seeds.length === 0 ? [0] : args.seeds;
-		const pairings = seeds.flatMap((seed) => args.days.map((day) => ({ day, seed })));
-		const results = await plays.playAll({ ...args, benchPath: args.bench, pairings });
+		const scenarios = seeds.flatMap((seed) => args.days.map((day) => ({ day, seed })));
+		const results = await experimentRuns.runAll({ ...args, benchPath: args.bench, scenarios });
 		const text = table.report(
 			results,
 			args.variants.map(({ name }) => name),
--- a/dev/experiment/plays.ts
+++ b/dev/experiment/plays.ts
@@ -2,15 +2,15 @@
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 import * as bench from '../../platform/bench.js';
-import * as workingOff from '../work-off.js';
+import * as concurrent from '../work-off.js';
 import type * as types from './types.js';
 
 /** What to play, and where the reports go. */
-export interface PlayOptions {
+export interface RunOptions {
 	benchPath: string;
 	site: string;
 	variants: types.Variant[];
-	pairings: types.Pairing[];
+	scenarios: types.Scenario[];
 	/** Plays at the same time. */
 	jobs: number;
 	why: string;
@@ -18,46 +18,48 @@
 }
 
 /** Plays all; the results in the order of the pairings. */
-export async function playAll(opts: PlayOptions): Promise<types.PairedResult[]> {
-	const paired = opts.pairings.map((one) => ({
-		...one,
+export async function runAll(opts: RunOptions): Promise<types.ScenarioResults[]> {
+	const scenarioResults = opts.scenarios.map((scenario) => ({
+		...scenario,
 		results: new Map<string, bench.BenchResult>(),
 	}));
-	const waiting = paired.flatMap((pairing) => opts.variants.map((variant) => ({ pairing, variant })));
-	await workingOff.workOff(waiting, opts.jobs, async ({ pairing, variant }) => {
-		const result = await playOnce(opts, pairing, variant);
-		if (result !== undefined) pairing.results.set(variant.name, result);
+	const pendingRuns = scenarioResults.flatMap((scenario) =>
+		opts.variants.map((variant) => ({ pairing: scenario, variant })),
+	);
+	await concurrent.forEachConcurrently(pendingRuns, opts.jobs, async ({ pairing: scenario, variant }) => {
+		const result = await runScenario(opts, scenario, variant);
+		if (result !== undefined) scenario.results.set(variant.name, result);
 	});
-	return paired;
+	return scenarioResults;
 }
 
-async function playOnce(
-	opts: PlayOptions,
-	pairing: types.Pairing,
+async function runScenario(
+	opts: RunOptions,
+	scenario: types.Scenario,
 	variant: types.Variant,
 ): Promise<bench.BenchResult | undefined> {
 	const site = path.basename(opts.site, '.toml');
 	const folder = path.resolve(opts.folder, variant.name);
 	fs.mkdirSync(folder, { recursive: true });
-	const base = path.join(folder, `${site}-${pairing.day}-${String(pairing.seed)}`);
+	const base = path.join(folder, `${site}-${scenario.day}-${String(scenario.seed)}`);
 	const reportFile = `${base}.json`;
 	if (fs.existsSync(reportFile)) return bench.readReport(reportFile);
 	const result = await bench.runDay({
 		bench: opts.benchPath,
 		site: path.resolve(opts.site),
-		day: pairing.day,
-		seed: pairing.seed === 0 ? undefined : pairing.seed,
+		day: scenario.day,
+		seed: scenario.seed === 0 ? undefined : scenario.seed,
 		checkout: path.resolve(variant.checkout),
 		why: opts.why,
 		reportFile,
 		outputFile: `${base}.txt`,
 	});
-	console.log(`${variant.name} ${pairing.day} ${String(pairing.seed)}: ${describe(result)}`);
+	console.log(`${variant.name} ${scenario.day} ${String(scenario.seed)}: ${summarize(result)}`);
 	return result;
 }
 
-function describe(result: bench.BenchResult | undefined): string {
+function summarize(result: bench.BenchResult | undefined): string {
 	if (result === undefined) return 'no report';
-	const broken = Object.entries(result.broken).map(([rule, count]) => `${rule} ${String(count)}`);
-	return [result.worth.toFixed(3), ...broken].join(', broken: ');
+	const brokenRules = Object.entries(result.broken).map(([rule, count]) => `${rule} ${String(count)}`);
+	return [result.worth.toFixed(3), ...brokenRules].join(', broken: ');
 }
--- a/dev/experiment/plot.ts
+++ b/dev/experiment/plot.ts
@@ -7,11 +7,11 @@
 const height = 260;
 
 /** The plot as SVG. */
-export async function svg(results: types.PairedResult[], title: string): Promise<string> {
-	const values = results.flatMap((one) =>
-		[...one.results].map(([variant, result]) => ({
-			day: one.day,
-			seed: one.seed,
+export async function svg(results: types.ScenarioResults[], title: string): Promise<string> {
+	const values = results.flatMap((scenario) =>
+		[...scenario.results].map(([variant, result]) => ({
+			day: scenario.day,
+			seed: scenario.seed,
 			variant,
 			worth: result.worth,
 		})),
--- a/dev/experiment/table.ts
+++ b/dev/experiment/table.ts
@@ -4,74 +4,76 @@
 import type * as types from './types.js';
 
 /** One figure with a name. */
-interface NamedFigure {
+interface NamedMetric {
 	name: string;
-	figure: compare.Figure;
+	metric: compare.Metric;
 }
 
 /** The whole report of an experiment. */
-export function report(results: types.PairedResult[], variants: string[]): string {
-	const figures = figuresOf(results);
-	return [plays(results, variants), differences(results, variants, figures)].join('\n\n');
+export function report(results: types.ScenarioResults[], variants: string[]): string {
+	const metrics = collectMetrics(results);
+	return [scenarioTable(results, variants), metricTable(results, variants, metrics)].join('\n\n');
 }
 
 /** A row a pairing, with the worth of each variant and the rules it broke. */
-function plays(results: types.PairedResult[], variants: string[]): string {
-	const rows = results.map((one) => [
-		one.day,
-		String(one.seed),
-		...variants.map((variant) => cell(one.results.get(variant))),
+function scenarioTable(results: types.ScenarioResults[], variants: string[]): string {
+	const rows = results.map((scenario) => [
+		scenario.day,
+		String(scenario.seed),
+		...variants.map((variant) => scenarioCell(scenario.results.get(variant))),
 	]);
 	return markdown(['day', 'seed', ...variants], rows);
 }
 
-function cell(result: bench.BenchResult | undefined): string {
+function scenarioCell(result: bench.BenchResult | undefined): string {
 	if (result === undefined) return '-';
-	const broken = Object.keys(result.broken);
-	return [result.worth.toFixed(3), ...broken].join(' ');
+	const brokenRules = Object.keys(result.broken);
+	return [result.worth.toFixed(3), ...brokenRules].join(' ');
 }
 
 /** A row a figure: its mean for each variant, and how the others differ from the first. */
-function differences(results: types.PairedResult[], variants: string[], figures: NamedFigure[]): string {
-	const [first = '', ...others] = variants;
-	const header = ['figure', ...variants, ...others.map((name) => `${name} - ${first} (95%)`)];
-	const rows = figures.map(({ name, figure }) => [
+function metricTable(results: types.ScenarioResults[], variants: string[], metrics: NamedMetric[]): string {
+	const [baseline = '', ...others] = variants;
+	const header = ['figure', ...variants, ...others.map((name) => `${name} - ${baseline} (95%)`)];
+	const rows = metrics.map(({ name, metric }) => [
 		name,
-		...variants.map((variant) => mean(results, variant, figure)),
-		...others.map((variant) => interval(compare.difference(results, first, variant, figure))),
+		...variants.map((variant) => formatMean(results, variant, metric)),
+		...others.map((variant) => formatDifference(compare.difference(results, baseline, variant, metric))),
 	]);
 	return markdown(header, rows);
 }
 
-function mean(results: types.PairedResult[], variant: string, figure: compare.Figure): string {
-	const values = results.flatMap((one) => {
-		const result = one.results.get(variant);
-		return (result && figure(result)) ?? [];
+function formatMean(results: types.ScenarioResults[], variant: string, metric: compare.Metric): string {
+	const values = results.flatMap((scenario) => {
+		const result = scenario.results.get(variant);
+		return (result && metric(result)) ?? [];
 	});
 	return values.length === 0 ? '-' : compare.meanOf(values).toFixed(3);
 }
 
-function interval(found: types.Difference | undefined): string {
-	if (found === undefined) return '-';
-	const [middle, from, to] = [found.mean, found.from, found.to].map((one) => one.toFixed(3));
-	return `${middle ?? ''} (${from ?? ''} to ${to ?? ''}, n ${String(found.count)})`;
+function formatDifference(difference: types.Difference | undefined): string {
+	if (difference === undefined) return '-';
+	const [mean, lowerBound, upperBound] = [difference.mean, difference.from, difference.to].map((value) =>
+		value.toFixed(3),
+	);
+	return `${mean ?? ''} (${lowerBound ?? ''} to ${upperBound ?? ''}, n ${String(difference.count)})`;
 }
 
 /** The worth and its prices, then all parts, classes, zones and windows that any play names. */
-function figuresOf(results: types.PairedResult[]): NamedFigure[] {
-	const all = results.flatMap((one) => [...one.results.values()]);
+function collectMetrics(results: types.ScenarioResults[]): NamedMetric[] {
+	const benchResults = results.flatMap((one) => [...one.results.values()]);
 	const groups = ['parts', 'classes', 'zones', 'windows'] as const;
-	const named = groups.flatMap((group) => {
-		const names = new Set(all.flatMap((result) => Object.keys(result[group])));
+	const groupMetrics = groups.flatMap((group) => {
+		const names = new Set(benchResults.flatMap((result) => Object.keys(result[group])));
 		return [...names].map((name) => ({
 			name: group === 'windows' ? `from second ${name}` : name,
-			figure: (result: bench.BenchResult) => result[group][name],
+			metric: (result: bench.BenchResult) => result[group][name],
 		}));
 	});
 	return [
-		{ name: 'worth', figure: (result) => result.worth },
-		{ name: 'prices', figure: (result) => result.prices },
-		...named,
+		{ name: 'worth', metric: (result) => result.worth },
+		{ name: 'prices', metric: (result) => result.prices },
+		...groupMetrics,
 	];
 }
 
--- a/dev/experiment/types.ts
+++ b/dev/experiment/types.ts
@@ -8,14 +8,14 @@
 }
 
 /** One day with one seed; every variant plays it. */
-export interface Pairing {
+export interface Scenario {
 	day: string;
 	/** 0: the day's own seed. */
 	seed: number;
 }
 
 /** What each variant made of one pairing. */
-export interface PairedResult extends Pairing {
+export interface ScenarioResults extends Scenario {
 	results: Map<string, bench.BenchResult>;
 }
 
--- a/dev/measure/commit.ts
+++ b/dev/measure/commit.ts
@@ -12,31 +12,31 @@
 const shardCounts = [60, 180];
 const writesPerS = 300;
 const seconds = 6;
-const offered = [300, 3100];
-const latencies = [1, 5, 20];
+const offeredRates = [300, 3100];
+const writeLatenciesMs = [1, 5, 20];
 
-interface Waiting {
-	since: number;
+interface QueuedDecision {
+	queuedAt: number;
 }
 
 /** One shard's loop: appends what waits, all of it or one decision at a time. */
-async function shardLoop(
+async function runShard(
 	log: shards.ShardLog,
-	waiting: Waiting[],
-	most: number,
+	queue: QueuedDecision[],
+	maxBatchSize: number,
 	endAt: number,
 	histogram: hdr.Histogram,
 	shardCount: number,
 ): Promise<number> {
-	const gapMs = (shardCount * 1000) / writesPerS;
+	const writeIntervalMs = (shardCount * 1000) / writesPerS;
 	let decided = 0;
 	while (performance.now() < endAt) {
-		const batch = waiting.splice(0, most);
+		const batch = queue.splice(0, maxBatchSize);
 		if (batch.length === 0) {
 			await new Promise((resolve) => setTimeout(resolve, 5));
 			continue;
 		}
-		const from = performance.now();
+		const startedAt = performance.now();
 		// A placement's size, so that bytes are those of the real thing.
 		const changes = batch.map((): shards.Change => ({
 			type: 'place.cleared',
@@ -47,23 +47,24 @@
 		const outcome = await log.append(1, changes);
 		if (outcome !== 'committed') throw new Error(outcome);
 		decided += batch.length;
-		for (const one of batch) histogram.recordValue(Math.round((performance.now() - one.since) * 1000));
-		const rest = gapMs - (performance.now() - from);
-		if (most > 1 && rest > 0) await new Promise((resolve) => setTimeout(resolve, rest));
+		for (const decision of batch)
+			histogram.recordValue(Math.round((performance.now() - decision.queuedAt) * 1000));
+		const remainingMs = writeIntervalMs - (performance.now() - startedAt);
+		if (maxBatchSize > 1 && remainingMs > 0) await new Promise((resolve) => setTimeout(resolve, remainingMs));
 		if (log.isSnapshotDue) await log.snapshot();
 	}
 	return decided;
 }
 
-async function run(
-	way: string,
-	most: number,
-	rate: number,
+async function measureRun(
+	commitMode: string,
+	maxBatchSize: number,
+	offeredPerS: number,
 	writeMs: number,
 	shardCount: number,
 ): Promise<report.Row> {
-	const stand = processes.start('platform', 'stand-ins/platform/main.js');
-	const address = await processes.readyAddress(stand);
+	const platformProcess = processes.start('platform', 'stand-ins/platform/main.js');
+	const address = await processes.readyAddress(platformProcess);
 	await clusters.post(address, '/fault', { writeMs, maxWrites: writesPerS });
 	const store = platform.EtcdStore.create(`http://${address}`);
 	const clock = clocks.systemClock;
@@ -72,35 +73,40 @@
 	const logs = await Promise.all(
 		names.map((shard) => shards.ShardLog.read({ shard, owner: 'measure', store, clock, events: log })),
 	);
-	const queues = names.map((): Waiting[] => []);
+	const queues = names.map((): QueuedDecision[] => []);
 	const histogram = hdr.build({ highestTrackableValue: 600_000_000, numberOfSignificantValueDigits: 3 });
 	const startAt = performance.now();
 	const endAt = startAt + seconds * 1000;
-	let offeredSoFar = 0;
-	const feeding = setInterval(() => {
-		const due = Math.floor(((Math.min(performance.now(), endAt) - startAt) / 1000) * rate);
-		for (; offeredSoFar < due; offeredSoFar += 1)
-			queues[offeredSoFar % shardCount]?.push({ since: performance.now() });
+	let offeredCount = 0;
+	const offerTimer = setInterval(() => {
+		const due = Math.floor(((Math.min(performance.now(), endAt) - startAt) / 1000) * offeredPerS);
+		for (; offeredCount < due; offeredCount += 1)
+			queues[offeredCount % shardCount]?.push({ queuedAt: performance.now() });
 	}, 2);
-	const loops = logs.map((one, index) => {
-		if (!one.ok) throw new Error(one.err.reason);
-		return shardLoop(one.value, queues[index] ?? [], most, endAt, histogram, shardCount);
+	const loops = logs.map((shardLog, index) => {
+		if (!shardLog.ok) throw new Error(shardLog.err.reason);
+		return runShard(shardLog.value, queues[index] ?? [], maxBatchSize, endAt, histogram, shardCount);
 	});
-	const decided = (await Promise.all(loops)).reduce((sum, one) => sum + one, 0);
-	clearInterval(feeding);
+	const decided = (await Promise.all(loops)).reduce((sum, count) => sum + count, 0);
+	clearInterval(offerTimer);
 	const { writes = 0, bytesWritten = 0 } = await scrape.stats(address);
 	await store.close();
-	await clusters.kill(stand);
-	const ms = (quantile: number): number => report.round(histogram.getValueAtPercentile(quantile) / 1000, 0);
+	await clusters.kill(platformProcess);
+	const percentileMs = (percentile: number): number =>
+		report.round(histogram.getValueAtPercentile(percentile) / 1000, 0);
 	return {
 		...{
-			way,
+			way: commitMode,
 			shards: shardCount,
-			'offered/s': rate,
+			'offered/s': offeredPerS,
 			'write ms': writeMs,
 			'decided/s': report.round(decided / seconds, 0),
 		},
-		...{ 'p50 ms': ms(50), 'p99 ms': ms(99), 'writes/s': report.round(writes / seconds, 0) },
+		...{
+			'p50 ms': percentileMs(50),
+			'p99 ms': percentileMs(99),
+			'writes/s': report.round(writes / seconds, 0),
+		},
 		'KB/s': report.round(bytesWritten / seconds / 1000, 0),
 	};
 }
@@ -108,12 +114,13 @@
 /** `npm run measure -- commit`. */
 export async function measureCommit(): Promise<void> {
 	const rows: report.Row[] = [];
-	for (const writeMs of latencies) {
-		for (const rate of offered) {
-			rows.push(await run('one write a decision', 1, rate, writeMs, 60));
-			for (const count of shardCounts) rows.push(await run('group commit', 10_000, rate, writeMs, count));
+	for (const writeMs of writeLatenciesMs) {
+		for (const offeredPerS of offeredRates) {
+			rows.push(await measureRun('one write a decision', 1, offeredPerS, writeMs, 60));
+			for (const count of shardCounts)
+				rows.push(await measureRun('group commit', 10_000, offeredPerS, writeMs, count));
 		}
 	}
 	const note = `platform capped at ${writesPerS} writes/s; time from decision to acknowledged entry`;
-	report.keep({ name: 'commit', note, seeds: [], rows });
+	report.printAndSave({ name: 'commit', note, seeds: [], rows });
 }
--- a/dev/measure/dispatch-load.ts
+++ b/dev/measure/dispatch-load.ts
@@ -5,21 +5,21 @@
 import * as inspector from 'node:inspector/promises';
 import * as patterns from '../../stand-ins/fleet/load-patterns.js';
 import * as report from './report.js';
-import * as world from '../../test/fixtures/dispatching.js';
+import * as dispatching from '../../test/fixtures/dispatching.js';
 
 /** How long jobs arrive, in milliseconds. */
-const lengthMs = 8_000;
+const arrivalPeriodMs = 8_000;
 
 /** The lasting jobs that are there at the beginning find their places meanwhile; not measured. */
-const settleMs = 2_000;
+const warmUpMs = 2_000;
 
 /** Distance of samples of the processor, in microseconds. */
-const sampleUs = 500;
+const sampleIntervalUs = 500;
 
 const seed = 7;
 
 /** Where processor time went, in milliseconds. */
-interface Usage {
+interface CpuUsage {
 	/** By file of the product, relative to its folder. */
 	files: Map<string, number>;
 	product: number;
@@ -33,45 +33,48 @@
 	const [, , , name = 'steady', ...sizes] = process.argv;
 	const workers = sizes.length > 0 ? sizes.map(Number) : [95, 190, 380, 540, 760];
 	const rows: report.Row[] = [];
-	for (const size of workers) rows.push(await play(name, size));
+	for (const size of workers) rows.push(await measureSize(name, size));
 	const note = `processor in ms of host time a second of load, waits in ms of the load's time; pattern ${name}`;
-	report.keep({ name: `load-${name}`, note, seeds: [seed], rows });
+	report.printAndSave({ name: `load-${name}`, note, seeds: [seed], rows });
 }
 
-async function play(name: string, workers: number): Promise<report.Row> {
-	const pattern = patterns.createPattern(name, workers, lengthMs, seed);
-	const { clock, fleet, takeOver, submit } = world.createEnvironment(pattern.plan);
+async function measureSize(name: string, workers: number): Promise<report.Row> {
+	const pattern = patterns.createPattern(name, workers, arrivalPeriodMs, seed);
+	const { clock, fleet, takeOver, submit } = dispatching.createEnvironment(pattern.plan);
 	const capacity = { milliCores: pattern.workerMilliCores, memoryMb: 128_000, accelerators: 0 };
 	for (let number = 1; number <= workers; number += 1) fleet.add(`w${String(number)}`, { capacity });
 	const owner = await takeOver();
 	await clock.advance(500);
-	const [resident, arriving] = split(pattern.arrivals);
-	for (const one of resident) void submit(owner, jobOf(one));
-	await clock.advance(settleMs);
+	const [initialJobs, laterJobs] = splitInitial(pattern.arrivals);
+	for (const arrival of initialJobs) void submit(owner, jobOf(arrival));
+	await clock.advance(warmUpMs);
 	const session = new inspector.Session();
 	session.connect();
 	await session.post('Profiler.enable');
-	await session.post('Profiler.setSamplingInterval', { interval: sampleUs });
+	await session.post('Profiler.setSamplingInterval', { interval: sampleIntervalUs });
 	await session.post('Profiler.start');
 	const startsBefore = fleet.starts.length;
-	const from = clock.now();
-	for (const one of arriving) {
-		await clock.advance(Math.max(0, from + one.atMs - clock.now()));
+	const startedAt = clock.now();
+	for (const arrival of laterJobs) {
+		await clock.advance(Math.max(0, startedAt + arrival.atMs - clock.now()));
 		owner.dispatcher.addJob({
-			...jobOf(one),
+			...jobOf(arrival),
 			acceptedAt: clock.wall(),
 			acceptedUnder: owner.ledger.generation,
 		});
 	}
-	await clock.advance(Math.max(0, from + lengthMs - clock.now()));
+	await clock.advance(Math.max(0, startedAt + arrivalPeriodMs - clock.now()));
 	const { profile } = await session.post('Profiler.stop');
 	session.disconnect();
-	const usage = usageOf(profile);
-	const seconds = lengthMs / 1_000;
+	const usage = sumCpuUsage(profile);
+	const seconds = arrivalPeriodMs / 1_000;
 	const starts = fleet.starts.length - startsBefore;
-	const top = [...usage.files].sort((a, b) => b[1] - a[1]).slice(0, 8);
-	console.log(workers, top.map(([file, ms]) => `${file} ${String(Math.round(ms / seconds))}`).join(', '));
-	const placed = owner.events.select((event) => event.name === 'task.placed');
+	const topFiles = [...usage.files].sort((a, b) => b[1] - a[1]).slice(0, 8);
+	console.log(
+		workers,
+		topFiles.map(([file, ms]) => `${file} ${String(Math.round(ms / seconds))}`).join(', '),
+	);
+	const placedEvents = owner.events.select((event) => event.name === 'task.placed');
 	owner.dispatcher.close();
 	return {
 		workers,
@@ -80,35 +83,35 @@
 		runtimeMsPerS: report.round(usage.runtime / seconds, 0),
 		standInMsPerS: report.round(usage.standIn / seconds, 0),
 		productUsPerStart: report.round((usage.product * 1_000) / starts, 0),
-		...waitsOf('urgent', placed),
-		...waitsOf('wide', placed),
+		...waitQuantiles('urgent', placedEvents),
+		...waitQuantiles('wide', placedEvents),
 	};
 }
 
-function split(arrivals: patterns.Arrival[]): [patterns.Arrival[], patterns.Arrival[]] {
-	return [arrivals.filter((one) => one.atMs === 0), arrivals.filter((one) => one.atMs > 0)];
+function splitInitial(arrivals: patterns.Arrival[]): [patterns.Arrival[], patterns.Arrival[]] {
+	return [arrivals.filter((arrival) => arrival.atMs === 0), arrivals.filter((one) => one.atMs > 0)];
 }
 
-function jobOf(one: patterns.Arrival): ReturnType<typeof world.job> {
-	const { id, steps, queue } = one.record;
-	return world.job(id, steps, { queue });
+function jobOf(arrival: patterns.Arrival): ReturnType<typeof dispatching.job> {
+	const { id, steps, queue } = arrival.record;
+	return dispatching.job(id, steps, { queue });
 }
 
 /** Quantiles of how long tasks of a kind waited for their places. */
-function waitsOf(
+function waitQuantiles(
 	kind: patterns.WorkKind,
-	placed: { fields: Record<string, string | number | undefined> }[],
+	placedEvents: { fields: Record<string, string | number | undefined> }[],
 ): report.Row {
-	const waits = placed
+	const waits = placedEvents
 		.filter((event) => String(event.fields.task).startsWith(kind))
 		.map((event) => Number(event.fields.waitedMs))
 		.sort((a, b) => a - b);
-	const at = (part: number): number => waits[Math.floor(waits.length * part)] ?? 0;
-	return { [`${kind}P50`]: at(0.5), [`${kind}P95`]: at(0.95), [`${kind}P99`]: at(0.99) };
+	const quantile = (fraction: number): number => waits[Math.floor(waits.length * fraction)] ?? 0;
+	return { [`${kind}P50`]: quantile(0.5), [`${kind}P95`]: quantile(0.95), [`${kind}P99`]: quantile(0.99) };
 }
 
-function usageOf(profile: inspector.Profiler.Profile): Usage {
-	const usage: Usage = { files: new Map(), product: 0, standIn: 0, runtime: 0 };
+function sumCpuUsage(profile: inspector.Profiler.Profile): CpuUsage {
+	const usage: CpuUsage = { files: new Map(), product: 0, standIn: 0, runtime: 0 };
 	const nodes = new Map(profile.nodes.map((node) => [node.id, node]));
 	profile.samples?.forEach((id, index) => {
 		const node = nodes.get(id);
--- a/dev/measure/entry.ts
+++ b/dev/measure/entry.ts
@@ -20,7 +20,7 @@
 		backendEnv: { SERVICE_MS: '5', QUIET: '1' },
 		logLevel: 'info',
 	});
-	const entry = cluster.of('entry')[0];
+	const entry = cluster.programsOf('entry')[0];
 	if (entry === undefined) throw new Error('no entry process');
 	const body = Buffer.alloc(1024, 'p');
 	const headers = { 'x-woodcross-repeat': 'safe' };
@@ -30,20 +30,20 @@
 		headers,
 		body,
 	};
-	const through = {
+	const viaEntry = {
 		origins: [`http://${entry.serves}`],
 		path: `/services/${clusters.serviceName}/proof`,
 		headers,
 		body,
 	};
-	await load.closedLoad(through, callers, 2);
+	await load.closedLoad(viaEntry, callers, 2);
 	await load.closedLoad(direct, callers, 2);
 	const rows: report.Row[] = [];
-	const add = (way: string, offered: string, got: load.LoadResult): void => {
-		const { answered, refused, failed, perSecond, p50, p99, p999 } = got;
+	const addRow = (way: string, offeredLoad: string, result: load.LoadResult): void => {
+		const { answered, refused, failed, perSecond, p50, p99, p999 } = result;
 		rows.push({
 			way,
-			offered,
+			offered: offeredLoad,
 			'per s': report.round(perSecond, 0),
 			p50,
 			p99,
@@ -53,16 +53,16 @@
 			failed,
 		});
 	};
-	const most = await load.closedLoad(through, callers, seconds);
-	add('direct', `${callers} callers`, await load.closedLoad(direct, callers, seconds));
-	add('entry', `${callers} callers`, most);
-	const half = Math.round(most.perSecond / 2);
-	for (let turn = 0; turn < 3; turn += 1) {
-		add('direct', `${half}/s`, await load.openLoad(direct, half, seconds));
-		add('entry', `${half}/s`, await load.openLoad(through, half, seconds));
+	const entryResult = await load.closedLoad(viaEntry, callers, seconds);
+	addRow('direct', `${callers} callers`, await load.closedLoad(direct, callers, seconds));
+	addRow('entry', `${callers} callers`, entryResult);
+	const halfRate = Math.round(entryResult.perSecond / 2);
+	for (let repetition = 0; repetition < 3; repetition += 1) {
+		addRow('direct', `${halfRate}/s`, await load.openLoad(direct, halfRate, seconds));
+		addRow('entry', `${halfRate}/s`, await load.openLoad(viaEntry, halfRate, seconds));
 	}
 	await cluster.close();
-	report.keep({
+	report.printAndSave({
 		name: 'entry',
 		note: 'times in ms; 4 backend servers of 8 slots, 5 ms a request, 1 KiB bodies; half load is half of what the entry carries',
 		seeds: [],
--- a/dev/measure/load.ts
+++ b/dev/measure/load.ts
@@ -21,7 +21,7 @@
 	body: Buffer;
 }
 
-const connections = 128;
+const connectionsPerOrigin = 128;
 
 class Recorder {
 	readonly histogram = hdr.build({ highestTrackableValue: 60_000_000, numberOfSignificantValueDigits: 3 });
@@ -30,32 +30,35 @@
 	failed = 0;
 
 	result(seconds: number): LoadResult {
-		const at = (quantile: number): number => this.histogram.getValueAtPercentile(quantile) / 1000;
+		const percentileMs = (percentile: number): number =>
+			this.histogram.getValueAtPercentile(percentile) / 1000;
 		const { answered, refused, failed } = this;
 		return {
 			answered,
 			refused,
 			failed,
 			perSecond: answered / seconds,
-			p50: at(50),
-			p99: at(99),
-			p999: at(99.9),
+			p50: percentileMs(50),
+			p99: percentileMs(99),
+			p999: percentileMs(99.9),
 		};
 	}
 }
 
 /** Sends requests through connection pools, origins in turn. */
 class Sender {
-	private turn = 0;
+	private requestCount = 0;
 	private readonly pools: undici.Pool[];
 
 	constructor(private readonly target: Target) {
-		this.pools = target.origins.map((origin) => new undici.Pool(origin, { connections, pipelining: 1 }));
+		this.pools = target.origins.map(
+			(origin) => new undici.Pool(origin, { connections: connectionsPerOrigin, pipelining: 1 }),
+		);
 	}
 
-	async one(recorder: Recorder, dueAt: number): Promise<void> {
-		const pool = this.pools[this.turn % this.pools.length];
-		this.turn += 1;
+	async send(recorder: Recorder, scheduledAt: number): Promise<void> {
+		const pool = this.pools[this.requestCount % this.pools.length];
+		this.requestCount += 1;
 		if (pool === undefined) return;
 		try {
 			const { path, headers, body } = this.target;
@@ -65,7 +68,7 @@
 			else if (res.statusCode !== 200 || !answer.equals(body)) recorder.failed += 1;
 			else {
 				recorder.answered += 1;
-				recorder.histogram.recordValue(Math.max(1, Math.round((performance.now() - dueAt) * 1000)));
+				recorder.histogram.recordValue(Math.max(1, Math.round((performance.now() - scheduledAt) * 1000)));
 			}
 		} catch {
 			recorder.failed += 1;
@@ -83,7 +86,7 @@
 	const recorder = new Recorder();
 	const endAt = performance.now() + seconds * 1000;
 	const loops = Array.from({ length: callers }, async () => {
-		while (performance.now() < endAt) await sender.one(recorder, performance.now());
+		while (performance.now() < endAt) await sender.send(recorder, performance.now());
 	});
 	await Promise.all(loops);
 	await sender.close();
@@ -96,13 +99,14 @@
 	const recorder = new Recorder();
 	const total = Math.round(perSecond * seconds);
 	const startAt = performance.now();
-	const sent: Promise<void>[] = [];
-	while (sent.length < total) {
-		const due = Math.min(total, Math.floor(((performance.now() - startAt) / 1000) * perSecond));
-		while (sent.length < due) sent.push(sender.one(recorder, startAt + (sent.length / perSecond) * 1000));
+	const requests: Promise<void>[] = [];
+	while (requests.length < total) {
+		const dueCount = Math.min(total, Math.floor(((performance.now() - startAt) / 1000) * perSecond));
+		while (requests.length < dueCount)
+			requests.push(sender.send(recorder, startAt + (requests.length / perSecond) * 1000));
 		await new Promise((resolve) => setTimeout(resolve, 1));
 	}
-	await Promise.all(sent);
+	await Promise.all(requests);
 	await sender.close();
 	return recorder.result(seconds);
 }
--- a/dev/measure/pair-estimate.ts
+++ b/dev/measure/pair-estimate.ts
@@ -10,36 +10,36 @@
 import * as placement from '../../src/core/placement/index.js';
 
 /** Part of an error taken into the estimate at each report. */
-const rate = 0.2;
+const learningRate = 0.2;
 
 /** Pairs remembered at most; the oldest go first. */
 const maxPairs = 50_000;
 
 /** The estimate. */
-export class PairEstimate {
-	private readonly bases = new Map<string, number>();
+export class PairCostModel {
+	private readonly baseLatencies = new Map<string, number>();
 	private readonly costs = new Map<string, number>();
 
 	private constructor() {
 		// Built by `create`.
 	}
 
-	static create(): PairEstimate {
-		return new PairEstimate();
+	static create(): PairCostModel {
+		return new PairCostModel();
 	}
 
 	/** Takes in one report: a service's latency in milliseconds beside these batch jobs, each once for each task. */
 	observe(service: string, batchJobs: readonly string[], latencyMs: number): void {
-		const base = this.bases.get(service);
+		const base = this.baseLatencies.get(service);
 		if (base === undefined) {
-			this.bases.set(service, latencyMs);
+			this.baseLatencies.set(service, latencyMs);
 			return;
 		}
 		const pairs = batchJobs.map((job) => pairKey(service, job));
 		const predicted = pairs.reduce((sum, pair) => sum + (this.costs.get(pair) ?? 0), base);
-		const step = (rate * (latencyMs - predicted)) / (pairs.length + 1);
-		this.bases.set(service, Math.max(0, base + step));
-		for (const pair of pairs) this.adjust(pair, step);
+		const correction = (learningRate * (latencyMs - predicted)) / (pairs.length + 1);
+		this.baseLatencies.set(service, Math.max(0, base + correction));
+		for (const pair of pairs) this.adjustCost(pair, correction);
 	}
 
 	/** Milliseconds that one task of the batch job adds to the service; 0 for a pair never seen together. */
@@ -47,9 +47,9 @@
 		return this.costs.get(pairKey(service, batch)) ?? 0;
 	}
 
-	private adjust(pair: string, step: number): void {
+	private adjustCost(pair: string, correction: number): void {
 		// A neighbour never makes a service faster: what looks like it belongs to the base.
-		this.costs.set(pair, Math.max(0, (this.costs.get(pair) ?? 0) + step));
+		this.costs.set(pair, Math.max(0, (this.costs.get(pair) ?? 0) + correction));
 		const oldest = this.costs.keys().next().value;
 		if (this.costs.size > maxPairs && oldest !== undefined) this.costs.delete(oldest);
 	}
@@ -63,9 +63,9 @@
 export type PairCost = (service: string, batch: string) => number;
 
 /** Weight of a millisecond of added latency against a whole worker's load. */
-export interface PairOptions {
+export interface PairAwareOptions {
 	cost: PairCost;
-	msPerLoad: number;
+	msPerFullLoad: number;
 	/** How batch tasks are rated apart from disturbance. */
 	batch: placement.Score;
 }
@@ -74,14 +74,14 @@
  * Services spread (so that a lost worker or rack takes few replicas of one job), batch as `opts.batch` says,
  * and both kept away from neighbours whose pair is known to disturb.
  */
-export function pairAware(opts: PairOptions): placement.Score {
+export function pairAwareScore(opts: PairAwareOptions): placement.Score {
 	return (task, box) => {
 		const base = task.kind === 'service' ? placement.mixed(task, box) : opts.batch(task, box);
-		return base + disturbance(task, box, opts.cost) / opts.msPerLoad;
+		return base + interference(task, box, opts.cost) / opts.msPerFullLoad;
 	};
 }
 
-function disturbance(task: placement.PendingTask, box: placement.Worker, cost: PairCost): number {
+function interference(task: placement.PendingTask, box: placement.Worker, cost: PairCost): number {
 	let sum = 0;
 	for (const resident of box.allocations) {
 		if (resident.kind === task.kind) continue;
--- a/dev/measure/placement.ts
+++ b/dev/measure/placement.ts
@@ -4,16 +4,16 @@
  */
 import * as rng from '../random.js';
 import * as placement from '../../src/core/placement/index.js';
-import * as pairs from './pair-estimate.js';
+import * as pairCosts from './pair-estimate.js';
 import * as report from './report.js';
 
-const boxCount = 10;
-const minutes = 24 * 60;
-const lagMinutes = 5;
-const baseMs = 20;
+const workerCount = 10;
+const minutesPerDay = 24 * 60;
+const reportDelayMinutes = 5;
+const baseLatencyMs = 20;
 const seeds = [1, 2, 3, 4, 5];
 
-const ways = [
+const policies = [
 	'spread',
 	'best fit',
 	'pair-aware, batch packed',
@@ -22,7 +22,7 @@
 ];
 
 /** A service's latency counts as late above this, in milliseconds. */
-const lateMs = 60;
+const maxLatencyMs = 60;
 
 interface Customer {
 	name: string;
@@ -53,30 +53,30 @@
 interface Running {
 	resident: placement.Allocation;
 	box: string;
-	leftMin: number;
+	remainingMinutes: number;
 	/** Cores really used. */
-	uses: number;
+	coresUsed: number;
 	startedAt: number;
 }
 
 interface Pending {
 	task: placement.PendingTask;
-	leftMin: number;
-	uses: number;
+	remainingMinutes: number;
+	coresUsed: number;
 	dueAt: number;
 }
 
-interface Day {
+interface DayStats {
 	latencies: number[];
 	finished: number;
 	onTime: number;
 	arrived: number;
 	evictions: number;
-	wastedMin: number;
+	wastedMinutes: number;
 }
 
 /** Hidden truth: one pair in five disturbs, by up to 15 ms a task at full load. */
-function hiddenCosts(random: () => number): (service: string, batch: string) => number {
+function createHiddenPairCosts(random: () => number): (service: string, batch: string) => number {
 	const costs = new Map<string, number>();
 	return (service, batch) => {
 		const key = `${service}|${batch}`;
@@ -85,139 +85,156 @@
 	};
 }
 
-class World {
+class Simulation {
 	readonly boxes: placement.Worker[];
 	running: Running[] = [];
 	pending: Pending[] = [];
-	readonly day: Day = { latencies: [], finished: 0, onTime: 0, arrived: 0, evictions: 0, wastedMin: 0 };
+	readonly day: DayStats = {
+		latencies: [],
+		finished: 0,
+		onTime: 0,
+		arrived: 0,
+		evictions: 0,
+		wastedMinutes: 0,
+	};
 	private readonly late: { at: number; service: string; jobs: string[]; ms: number }[] = [];
 
 	constructor(
 		private readonly customer: Customer,
 		private readonly random: () => number,
 		private readonly score: placement.Score,
-		private readonly estimate: pairs.PairEstimate,
-		private readonly truth: (service: string, batch: string) => number,
+		private readonly costModel: pairCosts.PairCostModel,
+		private readonly hiddenCost: (service: string, batch: string) => number,
 	) {
 		const capacity = { cores: 32, memoryMb: 125_000, accelerators: 0 };
-		this.boxes = Array.from({ length: boxCount }, (_, index) => ({
+		this.boxes = Array.from({ length: workerCount }, (_, index) => ({
 			id: `w${index}`,
 			rack: 'r',
 			capacity,
 			allocations: [],
 		}));
-		for (const [index, box] of this.boxes.entries()) {
+		for (const [index, worker] of this.boxes.entries()) {
 			for (let kind = 0; kind < 2; kind += 1)
-				box.allocations.push(service(`web-${(index + kind) % 4}`, index, kind));
+				worker.allocations.push(service(`web-${(index + kind) % 4}`, index, kind));
 		}
 	}
 
-	minute(at: number): void {
-		this.arrive(at);
-		this.learn(at);
-		this.place(at);
-		this.suffer(at);
-		this.work(at);
+	advanceMinute(minute: number): void {
+		this.addArrivals(minute);
+		this.applyDelayedReports(minute);
+		this.place(minute);
+		this.recordLatencies(minute);
+		this.advanceTasks(minute);
 	}
 
-	private arrive(at: number): void {
-		const count = this.customer.arrivals(at % minutes, this.random);
+	private addArrivals(minute: number): void {
+		const count = this.customer.arrivals(minute % minutesPerDay, this.random);
 		for (let index = 0; index < count; index += 1) {
 			const job = `batch-${Math.floor(this.random() * 12)}`;
 			const cores = 2 + Math.floor(this.random() * 3) * 2;
 			// Declared sizes are far from the truth: use is half to one and a half times what was asked.
-			const uses = cores * (0.5 + this.random());
-			const leftMin = 10 + this.random() * 110;
-			const task = { task: `${job}/${at}-${index}`, job, kind: 'batch', urgent: false } as const;
+			const coresUsed = cores * (0.5 + this.random());
+			const remainingMinutes = 10 + this.random() * 110;
+			const task = { task: `${job}/${minute}-${index}`, job, kind: 'batch', urgent: false } as const;
 			const needs = { cores, memoryMb: 2048, accelerators: 0 };
 			this.pending.push({
-				task: { ...task, needs, maxShareOfBox: 1, failedOn: [], waitingSince: at },
-				...{ leftMin, uses, dueAt: at + 360 },
+				task: { ...task, needs, maxShareOfBox: 1, failedOn: [], waitingSince: minute },
+				...{ remainingMinutes, coresUsed, dueAt: minute + 360 },
 			});
 			this.day.arrived += 1;
 		}
 	}
 
-	private learn(at: number): void {
-		while (this.late[0] !== undefined && this.late[0].at + lagMinutes <= at) {
-			const one = this.late.shift();
-			if (one) this.estimate.observe(one.service, one.jobs, one.ms);
+	private applyDelayedReports(minute: number): void {
+		while (this.late[0] !== undefined && this.late[0].at + reportDelayMinutes <= minute) {
+			const delayedReport = this.late.shift();
+			if (delayedReport) this.costModel.observe(delayedReport.service, delayedReport.jobs, delayedReport.ms);
 		}
 	}
 
-	private place(at: number): void {
+	private place(minute: number): void {
 		const round = placement.placeRound(
-			this.pending.map((one) => one.task),
+			this.pending.map((entry) => entry.task),
 			this.boxes,
 			{ score: this.score, maxPlacements: 100, evicting: new Set() },
 		);
 		for (const place of round.placements) {
-			const index = this.pending.findIndex((one) => one.task.task === place.task);
+			const index = this.pending.findIndex((entry) => entry.task.task === place.task);
 			const [pending] = this.pending.splice(index, 1);
-			const box = this.boxes.find((one) => one.id === place.box);
-			const resident = box?.allocations.find((one) => one.task === place.task);
+			const worker = this.boxes.find((candidate) => candidate.id === place.box);
+			const resident = worker?.allocations.find((candidate) => candidate.task === place.task);
 			if (!pending || !resident) continue;
 			this.running.push({
 				resident,
 				box: place.box,
-				leftMin: pending.leftMin,
-				uses: pending.uses,
-				startedAt: at,
+				remainingMinutes: pending.remainingMinutes,
+				coresUsed: pending.coresUsed,
+				startedAt: minute,
 			});
-			this.due.set(place.task, pending);
+			this.startedTasks.set(place.task, pending);
 		}
 	}
 
-	private readonly due = new Map<string, Pending>();
+	private readonly startedTasks = new Map<string, Pending>();
 
-	private suffer(at: number): void {
-		const load = this.customer.load(at % minutes);
-		for (const box of this.boxes) {
-			const jobs = box.allocations.filter((one) => one.kind === 'batch').map((one) => one.job);
-			for (const one of box.allocations) {
-				if (one.kind !== 'service') continue;
-				const added = jobs.reduce((sum, job) => sum + this.truth(one.job, job) * load, 0);
-				const ms = baseMs + added + this.random() * 2;
+	private recordLatencies(minute: number): void {
+		const load = this.customer.load(minute % minutesPerDay);
+		for (const worker of this.boxes) {
+			const jobs = worker.allocations.filter((one) => one.kind === 'batch').map((one) => one.job);
+			for (const resident of worker.allocations) {
+				if (resident.kind !== 'service') continue;
+				const added = jobs.reduce((sum, job) => sum + this.hiddenCost(resident.job, job) * load, 0);
+				const ms = baseLatencyMs + added + this.random() * 2;
 				this.day.latencies.push(ms);
-				this.late.push({ at, service: one.job, jobs, ms });
+				this.late.push({ at: minute, service: resident.job, jobs, ms });
 			}
 		}
 	}
 
-	private work(at: number): void {
-		for (const one of this.running)
-			if (at === one.startedAt + lagMinutes)
-				one.resident.resources.cores = Math.max(one.resident.resources.cores, one.uses);
-		for (const box of this.boxes) {
+	private advanceTasks(minute: number): void {
+		for (const runningTask of this.running)
+			if (minute === runningTask.startedAt + reportDelayMinutes)
+				runningTask.resident.resources.cores = Math.max(
+					runningTask.resident.resources.cores,
+					runningTask.coresUsed,
+				);
+		for (const worker of this.boxes) {
 			const relief = placement.relievePressure(
-				box,
-				(task) => at - (this.running.find((one) => one.resident.task === task)?.startedAt ?? at),
+				worker,
+				(task) =>
+					minute - (this.running.find((candidate) => candidate.resident.task === task)?.startedAt ?? minute),
 			);
-			for (const victim of relief.evictions) this.evict(victim.task, at);
-			for (const one of this.running)
-				if (one.box === box.id) one.leftMin -= relief.throttles.get(one.resident.task) ?? 1;
+			for (const victim of relief.evictions) this.evict(victim.task, minute);
+			for (const runningTask of this.running)
+				if (runningTask.box === worker.id)
+					runningTask.remainingMinutes -= relief.throttles.get(runningTask.resident.task) ?? 1;
 		}
-		for (const one of this.running.filter((running) => running.leftMin <= 0)) {
-			this.leave(one);
+		for (const runningTask of this.running.filter((running) => running.remainingMinutes <= 0)) {
+			this.remove(runningTask);
 			this.day.finished += 1;
-			if (at <= (this.due.get(one.resident.task)?.dueAt ?? 0)) this.day.onTime += 1;
+			if (minute <= (this.startedTasks.get(runningTask.resident.task)?.dueAt ?? 0)) this.day.onTime += 1;
 		}
 	}
 
-	private evict(task: string, at: number): void {
-		const one = this.running.find((running) => running.resident.task === task);
-		const pending = this.due.get(task);
-		if (!one || !pending) return;
-		this.leave(one);
+	private evict(task: string, minute: number): void {
+		const runningTask = this.running.find((running) => running.resident.task === task);
+		const pending = this.startedTasks.get(task);
+		if (!runningTask || !pending) return;
+		this.remove(runningTask);
 		this.day.evictions += 1;
-		this.day.wastedMin += 1;
-		this.pending.push({ ...pending, leftMin: one.leftMin + 1, task: { ...pending.task, waitingSince: at } });
+		this.day.wastedMinutes += 1;
+		this.pending.push({
+			...pending,
+			remainingMinutes: runningTask.remainingMinutes + 1,
+			task: { ...pending.task, waitingSince: minute },
+		});
 	}
 
-	private leave(one: Running): void {
-		this.running = this.running.filter((running) => running !== one);
-		const box = this.boxes.find((candidate) => candidate.id === one.box);
-		if (box) box.allocations = box.allocations.filter((resident) => resident !== one.resident);
+	private remove(runningTask: Running): void {
+		this.running = this.running.filter((running) => running !== runningTask);
+		const worker = this.boxes.find((candidate) => candidate.id === runningTask.box);
+		if (worker)
+			worker.allocations = worker.allocations.filter((resident) => resident !== runningTask.resident);
 	}
 }
 
@@ -226,51 +243,80 @@
 	return { task: `${job}/${index}-${kind}`, job, kind: 'service', urgent: false, resources };
 }
 
-function runDay(customer: Customer, seed: number, way: string): Day {
-	const random = rng.seeded(seed);
-	const truth = hiddenCosts(rng.seeded(seed + 100));
-	const estimate = pairs.PairEstimate.create();
-	const cost: pairs.PairCost = (one, batch) => estimate.cost(one, batch);
+function runDay(customer: Customer, seed: number, policy: string): DayStats {
+	const random = rng.seededRandom(seed);
+	const hiddenCost = createHiddenPairCosts(rng.seededRandom(seed + 100));
+	const costModel = pairCosts.PairCostModel.create();
+	const cost: pairCosts.PairCost = (serviceJob, batch) => costModel.cost(serviceJob, batch);
 	const scores: Record<string, placement.Score> = {
 		spread: placement.spread,
 		'best fit': placement.bestFit,
-		'pair-aware, batch packed': pairs.pairAware({ cost, msPerLoad: 20, batch: placement.bestFit }),
-		'pair-aware, batch spread': pairs.pairAware({ cost, msPerLoad: 20, batch: placement.spread }),
-		'pair-aware, batch spread, 5 ms': pairs.pairAware({ cost, msPerLoad: 5, batch: placement.spread }),
+		'pair-aware, batch packed': pairCosts.pairAwareScore({
+			cost,
+			msPerFullLoad: 20,
+			batch: placement.bestFit,
+		}),
+		'pair-aware, batch spread': pairCosts.pairAwareScore({
+			cost,
+			msPerFullLoad: 20,
+			batch: placement.spread,
+		}),
+		'pair-aware, batch spread, 5 ms': pairCosts.pairAwareScore({
+			cost,
+			msPerFullLoad: 5,
+			batch: placement.spread,
+		}),
 	};
-	const world = new World(customer, random, scores[way] ?? placement.spread, estimate, truth);
+	const simulation = new Simulation(
+		customer,
+		random,
+		scores[policy] ?? placement.spread,
+		costModel,
+		hiddenCost,
+	);
 	// The first day teaches; the second is counted.
-	for (let at = 0; at < minutes; at += 1) world.minute(at);
-	Object.assign(world.day, { latencies: [], finished: 0, onTime: 0, arrived: 0, evictions: 0, wastedMin: 0 });
-	for (let at = minutes; at < 2 * minutes; at += 1) world.minute(at);
-	return world.day;
+	for (let minute = 0; minute < minutesPerDay; minute += 1) simulation.advanceMinute(minute);
+	Object.assign(simulation.day, {
+		latencies: [],
+		finished: 0,
+		onTime: 0,
+		arrived: 0,
+		evictions: 0,
+		wastedMin: 0,
+	});
+	for (let minute = minutesPerDay; minute < 2 * minutesPerDay; minute += 1) simulation.advanceMinute(minute);
+	return simulation.day;
 }
 
 /** `npm run measure -- placement`. */
 export function measurePlacement(): Promise<void> {
 	const rows: report.Row[] = [];
 	for (const customer of customers) {
-		for (const way of ways) {
-			const days = seeds.map((seed) => runDay(customer, seed, way));
-			const quantile = (day: Day, part: number): number => {
+		for (const policy of policies) {
+			const days = seeds.map((seed) => runDay(customer, seed, policy));
+			const quantile = (day: DayStats, fraction: number): number => {
 				const sorted = [...day.latencies].sort((a, b) => a - b);
-				return sorted[Math.floor(sorted.length * part)] ?? 0;
+				return sorted[Math.floor(sorted.length * fraction)] ?? 0;
 			};
 			rows.push({
-				...{ customer: customer.name, way },
-				'service p50 ms': report.spread(days.map((day) => quantile(day, 0.5))),
-				'service p99 ms': report.spread(days.map((day) => quantile(day, 0.99))),
-				[`% over ${lateMs} ms`]: report.spread(
-					days.map((day) => (day.latencies.filter((ms) => ms > lateMs).length / day.latencies.length) * 100),
+				...{ customer: customer.name, way: policy },
+				'service p50 ms': report.minMedianMax(days.map((day) => quantile(day, 0.5))),
+				'service p99 ms': report.minMedianMax(days.map((day) => quantile(day, 0.99))),
+				[`% over ${maxLatencyMs} ms`]: report.minMedianMax(
+					days.map(
+						(day) => (day.latencies.filter((ms) => ms > maxLatencyMs).length / day.latencies.length) * 100,
+					),
+				),
+				'batch on time %': report.minMedianMax(
+					days.map((day) => (day.onTime / Math.max(1, day.arrived)) * 100),
 				),
-				'batch on time %': report.spread(days.map((day) => (day.onTime / Math.max(1, day.arrived)) * 100)),
-				evictions: report.spread(days.map((day) => day.evictions)),
-				'batch finished': report.spread(days.map((day) => day.finished)),
+				evictions: report.minMedianMax(days.map((day) => day.evictions)),
+				'batch finished': report.minMedianMax(days.map((day) => day.finished)),
 			});
 		}
 	}
 	const note =
 		'minimum / median / maximum over the seeds; second day counted; reports 5 minutes late; 10 workers';
-	report.keep({ name: 'placement', note, seeds, rows });
+	report.printAndSave({ name: 'placement', note, seeds, rows });
 	return Promise.resolve();
 }
--- a/dev/measure/recovery.ts
+++ b/dev/measure/recovery.ts
@@ -5,19 +5,19 @@
 import * as report from './report.js';
 import * as scrape from './scrape.js';
 
-const turns = 5;
+const repetitions = 5;
 const tasks = 24;
 const frozenMs = 20_000;
 
 interface Recovery {
 	/** From the fault to the takeover entry, in milliseconds. */
-	takenMs: number;
+	takeoverMs: number;
 	/** From the fault to a new task running, in milliseconds. */
-	placedMs: number;
+	newTaskRunningMs: number;
 	/** Calls to the platform in that time. */
 	calls: number;
 	/** Batch attempts that ended other than well. */
-	disturbed: number;
+	unsuccessfulAttempts: number;
 }
 
 type Fault = (owner: clusters.Program) => Promise<void>;
@@ -30,32 +30,32 @@
 	return Promise.resolve();
 };
 
-function disturbedIn(cluster: clusters.Cluster): number {
-	const lines = cluster.workers.flatMap((box) => box.process.lines);
-	const ends = lines.map((line) => line.journal as { what: string; how: string } | undefined);
-	return ends.filter((one) => one?.what === 'end' && one.how !== 'exit status 0').length;
+function countUnsuccessfulAttempts(cluster: clusters.Cluster): number {
+	const lines = cluster.workers.flatMap((box) => box.process.jsonLines);
+	const journalEntries = lines.map((line) => line.journal as { what: string; how: string } | undefined);
+	return journalEntries.filter((entry) => entry?.what === 'end' && entry.how !== 'exit status 0').length;
 }
 
-async function oneTurn(fault: Fault): Promise<Recovery> {
+async function measureOnce(fault: Fault): Promise<Recovery> {
 	const cluster = await clusters.Cluster.create({
 		...{ zones: ['rennes'], entriesPerZone: 0, schedulersPerZone: 3, backendsPerZone: 0, workersPerZone: 4 },
 	});
-	const client = operate.operatorOf(cluster);
-	await operate.settled(client);
-	await operate.submit(client, operate.batch('long', tasks, 600_000));
+	const client = operate.connectToOperator(cluster);
+	await operate.waitUntilShardsReady(client);
+	await operate.submit(client, operate.batchSpec('long', tasks, 600_000));
 	const started = (job: string): boolean =>
 		cluster.workers.some((box) =>
-			box.process.lines.some((line) =>
+			box.process.jsonLines.some((line) =>
 				(line.journal as { task?: string } | undefined)?.task?.startsWith(job),
 			),
 		);
-	await operate.until('work running', () => started('press/long'));
+	await operate.waitUntil('work running', () => started('press/long'));
 	const owner = cluster
-		.of('scheduler')
-		.find((one) => one.process.lines.some((line) => line.name === 'shard.taken'));
+		.programsOf('scheduler')
+		.find((one) => one.process.jsonLines.some((line) => line.name === 'shard.taken'));
 	if (owner === undefined) throw new Error('no owner');
-	const others = cluster.of('scheduler').filter((one) => one !== owner);
-	const callsOf = async (): Promise<number> => {
+	const standbys = cluster.programsOf('scheduler').filter((one) => one !== owner);
+	const countPlatformCalls = async (): Promise<number> => {
 		const {
 			reads = 0,
 			writes = 0,
@@ -64,24 +64,30 @@
 		} = await scrape.stats(cluster.platformAddress);
 		return reads + writes + leaseCalls + watches;
 	};
-	const before = await callsOf();
-	const from = performance.now();
+	const before = await countPlatformCalls();
+	const faultAt = performance.now();
 	await fault(owner);
-	const taken = Promise.any(
-		others.map((one) => processes.waitLine(one.process, (line) => line.name === 'shard.taken', 60_000)),
+	const takeover = Promise.any(
+		standbys.map((one) => processes.waitForLine(one.process, (line) => line.name === 'shard.taken', 60_000)),
 	);
-	await taken;
-	const takenMs = performance.now() - from;
-	await operate.submit(client, operate.batch('new', 1, 100));
-	await operate.until('new work running', () => started('press/new'));
-	const placedMs = performance.now() - from;
-	const calls = (await callsOf()) - before;
+	await takeover;
+	const takeoverMs = performance.now() - faultAt;
+	await operate.submit(client, operate.batchSpec('new', 1, 100));
+	await operate.waitUntil('new work running', () => started('press/new'));
+	const newTaskRunningMs = performance.now() - faultAt;
+	const calls = (await countPlatformCalls()) - before;
 	// A frozen owner comes back and must do no harm.
-	if (fault === freezeOwner) await new Promise((resolve) => setTimeout(resolve, frozenMs + 2000 - placedMs));
+	if (fault === freezeOwner)
+		await new Promise((resolve) => setTimeout(resolve, frozenMs + 2000 - newTaskRunningMs));
 	client.close();
-	const disturbed = disturbedIn(cluster);
+	const unsuccessfulAttempts = countUnsuccessfulAttempts(cluster);
 	await cluster.close();
-	return { takenMs, placedMs, calls, disturbed };
+	return {
+		takeoverMs,
+		newTaskRunningMs,
+		calls,
+		unsuccessfulAttempts,
+	};
 }
 
 /** `npm run measure -- recovery`. */
@@ -92,18 +98,23 @@
 		['owner frozen for 20 s', freezeOwner],
 	] as const) {
 		// Each turn has processes of its own; two at a time leave the machine half idle.
-		const all: Recovery[] = [];
-		while (all.length < turns)
-			all.push(...(await Promise.all([oneTurn(fault), oneTurn(fault)])).slice(0, turns - all.length));
-		const over = (pick: (one: Recovery) => number): string => report.spread(all.map(pick));
+		const recoveries: Recovery[] = [];
+		while (recoveries.length < repetitions)
+			recoveries.push(
+				...(await Promise.all([measureOnce(fault), measureOnce(fault)])).slice(
+					0,
+					repetitions - recoveries.length,
+				),
+			);
+		const summarize = (pick: (one: Recovery) => number): string => report.minMedianMax(recoveries.map(pick));
 		rows.push({
 			fault: name,
-			'shard taken over, ms': over((one) => one.takenMs),
-			'new task running, ms': over((one) => one.placedMs),
-			'platform calls': over((one) => one.calls),
-			'batch attempts disturbed': over((one) => one.disturbed),
+			'shard taken over, ms': summarize((one) => one.takeoverMs),
+			'new task running, ms': summarize((one) => one.newTaskRunningMs),
+			'platform calls': summarize((one) => one.calls),
+			'batch attempts disturbed': summarize((one) => one.unsuccessfulAttempts),
 		});
 	}
-	const note = `minimum / median / maximum of ${turns}; 3 schedulers, 4 workers, ${tasks} batch tasks running; settings' defaults`;
-	report.keep({ name: 'recovery', note, seeds: [], rows });
+	const note = `minimum / median / maximum of ${repetitions}; 3 schedulers, 4 workers, ${tasks} batch tasks running; settings' defaults`;
+	report.printAndSave({ name: 'recovery', note, seeds: [], rows });
 }
--- a/dev/measure/report.ts
+++ b/dev/measure/report.ts
@@ -21,25 +21,25 @@
 }
 
 /** Minimum, median and maximum. */
-export function spread(values: number[]): string {
+export function minMedianMax(values: number[]): string {
 	const sorted = [...values].sort((a, b) => a - b);
-	const at = (index: number): string => String(round(sorted[index] ?? 0));
-	return `${at(0)} / ${at(Math.floor((sorted.length - 1) / 2))} / ${at(sorted.length - 1)}`;
+	const valueAt = (index: number): string => String(round(sorted[index] ?? 0));
+	return `${valueAt(0)} / ${valueAt(Math.floor((sorted.length - 1) / 2))} / ${valueAt(sorted.length - 1)}`;
 }
 
 /** Straight line through points: value at 0 and per unit. */
 export function fitLine(points: { x: number; y: number }[]): { base: number; slope: number } {
 	const n = points.length;
-	const meanX = points.reduce((sum, one) => sum + one.x, 0) / n;
-	const meanY = points.reduce((sum, one) => sum + one.y, 0) / n;
-	const above = points.reduce((sum, one) => sum + (one.x - meanX) * (one.y - meanY), 0);
-	const below = points.reduce((sum, one) => sum + (one.x - meanX) ** 2, 0);
-	const slope = below === 0 ? 0 : above / below;
+	const meanX = points.reduce((sum, point) => sum + point.x, 0) / n;
+	const meanY = points.reduce((sum, point) => sum + point.y, 0) / n;
+	const sumXY = points.reduce((sum, point) => sum + (point.x - meanX) * (point.y - meanY), 0);
+	const sumXX = points.reduce((sum, point) => sum + (point.x - meanX) ** 2, 0);
+	const slope = sumXX === 0 ? 0 : sumXY / sumXX;
 	return { base: meanY - slope * meanX, slope };
 }
 
 /** Prints and keeps a report. */
-export function keep(report: Report): void {
+export function printAndSave(report: Report): void {
 	console.log(`\n${report.name}: ${report.note}`);
 	console.table(report.rows);
 	const cpus = os.cpus();
--- a/dev/measure/scrape.ts
+++ b/dev/measure/scrape.ts
@@ -10,8 +10,8 @@
 	const text = await res.body.text();
 	const numbers: Numbers = {};
 	for (const line of text.split('\n')) {
-		const cut = line.lastIndexOf(' ');
-		if (cut > 0) numbers[line.slice(0, cut)] = Number(line.slice(cut + 1));
+		const separator = line.lastIndexOf(' ');
+		if (separator > 0) numbers[line.slice(0, separator)] = Number(line.slice(separator + 1));
 	}
 	return numbers;
 }
@@ -25,11 +25,12 @@
 /** Differences a second over a window. */
 export async function rates(read: () => Promise<Numbers>, seconds: number): Promise<Numbers> {
 	const before = await read();
-	const from = performance.now();
+	const startedAt = performance.now();
 	await new Promise((resolve) => setTimeout(resolve, seconds * 1000));
 	const after = await read();
-	const took = (performance.now() - from) / 1000;
-	const out: Numbers = {};
-	for (const [name, value] of Object.entries(after)) out[name] = (value - (before[name] ?? 0)) / took;
-	return out;
+	const elapsedS = (performance.now() - startedAt) / 1000;
+	const perSecond: Numbers = {};
+	for (const [name, value] of Object.entries(after))
+		perSecond[name] = (value - (before[name] ?? 0)) / elapsedS;
+	return perSecond;
 }
--- a/dev/measure/slopes.ts
+++ b/dev/measure/slopes.ts
@@ -9,11 +9,11 @@
 
 const workerCounts = [40, 80, 160];
 const requestRates = [200, 400, 800];
-const windowS = 8;
+const windowSeconds = 8;
 
 /** Tasks a worker at the design size: (54,000 + 100,000) / 17,000, a third of them services. */
-const servicesPerWorker = 3;
-const batchPerWorker = 6;
+const serviceTasksPerWorker = 3;
+const batchTasksPerWorker = 6;
 
 interface Sample {
 	x: number;
@@ -27,27 +27,27 @@
 		logLevel: 'info',
 	});
 	const farm = processes.start('farm', 'stand-ins/worker/farm.js', [], { WORKERS: String(count) });
-	const ready = await processes.waitLine(farm, (line) => line.workers !== undefined);
+	const ready = await processes.waitForLine(farm, (line) => line.workers !== undefined);
 	const farmAddress = String(ready.ready);
-	const list = (ready.workers as string[]).map((address, index) => ({
+	const workerList = (ready.workers as string[]).map((address, index) => ({
 		...{ id: `worker-${index}`, address, state: 'live', rack: `rack-${Math.floor(index / 8)}` },
 		...clusters.workerCapacity,
 	}));
-	await cluster.put(boxes.workersKey('rennes'), list);
-	const scheduler = cluster.of('scheduler')[0];
+	await cluster.put(boxes.workersKey('rennes'), workerList);
+	const scheduler = cluster.programsOf('scheduler')[0];
 	const address = scheduler?.serves ?? '';
-	const client = operate.operatorOf(cluster);
-	await operate.settled(client);
-	const idle = await scrape.metrics(address);
+	const client = operate.connectToOperator(cluster);
+	await operate.waitUntilShardsReady(client);
+	const metricsBefore = await scrape.metrics(address);
 	const startedAt = performance.now();
 	const needs = { cores: 1, memoryMb: 512 };
-	const total = count * (servicesPerWorker + batchPerWorker);
+	const total = count * (serviceTasksPerWorker + batchTasksPerWorker);
 	await client.call('submit', {
 		specJson: JSON.stringify({
 			team: 'press',
 			name: 'web',
 			kind: 'service',
-			tasks: count * servicesPerWorker,
+			tasks: count * serviceTasksPerWorker,
 			needs,
 		}),
 	});
@@ -56,32 +56,36 @@
 			team: 'press',
 			name: 'night',
 			kind: 'batch',
-			tasks: count * batchPerWorker,
+			tasks: count * batchTasksPerWorker,
 			needs,
 		}),
 	});
-	await operate.until('every task started', async () => (await scrape.stats(farmAddress)).starts === total);
+	await operate.waitUntil(
+		'every task started',
+		async () => (await scrape.stats(farmAddress)).starts === total,
+	);
 	const startS = (performance.now() - startedAt) / 1000;
-	const busy = await scrape.metrics(address);
+	const metricsAfter = await scrape.metrics(address);
 	await new Promise((resolve) => setTimeout(resolve, 2000));
-	const [own, farmRates, platformRates] = await Promise.all([
-		scrape.rates(() => scrape.metrics(address), windowS),
-		scrape.rates(() => scrape.stats(farmAddress), windowS),
-		scrape.rates(() => scrape.stats(cluster.platformAddress), windowS),
+	const [schedulerRates, farmRates, platformRates] = await Promise.all([
+		scrape.rates(() => scrape.metrics(address), windowSeconds),
+		scrape.rates(() => scrape.stats(farmAddress), windowSeconds),
+		scrape.rates(() => scrape.stats(cluster.platformAddress), windowSeconds),
 	]);
-	const last = await scrape.metrics(address);
+	const lastMetrics = await scrape.metrics(address);
 	client.close();
 	await clusters.kill(farm);
 	await cluster.close();
 	return {
 		x: count,
 		values: {
-			'cpu % of a core': (own.woodcross_cpu_us ?? 0) / 10_000,
-			'cpu ms a start': ((busy.woodcross_cpu_us ?? 0) - (idle.woodcross_cpu_us ?? 0)) / 1000 / total,
+			'cpu % of a core': (schedulerRates.woodcross_cpu_us ?? 0) / 10_000,
+			'cpu ms a start':
+				((metricsAfter.woodcross_cpu_us ?? 0) - (metricsBefore.woodcross_cpu_us ?? 0)) / 1000 / total,
 			'starts a second': total / startS,
 			'exchanges/s': farmRates.exchanges ?? 0,
 			'bytes/s with workers': farmRates.bytes ?? 0,
-			'memory MB': (last.woodcross_memory_bytes ?? 0) / 1e6,
+			'memory MB': (lastMetrics.woodcross_memory_bytes ?? 0) / 1e6,
 			'platform reads/s': platformRates.reads ?? 0,
 			'platform writes/s': platformRates.writes ?? 0,
 			'lease calls/s': platformRates.leaseCalls ?? 0,
@@ -96,7 +100,7 @@
 		backendEnv: { SERVICE_MS: '5', QUIET: '1' },
 		logLevel: 'info',
 	});
-	const address = cluster.of('entry')[0]?.serves ?? '';
+	const address = cluster.programsOf('entry')[0]?.serves ?? '';
 	const body = Buffer.alloc(1024, 'p');
 	const path = `/services/${clusters.serviceName}/proof`;
 	const target = { origins: [`http://${address}`], path, headers: { 'x-woodcross-repeat': 'safe' }, body };
@@ -104,13 +108,13 @@
 	const samples: Sample[] = [];
 	for (const rate of requestRates) {
 		const before = await scrape.metrics(address);
-		const got = await load.openLoad(target, rate, windowS);
+		const result = await load.openLoad(target, rate, windowSeconds);
 		const after = await scrape.metrics(address);
-		const cpu = ((after.woodcross_cpu_us ?? 0) - (before.woodcross_cpu_us ?? 0)) / windowS / 10_000;
+		const cpu = ((after.woodcross_cpu_us ?? 0) - (before.woodcross_cpu_us ?? 0)) / windowSeconds / 10_000;
 		const memory = (after.woodcross_memory_bytes ?? 0) / 1e6;
 		samples.push({
 			x: rate,
-			values: { 'cpu % of a core': cpu, 'memory MB': memory, 'p99 ms': got.p99, refused: got.refused },
+			values: { 'cpu % of a core': cpu, 'memory MB': memory, 'p99 ms': result.p99, refused: result.refused },
 		});
 	}
 	await cluster.close();
@@ -129,45 +133,46 @@
 		},
 		logLevel: 'info',
 	});
-	const client = operate.operatorOf(cluster);
-	await operate.settled(client);
+	const client = operate.connectToOperator(cluster);
+	await operate.waitUntilShardsReady(client);
 	await new Promise((resolve) => setTimeout(resolve, 3000));
-	const calls = await scrape.rates(() => scrape.stats(cluster.platformAddress), 20);
-	const now = await scrape.stats(cluster.platformAddress);
-	const entry = cluster.of('entry')[0]?.serves ?? '';
-	const idle = await scrape.rates(() => scrape.metrics(entry), 5);
-	const times: number[] = [];
-	for (let turn = 0; turn < 20; turn += 1) {
+	const platformRates = await scrape.rates(() => scrape.stats(cluster.platformAddress), 20);
+	const platformStats = await scrape.stats(cluster.platformAddress);
+	const entry = cluster.programsOf('entry')[0]?.serves ?? '';
+	const idleRates = await scrape.rates(() => scrape.metrics(entry), 5);
+	const confirmationTimesMs: number[] = [];
+	for (let repetition = 0; repetition < 20; repetition += 1) {
 		const from = performance.now();
-		const set = await client.call('setConfig', {
+		const change = await client.call('setConfig', {
 			key: 'entry.queuePerSlot',
-			value: String(turn),
+			value: String(repetition),
 			by: 'measure',
 			seenVersion: 0,
 		});
-		if (set.ok && set.value.unconfirmed.length === 0) times.push(performance.now() - from);
+		if (change.ok && change.value.unconfirmed.length === 0)
+			confirmationTimesMs.push(performance.now() - from);
 	}
-	const members = cluster.programs.length;
+	const processCount = cluster.programs.length;
 	client.close();
 	await cluster.close();
 	return {
-		x: members,
+		x: processCount,
 		values: {
-			'platform reads/s': calls.reads ?? 0,
-			'platform writes/s': calls.writes ?? 0,
-			'lease calls/s': calls.leaseCalls ?? 0,
-			'standing watches': now.watching ?? 0,
-			'entry idle cpu %': (idle.woodcross_cpu_us ?? 0) / 10_000,
-			'config in force everywhere, ms (largest of 20)': Math.max(...times),
-			'changes confirmed by all, of 20': times.length,
+			'platform reads/s': platformRates.reads ?? 0,
+			'platform writes/s': platformRates.writes ?? 0,
+			'lease calls/s': platformRates.leaseCalls ?? 0,
+			'standing watches': platformStats.watching ?? 0,
+			'entry idle cpu %': (idleRates.woodcross_cpu_us ?? 0) / 10_000,
+			'config in force everywhere, ms (largest of 20)': Math.max(...confirmationTimesMs),
+			'changes confirmed by all, of 20': confirmationTimesMs.length,
 		},
 	};
 }
 
-function rowsOf(role: string, unit: string, samples: Sample[]): report.Row[] {
+function fittedRows(role: string, unit: string, samples: Sample[]): report.Row[] {
 	const names = Object.keys(samples[0]?.values ?? {});
 	return names.map((name) => {
-		const points = samples.map((one) => ({ x: one.x, y: one.values[name] ?? 0 }));
+		const points = samples.map((sample) => ({ x: sample.x, y: sample.values[name] ?? 0 }));
 		const line = report.fitLine(points);
 		const row: report.Row = { role, figure: name };
 		for (const point of points) row[`at ${point.x} ${unit}`] = report.round(point.y);
@@ -180,15 +185,25 @@
 	const schedulers: Sample[] = [];
 	for (const count of workerCounts) schedulers.push(await schedulerSample(count));
 	const entries = await entrySamples();
-	const members: Sample[] = [];
-	for (const perZone of [1, 3, 6]) members.push(await processSample(perZone));
+	const processSamples: Sample[] = [];
+	for (const perZone of [1, 3, 6]) processSamples.push(await processSample(perZone));
 	const note = 'one window of 8 s each; base and slope of the straight line through the three sizes';
-	report.keep({
+	report.printAndSave({
 		name: 'slopes-scheduler',
 		note,
 		seeds: [],
-		rows: rowsOf('scheduler', 'workers', schedulers),
+		rows: fittedRows('scheduler', 'workers', schedulers),
+	});
+	report.printAndSave({
+		name: 'slopes-entry',
+		note,
+		seeds: [],
+		rows: fittedRows('entry', 'requests/s', entries),
+	});
+	report.printAndSave({
+		name: 'slopes-processes',
+		note,
+		seeds: [],
+		rows: fittedRows('all', 'processes', processSamples),
 	});
-	report.keep({ name: 'slopes-entry', note, seeds: [], rows: rowsOf('entry', 'requests/s', entries) });
-	report.keep({ name: 'slopes-processes', note, seeds: [], rows: rowsOf('all', 'processes', members) });
 }
--- a/dev/measure/slots.ts
+++ b/dev/measure/slots.ts
@@ -4,82 +4,86 @@
 import * as report from './report.js';
 import * as scrape from './scrape.js';
 
-const ways = ['demand', 'fixed', 'none'] as const;
+const sharingModes = ['demand', 'fixed', 'none'] as const;
 const loadsPercent = [50, 80, 95, 110];
-const turns = 3;
+const repetitions = 3;
 const seconds = 5;
 
 /** Part of the load that each of three entry boxes gets: callers and balancers are never even. */
-const parts = [0.6, 0.3, 0.1];
+const loadFractions = [0.6, 0.3, 0.1];
 
 const serviceMs = 40;
-const slowMs = 160;
+const slowServiceMs = 160;
 
 /** Requests a second that two whole backend servers and the slow one can take. */
-const capacity = 2 * clusters.backendSlots * (1000 / serviceMs) + clusters.backendSlots * (1000 / slowMs);
+const capacityPerS =
+	2 * clusters.backendSlots * (1000 / serviceMs) + clusters.backendSlots * (1000 / slowServiceMs);
 
-interface Turn {
-	got: load.LoadResult[];
+interface Measurement {
+	results: load.LoadResult[];
 	retries: number;
 }
 
-async function oneTurn(cluster: clusters.Cluster, perSecond: number): Promise<Turn> {
-	const entries = cluster.of('entry');
-	const read = async (): Promise<number> => {
+async function measureOnce(cluster: clusters.Cluster, perSecond: number): Promise<Measurement> {
+	const entries = cluster.programsOf('entry');
+	const readRetries = async (): Promise<number> => {
 		const all = await Promise.all(entries.map((entry) => scrape.metrics(entry.serves)));
-		return all.reduce((sum, one) => sum + (one.woodcross_retries_total ?? 0), 0);
+		return all.reduce((sum, metrics) => sum + (metrics.woodcross_retries_total ?? 0), 0);
 	};
-	const before = await read();
-	const got = await Promise.all(
+	const before = await readRetries();
+	const results = await Promise.all(
 		entries.map((entry, index) => {
 			const path = `/services/${clusters.serviceName}/proof`;
 			const headers = { 'x-woodcross-repeat': 'safe', 'x-woodcross-deadline-ms': '1000' };
 			const target = { origins: [`http://${entry.serves}`], path, headers, body: Buffer.alloc(256, 'p') };
-			return load.openLoad(target, perSecond * (parts[index] ?? 0), seconds);
+			return load.openLoad(target, perSecond * (loadFractions[index] ?? 0), seconds);
 		}),
 	);
-	return { got, retries: (await read()) - before };
+	return { results, retries: (await readRetries()) - before };
 }
 
-function row(way: string, percent: number, all: Turn[]): report.Row {
-	const sum = (one: Turn, pick: (got: load.LoadResult) => number): number =>
-		one.got.reduce((total, got) => total + pick(got), 0);
-	const worst = (one: Turn, pick: (got: load.LoadResult) => number): number => Math.max(...one.got.map(pick));
-	const over = (pick: (one: Turn) => number): string => report.spread(all.map(pick));
+function row(sharingMode: string, percent: number, measurements: Measurement[]): report.Row {
+	const sum = (measurement: Measurement, pick: (result: load.LoadResult) => number): number =>
+		measurement.results.reduce((total, result) => total + pick(result), 0);
+	const worst = (measurement: Measurement, pick: (result: load.LoadResult) => number): number =>
+		Math.max(...measurement.results.map(pick));
+	const summarize = (pick: (measurement: Measurement) => number): string =>
+		report.minMedianMax(measurements.map(pick));
 	return {
-		...{ way, load: `${percent}%` },
-		'answered/s': over((one) => sum(one, (got) => got.perSecond)),
-		'p50 ms (worst box)': over((one) => worst(one, (got) => got.p50)),
-		'p99 ms (worst box)': over((one) => worst(one, (got) => got.p99)),
-		'p99.9 ms (worst box)': over((one) => worst(one, (got) => got.p999)),
-		refused: over((one) => sum(one, (got) => got.refused)),
-		failed: over((one) => sum(one, (got) => got.failed)),
-		'tries wasted': over((one) => one.retries),
+		...{ way: sharingMode, load: `${percent}%` },
+		'answered/s': summarize((one) => sum(one, (got) => got.perSecond)),
+		'p50 ms (worst box)': summarize((one) => worst(one, (got) => got.p50)),
+		'p99 ms (worst box)': summarize((one) => worst(one, (got) => got.p99)),
+		'p99.9 ms (worst box)': summarize((one) => worst(one, (got) => got.p999)),
+		refused: summarize((one) => sum(one, (got) => got.refused)),
+		failed: summarize((one) => sum(one, (got) => got.failed)),
+		'tries wasted': summarize((one) => one.retries),
 	};
 }
 
-async function oneWay(way: (typeof ways)[number]): Promise<report.Row[]> {
+async function measureMode(sharingMode: (typeof sharingModes)[number]): Promise<report.Row[]> {
 	const cluster = await clusters.Cluster.create({
 		...{
 			zones: ['rennes'],
-			entriesPerZone: parts.length,
+			entriesPerZone: loadFractions.length,
 			schedulersPerZone: 1,
 			backendsPerZone: 4,
 			workersPerZone: 1,
 		},
 		backendEnv: { SERVICE_MS: String(serviceMs), QUIET: '1' },
-		entryFlags: ['--slot-sharing', way],
+		entryFlags: ['--slot-sharing', sharingMode],
 		logLevel: 'info',
 	});
 	const [slow, dead] = cluster.backends;
-	if (slow !== undefined) await clusters.post(slow.address, '/fault', { serviceMs: slowMs });
+	if (slow !== undefined) await clusters.post(slow.address, '/fault', { serviceMs: slowServiceMs });
 	if (dead !== undefined) await clusters.kill(dead.process);
-	await oneTurn(cluster, capacity / 2);
+	await measureOnce(cluster, capacityPerS / 2);
 	const rows: report.Row[] = [];
 	for (const percent of loadsPercent) {
-		const all: Turn[] = [];
-		for (let turn = 0; turn < turns; turn += 1) all.push(await oneTurn(cluster, (capacity * percent) / 100));
-		rows.push(row(way, percent, all));
+		const measurements: Measurement[] = [];
+		for (let repetition = 0; repetition < repetitions; repetition += 1)
+			measurements.push(await measureOnce(cluster, (capacityPerS * percent) / 100));
+		rows.push(row(sharingMode, percent, measurements));
 	}
 	await cluster.close();
 	return rows;
@@ -88,7 +92,7 @@
 /** `npm run measure -- slots`. */
 export async function measureSlots(): Promise<void> {
 	const rows: report.Row[] = [];
-	for (const way of ways) rows.push(...(await oneWay(way)));
-	const note = `minimum / median / maximum of ${turns} turns; 3 entry boxes with 60, 30 and 10% of the callers; capacity ${capacity}/s; deadline 1 s`;
-	report.keep({ name: 'slots', note, seeds: [], rows });
+	for (const sharingMode of sharingModes) rows.push(...(await measureMode(sharingMode)));
+	const note = `minimum / median / maximum of ${repetitions} turns; 3 entry boxes with 60, 30 and 10% of the callers; capacity ${capacityPerS}/s; deadline 1 s`;
+	report.printAndSave({ name: 'slots', note, seeds: [], rows });
 }
--- a/dev/processes.ts
+++ b/dev/processes.ts
@@ -5,22 +5,22 @@
 import * as url from 'node:url';
 
 /** A started process. */
-export interface Started {
+export interface StartedProcess {
 	name: string;
 	child: childProcess.ChildProcess;
 	/** Lines of standard output that were JSON objects, in order. */
-	lines: Record<string, unknown>[];
+	jsonLines: Record<string, unknown>[];
 	/** Emits `line` with each new JSON line. */
-	bus: events.EventEmitter;
+	lineEmitter: events.EventEmitter;
 	/** Everything written to standard error. */
-	errors: string[];
+	stderrLines: string[];
 }
 
-const dist = new URL('..', import.meta.url);
+const distUrl = new URL('..', import.meta.url);
 
 /** Path of a compiled program, e.g. `stand-ins/platform/main.js`. */
-export function program(relative: string): string {
-	return url.fileURLToPath(new URL(relative, dist));
+export function programPath(relative: string): string {
+	return url.fileURLToPath(new URL(relative, distUrl));
 }
 
 /** Starts a compiled program with Node; `DEV_NODE_FLAGS` adds Node's own flags, e.g. for a profile. */
@@ -29,71 +29,77 @@
 	relative: string,
 	args: string[] = [],
 	env: Record<string, string> = {},
-): Started {
+): StartedProcess {
 	const flags = (process.env.DEV_NODE_FLAGS ?? '').split(' ').filter((flag) => flag.length > 0);
-	const child = childProcess.spawn(process.execPath, [...flags, program(relative), ...args], {
+	const child = childProcess.spawn(process.execPath, [...flags, programPath(relative), ...args], {
 		env: { ...process.env, ...env },
 		stdio: ['ignore', 'pipe', 'pipe'],
 	});
-	const started: Started = { name, child, lines: [], bus: new events.EventEmitter(), errors: [] };
-	started.bus.setMaxListeners(100);
+	const started: StartedProcess = {
+		name,
+		child,
+		jsonLines: [],
+		lineEmitter: new events.EventEmitter(),
+		stderrLines: [],
+	};
+	started.lineEmitter.setMaxListeners(100);
 	readline.createInterface({ input: child.stdout }).on('line', (line) => {
-		take(started, line);
+		recordLine(started, line);
 	});
-	readline.createInterface({ input: child.stderr }).on('line', (line) => started.errors.push(line));
-	child.on('exit', () => started.bus.emit('line', { exited: true }));
+	readline.createInterface({ input: child.stderr }).on('line', (line) => started.stderrLines.push(line));
+	child.on('exit', () => started.lineEmitter.emit('line', { exited: true }));
 	return started;
 }
 
-function take(started: Started, line: string): void {
+function recordLine(started: StartedProcess, line: string): void {
 	if (!line.startsWith('{')) return;
 	const value = JSON.parse(line) as Record<string, unknown>;
-	started.lines.push(value);
-	started.bus.emit('line', value);
+	started.jsonLines.push(value);
+	started.lineEmitter.emit('line', value);
 }
 
 /** Resolves with the first line that `wanted` accepts, past or future; rejects when the process ends or time runs out. */
-export function waitLine(
-	started: Started,
-	wanted: (line: Record<string, unknown>) => boolean,
+export function waitForLine(
+	started: StartedProcess,
+	matches: (line: Record<string, unknown>) => boolean,
 	timeoutMs = 20_000,
 ): Promise<Record<string, unknown>> {
-	const past = started.lines.find(wanted);
-	if (past !== undefined) return Promise.resolve(past);
+	const earlier = started.jsonLines.find(matches);
+	if (earlier !== undefined) return Promise.resolve(earlier);
 	return new Promise((resolve, reject) => {
-		const done = (err: Error | undefined, line: Record<string, unknown>): void => {
+		const finish = (err: Error | undefined, line: Record<string, unknown>): void => {
 			clearTimeout(timer);
-			started.bus.off('line', look);
+			started.lineEmitter.off('line', onLine);
 			if (err) reject(err);
 			else resolve(line);
 		};
-		const look = (line: Record<string, unknown>): void => {
-			if (wanted(line)) done(undefined, line);
+		const onLine = (line: Record<string, unknown>): void => {
+			if (matches(line)) finish(undefined, line);
 			else if (line.exited === true)
-				done(new Error(`${started.name} ended: ${started.errors.join('\n')}`), line);
+				finish(new Error(`${started.name} ended: ${started.stderrLines.join('\n')}`), line);
 		};
 		const timer = setTimeout(() => {
-			done(new Error(`${started.name}: awaited line did not come within ${timeoutMs} ms`), {});
+			finish(new Error(`${started.name}: awaited line did not come within ${timeoutMs} ms`), {});
 		}, timeoutMs);
-		started.bus.on('line', look);
+		started.lineEmitter.on('line', onLine);
 	});
 }
 
 /** The address a stand-in announced. */
-export async function readyAddress(started: Started): Promise<string> {
-	const line = await waitLine(started, (one) => typeof one.ready === 'string');
+export async function readyAddress(started: StartedProcess): Promise<string> {
+	const line = await waitForLine(started, (jsonLine) => typeof jsonLine.ready === 'string');
 	return String(line.ready);
 }
 
 /** The addresses of a program of the system, from its event 1001. */
-export async function startedAddresses(started: Started): Promise<{ peer: string; serves: string }> {
-	const line = await waitLine(started, (one) => one.name === 'process.started');
+export async function startedAddresses(started: StartedProcess): Promise<{ peer: string; serves: string }> {
+	const line = await waitForLine(started, (jsonLine) => jsonLine.name === 'process.started');
 	const fields = line.fields as Record<string, string>;
 	return { peer: fields.peer ?? '', serves: fields.serves ?? '' };
 }
 
 /** Asks a process to stop and resolves with its exit code (null after a signal). */
-export function stop(started: Started, signal: NodeJS.Signals = 'SIGTERM'): Promise<number | null> {
+export function stop(started: StartedProcess, signal: NodeJS.Signals = 'SIGTERM'): Promise<number | null> {
 	if (started.child.exitCode !== null || started.child.signalCode !== null) {
 		return Promise.resolve(started.child.exitCode);
 	}
--- a/dev/random.ts
+++ b/dev/random.ts
@@ -1,7 +1,7 @@
 /** Random numbers that a seed repeats. */
 
 /** Numbers from 0 up to 1, by the minimal standard generator. */
-export function seeded(seed: number): () => number {
+export function seededRandom(seed: number): () => number {
 	let state = seed * 7919 + 1;
 	return () => {
 		state = (state * 48_271) % 2_147_483_647;
@@ -10,15 +10,15 @@
 }
 
 /** A whole number from `least` to `most`. */
-export function between(random: () => number, least: number, most: number): number {
-	return least + Math.floor(random() * (most - least + 1));
+export function randomInteger(random: () => number, min: number, max: number): number {
+	return min + Math.floor(random() * (max - min + 1));
 }
 
 /** One of several. */
-export function pick<T>(random: () => number, from: readonly T[]): T {
-	const one = from[Math.floor(random() * from.length)];
-	if (one === undefined) throw new Error('nothing to pick from');
-	return one;
+export function pick<T>(random: () => number, items: readonly T[]): T {
+	const item = items[Math.floor(random() * items.length)];
+	if (item === undefined) throw new Error('nothing to pick from');
+	return item;
 }
 
 /** A number for a text, the same every time. */
--- a/dev/soak/box-faults.ts
+++ b/dev/soak/box-faults.ts
@@ -50,7 +50,7 @@
 	environment: environments.Environment,
 	nextRandom: () => number,
 ): Promise<string> {
-	const count = random.between(nextRandom, 1, maxKills);
+	const count = random.randomInteger(nextRandom, 1, maxKills);
 	const areOthersCutOff = nextRandom() < cutOffFraction;
 	const killed: string[] = [];
 	for (let index = 0; index < count; index += 1) {
@@ -65,7 +65,7 @@
 			if (areOthersCutOff) await environment.sleep(cutOffMs);
 			for (const undo of undos) undo();
 		}
-		await environment.sleep(random.between(nextRandom, minOwnedMs, maxOwnedMs));
+		await environment.sleep(random.randomInteger(nextRandom, minOwnedMs, maxOwnedMs));
 	}
 	return killed.length === 0 ? notInjected : killed.join(', ');
 }
@@ -90,7 +90,7 @@
 	environment: environments.Environment,
 	nextRandom: () => number,
 ): Promise<string> {
-	const count = random.between(nextRandom, 2, maxStops);
+	const count = random.randomInteger(nextRandom, 2, maxStops);
 	const stopped: string[] = [];
 	for (let index = 0; index < count; index += 1) stopped.push(await stop(environment, nextRandom));
 	return stopped.join(', ');
--- a/dev/soak/callers.ts
+++ b/dev/soak/callers.ts
@@ -142,9 +142,9 @@
 /** Makes a job of one to three steps in sequence. */
 function makeJob(nextRandom: () => number): checkers.SoakJob {
 	const id = crypto.randomBytes(8).toString('hex');
-	const steps = Array.from({ length: random.between(nextRandom, 1, 3) }, (_, number) => ({
-		tasks: random.between(nextRandom, 1, 6),
-		milliCores: random.between(nextRandom, 500, 12_000),
+	const steps = Array.from({ length: random.randomInteger(nextRandom, 1, 3) }, (_, number) => ({
+		tasks: random.randomInteger(nextRandom, 1, 6),
+		milliCores: random.randomInteger(nextRandom, 500, 12_000),
 		after: number === 0 ? [] : [number - 1],
 	}));
 	const times = { sentAt: 0, acceptedAt: 0, lastProgressAt: 0 };
--- a/dev/soak/crashing.ts
+++ b/dev/soak/crashing.ts
@@ -25,12 +25,12 @@
 
 /** Whether a job's first task crashes its workers. */
 export function isCrashing(job: string): boolean {
-	return random.seeded(random.hash(`${job} crashes`))() < crashingFraction;
+	return random.seededRandom(random.hash(`${job} crashes`))() < crashingFraction;
 }
 
 /** Delay between the start of a task and the crash of its worker, in milliseconds. Undefined: the task does not crash it. */
 export function crashMsOf(task: string): number | undefined {
 	const [job = ''] = task.split('.');
 	if (!isCrashing(job) || !task.endsWith('.0.0.0')) return undefined;
-	return random.pick(random.seeded(random.hash(job)), crashDelaysMs);
+	return random.pick(random.seededRandom(random.hash(job)), crashDelaysMs);
 }
--- a/dev/soak/delayed-callers.ts
+++ b/dev/soak/delayed-callers.ts
@@ -43,7 +43,7 @@
 		const box = random.pick(nextRandom, environment.boxes);
 		const connection = box.process && (await DelayedConnection.create(box.process.callers, delayMs));
 		if (box.process === undefined || connection === undefined)
-			await environment.sleep(random.between(nextRandom, 0, minIdleMs));
+			await environment.sleep(random.randomInteger(nextRandom, 0, minIdleMs));
 		else await useConnection(opts, box, box.process, connection);
 	}
 }
@@ -56,7 +56,7 @@
 	connection: DelayedConnection,
 ): Promise<void> {
 	const { environment, checker, nextRandom, until } = opts;
-	await environment.sleep(random.between(nextRandom, 0, maxIdleBeforeFirstMs));
+	await environment.sleep(random.randomInteger(nextRandom, 0, maxIdleBeforeFirstMs));
 	while (environment.now() < until && !connection.hasEnded) {
 		const outcome = await connection.request(environments.firstQueue);
 		if (outcome === 'cut' && box.stopping === process)
@@ -65,7 +65,7 @@
 				`${box.name} GET ${environments.firstQueue}, from ${connection.delayMs} ms away`,
 			);
 		if (outcome !== 'answered') break;
-		await environment.sleep(random.between(nextRandom, minIdleMs, maxIdleMs));
+		await environment.sleep(random.randomInteger(nextRandom, minIdleMs, maxIdleMs));
 	}
 	connection.close();
 }
--- a/dev/soak/faults.ts
+++ b/dev/soak/faults.ts
@@ -132,7 +132,7 @@
 		const name = random.pick(nextRandom, Object.keys(faults));
 		const durationMs = durationMsOf(environment, nextRandom, name, until);
 		pendingFaults.push(injectOne(name, environment, nextRandom, durationMs, logFault));
-		await environment.sleep(random.between(nextRandom, minIntervalMs, maxIntervalMs));
+		await environment.sleep(random.randomInteger(nextRandom, minIntervalMs, maxIntervalMs));
 	}
 	await Promise.all(pendingFaults);
 }
@@ -144,10 +144,10 @@
 	name: string,
 	until: number,
 ): number {
-	const shortMs = random.between(nextRandom, minFaultMs, maxFaultMs);
+	const shortMs = random.randomInteger(nextRandom, minFaultMs, maxFaultMs);
 	if (environment.faults === 1) return shortMs;
 	const isLong = nextRandom() < longFraction;
-	const longMs = random.between(nextRandom, minLongFaultMs, maxLongFaultMs);
+	const longMs = random.randomInteger(nextRandom, minLongFaultMs, maxLongFaultMs);
 	const isInTime = environment.now() + longMs < until + maxFaultMs;
 	return isLong && isInTime && longFaultNames.test(name) ? longMs : shortMs;
 }
@@ -171,7 +171,7 @@
 	environment: environments.Environment,
 	nextRandom: () => number,
 ): Promise<string> {
-	const count = random.between(nextRandom, 2, maxQueueChanges);
+	const count = random.randomInteger(nextRandom, 2, maxQueueChanges);
 	const changedQueues: string[] = [];
 	for (let index = 0; index < count; index += 1) {
 		const dropped =
@@ -186,7 +186,7 @@
 			environment.dropQueue(dropped);
 			changedQueues.push(`-${dropped}`);
 		}
-		await environment.sleep(random.between(nextRandom, 0, maxChangeIntervalMs));
+		await environment.sleep(random.randomInteger(nextRandom, 0, maxChangeIntervalMs));
 	}
 	return changedQueues.join(' ');
 }
--- a/dev/soak/link-faults.ts
+++ b/dev/soak/link-faults.ts
@@ -40,7 +40,7 @@
 	}),
 	...linkFaults('third-link', (environment, nextRandom) => {
 		const box = pickBox(environment, nextRandom);
-		const first = random.between(nextRandom, 0, environment.workers.length - 1);
+		const first = random.randomInteger(nextRandom, 0, environment.workers.length - 1);
 		const count = Math.ceil(environment.workers.length * workersFraction);
 		const rotated = [...environment.workers.slice(first), ...environment.workers];
 		return linksFromBox(environment, box, rotated.slice(0, count));
@@ -90,7 +90,7 @@
 		[`${link}-one-way`]: makeFault(() => ({ kind: 'drop-answers' })),
 		[`${link}-slow`]: makeFault((nextRandom) => ({
 			kind: 'delay',
-			ms: random.between(nextRandom, minDelayMs, maxDelayMs),
+			ms: random.randomInteger(nextRandom, minDelayMs, maxDelayMs),
 		})),
 	};
 }
--- a/dev/soak/main.ts
+++ b/dev/soak/main.ts
@@ -72,7 +72,7 @@
  */
 async function runConcurrently(seedOptions: soak.SoakOptions[], atOnce: number): Promise<number> {
 	let broken = 0;
-	await workQueue.workOff(seedOptions, atOnce, async (opts) => {
+	await workQueue.forEachConcurrently(seedOptions, atOnce, async (opts) => {
 		if (!(await runInProcess(opts))) broken += 1;
 	});
 	return broken;
--- a/dev/soak/soak.ts
+++ b/dev/soak/soak.ts
@@ -62,14 +62,14 @@
 export async function runSeed(opts: SoakOptions): Promise<checkers.Violation[]> {
 	const startedAt = clocks.systemClock.now();
 	const seconds = (): number => Math.round((clocks.systemClock.now() - startedAt) / 10) / 100;
-	const nextRandom = random.seeded(opts.seed);
+	const nextRandom = random.seededRandom(opts.seed);
 	const checker = checkers.InvariantChecker.create(seconds, environments.hasCrashingTasks(opts.faults));
 	const plan = plannerFor(opts.faults);
 	const environment = await environments.Environment.create({
 		...opts,
 		checker,
 		plan,
-		nextRandom: random.seeded(opts.seed + 2),
+		nextRandom: random.seededRandom(opts.seed + 2),
 	});
 	const until = clocks.systemClock.now() + opts.seconds * 1_000;
 	const detector = lostJobs.LostJobDetector.create({
@@ -81,7 +81,7 @@
 	const callersOptions: callers.CallersOptions = {
 		environment,
 		checker,
-		nextRandom: random.seeded(opts.seed + 1),
+		nextRandom: random.seededRandom(opts.seed + 1),
 		until,
 		isWaitOver,
 	};
@@ -99,7 +99,12 @@
 	const delayedCallersDone = Array.from(
 		{ length: environments.hasDelayedCallers(opts.faults) ? delayedCallersCount : 0 },
 		(_, number) =>
-			delayedCallers.call({ environment, checker, nextRandom: random.seeded(opts.seed + 3 + number), until }),
+			delayedCallers.call({
+				environment,
+				checker,
+				nextRandom: random.seededRandom(opts.seed + 3 + number),
+				until,
+			}),
 	);
 	await Promise.all([
 		injectionDone,
@@ -124,13 +129,14 @@
 function plannerFor(faultSet: environments.FaultSet): (task: string, run: number) => FinitePlan {
 	return (task, run) => {
 		// Never the last attempt: the job would fail, and callers report a failed job as lost.
-		const fails = random.seeded(random.hash(`${task} ${run}`))() < failingFraction && run % maxAttempts === 1;
-		const nextRandom = random.seeded(random.hash(task));
+		const fails =
+			random.seededRandom(random.hash(`${task} ${run}`))() < failingFraction && run % maxAttempts === 1;
+		const nextRandom = random.seededRandom(random.hash(task));
 		const isLongRunning =
-			faultSet !== 1 && random.seeded(random.hash(`${task} lasts`))() < longRunningFraction;
+			faultSet !== 1 && random.seededRandom(random.hash(`${task} lasts`))() < longRunningFraction;
 		const { shortest, longest } = isLongRunning ? longRunningMs : runMsBySet[faultSet];
 		const plan: FinitePlan = {
-			ms: random.between(nextRandom, shortest, longest),
+			ms: random.randomInteger(nextRandom, shortest, longest),
 			how: fails ? 'failed' : 'done',
 		};
 		const crashAfterMs = environments.hasCrashingTasks(faultSet) ? crashing.crashMsOf(task) : undefined;
--- a/dev/soak/worker-faults.ts
+++ b/dev/soak/worker-faults.ts
@@ -11,7 +11,7 @@
 
 /** Crashes some workers. Their next incarnations start at the same addresses. */
 function crashWorkers(environment: environments.Environment, nextRandom: () => number): string {
-	const count = random.between(nextRandom, 1, Math.min(maxCrashed, environment.workers.length));
+	const count = random.randomInteger(nextRandom, 1, Math.min(maxCrashed, environment.workers.length));
 	const crashed = Array.from({ length: count }, () => random.pick(nextRandom, environment.workers));
 	const crashedNames = crashed.map((worker) => {
 		const previousId = worker.id;
@@ -45,7 +45,7 @@
 ): Promise<string> {
 	const crashedNames = crashWorkers(environment, nextRandom);
 	const triggerReread = random.pick(nextRandom, rereadTriggers);
-	await environment.sleep(random.between(nextRandom, 0, staleEntryMs));
+	await environment.sleep(random.randomInteger(nextRandom, 0, staleEntryMs));
 	return `${crashedNames}, ${await triggerReread(environment, nextRandom, durationMs)}`;
 }
 
@@ -64,7 +64,7 @@
 	durationMs: number,
 ): Promise<string> {
 	const worker = random.pick(nextRandom, environment.workers);
-	const milliCores = random.between(nextRandom, minReducedMilliCores, maxReducedMilliCores);
+	const milliCores = random.randomInteger(nextRandom, minReducedMilliCores, maxReducedMilliCores);
 	if (worker.reducedCapacity !== undefined) return boxFaults.notInjected;
 	await environment.reduceCapacity(worker, milliCores, durationMs + extraReducedMs);
 	return `${worker.id} to ${String(milliCores)}`;
@@ -92,15 +92,15 @@
 	environment: environments.Environment,
 	nextRandom: () => number,
 ): Promise<string> {
-	const count = random.between(nextRandom, 1, Math.min(maxCrashed, environment.workers.length));
+	const count = random.randomInteger(nextRandom, 1, Math.min(maxCrashed, environment.workers.length));
 	const names: string[] = [];
 	for (let index = 0; index < count; index += 1) {
 		const { id } = random.pick(nextRandom, environment.workers);
 		const incarnation = environment.platform.fleet.workers.get(id);
 		if (incarnation === undefined) continue;
-		environment.crashWorker(incarnation, random.between(nextRandom, 1, maxDownMs));
+		environment.crashWorker(incarnation, random.randomInteger(nextRandom, 1, maxDownMs));
 		names.push(id);
-		if (nextRandom() < 0.5) await environment.sleep(random.between(nextRandom, 1, maxDownMs));
+		if (nextRandom() < 0.5) await environment.sleep(random.randomInteger(nextRandom, 1, maxDownMs));
 	}
 	return names.length === 0 ? boxFaults.notInjected : names.join(', ');
 }
--- a/spec/run.ts
+++ b/spec/run.ts
@@ -69,7 +69,7 @@
 	queue.sort((a, b) => (expected[b.index]?.states ?? 0) - (expected[a.index]?.states ?? 0));
 	let failed = 0;
 	const atOnce = Math.min(maxThreads, os.availableParallelism());
-	await workingOff.workOff(queue, atOnce, async ({ check, index }) => {
+	await workingOff.forEachConcurrently(queue, atOnce, async ({ check, index }) => {
 		const { verdict, ms } = await explored(index);
 		const counted = count(check.name, verdict);
 		results[index] = counted;
--- a/stand-ins/fleet/load-patterns.ts
+++ b/stand-ins/fleet/load-patterns.ts
@@ -134,7 +134,7 @@
 	const shape = loadShapes[name];
 	if (shape === undefined) throw new Error(`no load is called '${name}'`);
 	const { mix = printingMix } = shape;
-	const next = random.seeded(seed);
+	const next = random.seededRandom(seed);
 	const initialJobs = Math.round(workers * initialJobsPerWorker);
 	const arrivals: Arrival[] = [];
 	for (let index = 0; index < initialJobs; index += 1)
@@ -197,18 +197,25 @@
 
 function createSteps(kind: WorkKind, mix: JobMix, next: () => number): jobs.StepSpec[] {
 	if (kind === 'lasting') {
-		const image = `serving-${String(random.between(next, 1, 16))}`;
-		const milliCores = random.between(next, ...mix.lastingMilliCores);
+		const image = `serving-${String(random.randomInteger(next, 1, 16))}`;
+		const milliCores = random.randomInteger(next, ...mix.lastingMilliCores);
 		return [
-			{ ...defaultStep, count: random.between(next, 12, 36), milliCores, lasting: true, image, targetMs },
+			{
+				...defaultStep,
+				count: random.randomInteger(next, 12, 36),
+				milliCores,
+				lasting: true,
+				image,
+				targetMs,
+			},
 		];
 	}
 	const isWide = kind === 'wide';
-	const count = random.between(next, ...(isWide ? mix.wideTaskCount : mix.urgentTaskCount));
-	const milliCores = random.between(next, ...(isWide ? mix.wideMilliCores : mix.urgentMilliCores));
-	const image = isWide ? `filling-${String(random.between(next, 1, 30))}` : '';
+	const count = random.randomInteger(next, ...(isWide ? mix.wideTaskCount : mix.urgentTaskCount));
+	const milliCores = random.randomInteger(next, ...(isWide ? mix.wideMilliCores : mix.urgentMilliCores));
+	const image = isWide ? `filling-${String(random.randomInteger(next, 1, 30))}` : '';
 	const spec = { ...defaultStep, count, milliCores, image, fills: isWide, checkpoints: isWide };
-	const steps = isWide ? 2 : random.between(next, 1, 2);
+	const steps = isWide ? 2 : random.randomInteger(next, 1, 2);
 	return Array.from({ length: steps }, (_, i) => ({ ...spec, after: i === 0 ? [] : [i - 1] }));
 }
 
--- a/test/crashing-tasks.test.ts
+++ b/test/crashing-tasks.test.ts
@@ -215,7 +215,7 @@
 
 for (const unresponsive of [false, true])
 	test(`workers that crash at random, ${unresponsive ? 'without power' : 'alone or three at a time'}, make no job fail`, async (t) => {
-		const draw = random.seeded(unresponsive ? 2 : 1);
+		const draw = random.seededRandom(unresponsive ? 2 : 1);
 		const environment = createCrashEnvironment(10);
 		const { clock, fleet } = environment;
 		const succession = await OwnerSuccession.start(environment);
--- a/test/interference-under-faults.test.ts
+++ b/test/interference-under-faults.test.ts
@@ -67,10 +67,10 @@
 
 /** Runs one seed; returns the SLO violations that were too long. */
 async function runSeed(seed: number): Promise<string[]> {
-	const draw = random.seeded(seed);
+	const draw = random.seededRandom(seed);
 	const environment = fixtures.createEnvironment((task) => {
 		if (task.startsWith('serving')) return { ms: 'endless', how: 'done', reading: undisturbedTailMs };
-		const ms = random.between(random.seeded(random.hash(`${task} ${String(seed)}`)), 500, 8_000);
+		const ms = random.randomInteger(random.seededRandom(random.hash(`${task} ${String(seed)}`)), 500, 8_000);
 		const interference = task.startsWith('loud') ? interferencePerNeighbour : undefined;
 		return { ms, how: 'done', reading: 1_600, interference };
 	});
@@ -84,25 +84,25 @@
 	);
 	await clock.advance(warmUpMs);
 	const watched = new Map([...fleet.workers.values()].map((one) => [one, createWatched()]));
-	const dueAt = { fault: 0, job: 0, owner: random.between(draw, 5_000, maxOwnerIntervalMs) };
+	const dueAt = { fault: 0, job: 0, owner: random.randomInteger(draw, 5_000, maxOwnerIntervalMs) };
 	const violations: string[] = [];
 	const startedAt = clock.now();
 	for (let jobs = 0; clock.now() - startedAt < runMs;) {
 		const now = clock.now() - startedAt;
 		if (now >= dueAt.fault) {
 			injectFault(clock, watched, draw);
-			dueAt.fault = now + random.between(draw, 100, maxFaultIntervalMs);
+			dueAt.fault = now + random.randomInteger(draw, 100, maxFaultIntervalMs);
 		}
 		if (now >= dueAt.job) {
 			jobs += 1;
 			await environment.submit(owner, preemptibleJob(jobs, draw));
-			dueAt.job = now + random.between(draw, 50, maxJobIntervalMs);
+			dueAt.job = now + random.randomInteger(draw, 50, maxJobIntervalMs);
 		}
 		if (now >= dueAt.owner) {
 			owner.dispatcher.close();
-			await clock.advance(random.between(draw, 0, 1_500));
+			await clock.advance(random.randomInteger(draw, 0, 1_500));
 			owner = await takeOver();
-			dueAt.owner = now + random.between(draw, 5_000, maxOwnerIntervalMs);
+			dueAt.owner = now + random.randomInteger(draw, 5_000, maxOwnerIntervalMs);
 		}
 		await clock.advance(checkIntervalMs);
 		for (const [worker, state] of watched) checkWorker(worker, state, clock.now(), violations);
@@ -118,7 +118,7 @@
 	draw: () => number,
 ): void {
 	const [worker, state] = random.pick(draw, [...watched]);
-	const forMs = random.between(draw, 100, maxFaultMs);
+	const forMs = random.randomInteger(draw, 100, maxFaultMs);
 	const fault = random.pick(draw, faults);
 	setFault(worker, fault, true);
 	clock.after(forMs, () => {
@@ -130,7 +130,7 @@
 /** A job of preemptible tasks that interfere with serving tasks or do not. */
 function preemptibleJob(number: number, draw: () => number): ReturnType<typeof fixtures.job> {
 	const image = draw() < 0.5 ? 'loud' : 'quiet';
-	const count = random.between(draw, 1, 6);
+	const count = random.randomInteger(draw, 1, 6);
 	const spec = { milliCores: 1_600, image, fills: true, checkpoints: true, count };
 	return fixtures.job(`${image}${String(number)}`, [fixtures.step(spec)]);
 }
--- a/test/loads.test.ts
+++ b/test/loads.test.ts
@@ -22,7 +22,7 @@
 
 /** Adds reports of all tasks over a time; interference affects each task in turn for two seconds. */
 function addReports(wave: loadWave.LoadWave, from: number, to: number, seed: number): void {
-	const next = random.seeded(seed);
+	const next = random.seededRandom(seed);
 	for (let now = from; now < to; now += reportIntervalMs) {
 		for (let task = 0; task < taskCount; task += 1) {
 			const isDisturbed = Math.floor(now / 2_000) % taskCount === task;
--- a/test/operators.test.ts
+++ b/test/operators.test.ts
@@ -16,7 +16,7 @@
 	schedulersPerZone: 1,
 	backendsPerZone: 1,
 	workersPerZone: 4,
-	schedulerFlags: operate.fastFlags,
+	schedulerFlags: operate.shortTimeoutFlags,
 };
 
 const operators = 10;
@@ -34,7 +34,7 @@
 			);
 			const job = await client.call(
 				'submit',
-				{ specJson: JSON.stringify(operate.batch('same', 2, 300)) },
+				{ specJson: JSON.stringify(operate.batchSpec('same', 2, 300)) },
 				30_000,
 			);
 			const acceptedAt = Date.now();
@@ -51,7 +51,7 @@
 		const by = config.value.history.map((change) => change.by);
 		t.is(new Set(by).size, by.length);
 		t.true(accepted.every((version) => config.value.history.some((change) => change.version === version)));
-		await operate.until(
+		await operate.waitUntil(
 			'in force everywhere',
 			async () => {
 				const res = await client.call('boxes', {});
@@ -60,7 +60,7 @@
 			4000,
 		);
 		t.is(done.filter((one) => one.job.ok && one.job.value.parts[0]?.created === true).length <= 1, true);
-		await operate.reached(client, 'press/same', 'finished');
+		await operate.waitForJobState(client, 'press/same', 'finished');
 		client.close();
 	},
 );
@@ -68,15 +68,16 @@
 test.serial('1,000 tasks are cancelled at once: all stop, other work goes on', async (t) => {
 	const { cluster, client } = await fixtures.startReady(t, options);
 	const small = { needs: { cores: 0.1, memoryMb: 64 } };
-	await operate.submit(client, operate.batch('wave', 1000, 600_000, small));
+	await operate.submit(client, operate.batchSpec('wave', 1000, 600_000, small));
 	const started = (): number =>
-		cluster.workers.flatMap((box) => box.process.lines.filter((line) => line.journal !== undefined)).length;
-	await operate.until('all started', () => started() === 1000);
+		cluster.workers.flatMap((box) => box.process.jsonLines.filter((line) => line.journal !== undefined))
+			.length;
+	await operate.waitUntil('all started', () => started() === 1000);
 	const cancelled = await client.call('cancel', { job: 'press/wave' });
 	t.true(cancelled.ok);
-	await operate.submit(client, operate.batch('other', 2, 100, small));
-	await operate.reached(client, 'press/other', 'finished');
-	await operate.reached(client, 'press/wave', 'cancelled');
+	await operate.submit(client, operate.batchSpec('other', 2, 100, small));
+	await operate.waitForJobState(client, 'press/other', 'finished');
+	await operate.waitForJobState(client, 'press/wave', 'cancelled');
 	const explained = await client.call('explain', { task: 'press/wave/7' });
 	t.true(explained.ok && explained.value.state === 'cancelled');
 	client.close();
@@ -90,10 +91,10 @@
 		if (failingWorker === undefined) return;
 		await clusters.post(failingWorker.address, '/fault', { failAll: true });
 		const names = ['a', 'b', 'c', 'd', 'e', 'f'];
-		for (const name of names) await operate.submit(client, operate.batch(name, 4, 200));
+		for (const name of names) await operate.submit(client, operate.batchSpec(name, 4, 200));
 		const states = async (): Promise<string[]> =>
 			Promise.all(names.map((name) => operate.jobState(client, `press/${name}`)));
-		await operate.until('all jobs finished', async () =>
+		await operate.waitUntil('all jobs finished', async () =>
 			(await states()).every((state) => state === 'finished'),
 		);
 		const status = await client.call('status', { team: '' });
@@ -108,15 +109,15 @@
 test.serial('jobs that can never run: refused at once, or failed for good with the evidence', async (t) => {
 	const { client } = await fixtures.startReady(t, options);
 	const huge = await client.call('submit', {
-		specJson: JSON.stringify(operate.batch('huge', 1, 10, { needs: { cores: 64, memoryMb: 1 } })),
+		specJson: JSON.stringify(operate.batchSpec('huge', 1, 10, { needs: { cores: 64, memoryMb: 1 } })),
 	});
 	t.is(huge.ok ? 'accepted' : huge.err.name, 'NeverFits');
 	const broken = await client.call('submit', {
 		specJson: '{"team": "press", "name": "x", "kind": "batch", "tasks": 0}',
 	});
 	t.snapshot(broken.ok ? 'accepted' : broken.err.message);
-	await operate.submit(client, operate.batch('fails', 1, 100, { run: { fails: true } }));
-	await operate.reached(client, 'press/fails', 'failed');
+	await operate.submit(client, operate.batchSpec('fails', 1, 100, { run: { fails: true } }));
+	await operate.waitForJobState(client, 'press/fails', 'failed');
 	const explained = await client.call('explain', { task: 'press/fails/0' });
 	t.true(explained.ok);
 	const failures = explained.ok ? explained.value.failures : [];
@@ -128,7 +129,7 @@
 	'a peer that sends nonsense is cut off and told of in the log; the process goes on',
 	async (t) => {
 		const { cluster, client } = await fixtures.startReady(t, options);
-		const program = cluster.of('scheduler')[0];
+		const program = cluster.programsOf('scheduler')[0];
 		if (program === undefined) return;
 		const tooLong = Buffer.from([0xff, 0xff, 0xff, 0xff, 1]);
 		const notCbor = Buffer.concat([Buffer.from([0, 0, 0, 2]), Buffer.from([0xff, 0xff])]);
@@ -141,15 +142,15 @@
 		});
 		for (const bytes of [tooLong, notCbor, notEnvelope, badRequest]) await sendRaw(program.peer, bytes);
 		const reasons = (): string[] =>
-			program.process.lines
+			program.process.jsonLines
 				.filter((line) => line.name === 'wire.rejected')
 				.map((line) => (line.fields as { reason: string }).reason);
 		// The log and the connections reach this process independently of each other; a fifth line would show in the
 		// snapshot.
-		await operate.until('every connection is told of', () => Promise.resolve(reasons().length >= 4));
+		await operate.waitUntil('every connection is told of', () => Promise.resolve(reasons().length >= 4));
 		t.snapshot(reasons());
-		await operate.submit(client, operate.batch('after', 1, 10));
-		await operate.reached(client, 'press/after', 'finished');
+		await operate.submit(client, operate.batchSpec('after', 1, 10));
+		await operate.waitForJobState(client, 'press/after', 'finished');
 		client.close();
 	},
 );
@@ -174,7 +175,7 @@
 ): Promise<{ code: number | null; errors: string[] }> {
 	const started = processes.start('binary', relative, args);
 	const code = await new Promise<number | null>((resolve) => started.child.once('close', resolve));
-	return { code, errors: started.errors };
+	return { code, errors: started.stderrLines };
 }
 
 test('a bad setting names itself, the value and what was expected, and exits 2', async (t) => {
--- a/test/platform-failures.test.ts
+++ b/test/platform-failures.test.ts
@@ -12,7 +12,7 @@
 	schedulersPerZone: 2,
 	backendsPerZone: 2,
 	workersPerZone: 3,
-	schedulerFlags: operate.fastFlags,
+	schedulerFlags: operate.shortTimeoutFlags,
 };
 
 /**
@@ -56,15 +56,15 @@
 	'the platform is down: callers are served, operators get true answers, tasks resume once',
 	async (t) => {
 		const { cluster, client } = await fixtures.startReady(t, clusterOptions);
-		await operate.submit(client, operate.batch('night', taskCount, 4000));
-		const [entry] = cluster.of('entry');
+		await operate.submit(client, operate.batchSpec('night', taskCount, 4000));
+		const [entry] = cluster.programsOf('entry');
 		if (entry === undefined) return;
 		await callers.waitUntilReady(entry);
 		await cluster.platformFault({ down: true });
 		const downAt = Date.now();
 		const submitted = client.call(
 			'submit',
-			{ specJson: JSON.stringify(operate.batch('later', 1, 100)) },
+			{ specJson: JSON.stringify(operate.batchSpec('later', 1, 100)) },
 			20_000,
 		);
 		const set = client.call(
@@ -82,7 +82,7 @@
 			names.join(),
 		);
 		await cluster.platformFault({});
-		await operate.reached(client, 'press/night', 'finished');
+		await operate.waitForJobState(client, 'press/night', 'finished');
 		if (!submitRes.ok && submitRes.err.name !== 'OutcomeUnknown')
 			t.is(await operate.jobState(client, 'press/later'), '');
 		if (!setRes.ok && setRes.err.name === 'PlatformUnavailable') {
@@ -102,11 +102,11 @@
 	};
 	const before = await epoch();
 	await cluster.platformFault({ dropAnswerEvery: 2 });
-	await operate.submit(client, operate.batch('night', taskCount, 500));
-	await operate.reached(client, 'press/night', 'finished');
+	await operate.submit(client, operate.batchSpec('night', taskCount, 500));
+	await operate.waitForJobState(client, 'press/night', 'finished');
 	// Reading back determines the outcome of each append: no owner gives up the shard because of a lost answer.
 	t.is(await epoch(), before);
-	const again = await operate.submit(client, operate.batch('night', taskCount, 500));
+	const again = await operate.submit(client, operate.batchSpec('night', taskCount, 500));
 	t.deepEqual(
 		again.parts.map((part) => part.created),
 		[false],
@@ -118,8 +118,12 @@
 test.serial('the platform answers after 2 s: the job still finishes, nothing runs twice', async (t) => {
 	const { cluster, client } = await fixtures.startReady(t, clusterOptions);
 	await cluster.platformFault({ writeMs: 2000, readMs: 500 });
-	await client.call('submit', { specJson: JSON.stringify(operate.batch('night', taskCount, 500)) }, 20_000);
-	await operate.reached(client, 'press/night', 'finished', 60_000);
+	await client.call(
+		'submit',
+		{ specJson: JSON.stringify(operate.batchSpec('night', taskCount, 500)) },
+		20_000,
+	);
+	await operate.waitForJobState(client, 'press/night', 'finished', 60_000);
 	client.close();
 	checkRuns(t, cluster);
 });
@@ -135,7 +139,7 @@
 		seenVersion: 0,
 	});
 	t.true(set.ok);
-	await operate.until('in force everywhere', async () => {
+	await operate.waitUntil('in force everywhere', async () => {
 		const res = await client.call('boxes', {});
 		return res.ok && res.value.boxes.every((box) => box.configVersion === 1);
 	});
@@ -152,17 +156,19 @@
 			{ ...clusterOptions, zones, schedulersPerZone: 1, workersPerZone: 2 },
 			(from, to) => (to === 'platform' ? from : undefined),
 		);
-		await operate.submit(client, operate.batch('night', taskCount, 4000, { zones: ['brest'] }));
-		await operate.submit(client, { ...operate.batch('web', 2, 0), kind: 'service', run: {} });
-		const brest = cluster.of('entry', 'brest')[0];
-		const rennes = cluster.of('entry', 'rennes')[0];
+		await operate.submit(client, operate.batchSpec('night', taskCount, 4000, { zones: ['brest'] }));
+		await operate.submit(client, { ...operate.batchSpec('web', 2, 0), kind: 'service', run: {} });
+		const brest = cluster.programsOf('entry', 'brest')[0];
+		const rennes = cluster.programsOf('entry', 'rennes')[0];
 		if (brest === undefined || rennes === undefined) return;
 		await Promise.all([brest, rennes].map(callers.waitUntilReady));
 		// Brest is cut off from the platform. All processes of rennes are frozen, which to brest is a cut as well.
 		const rennesProcesses = [...cluster.programs, ...cluster.backends, ...cluster.workers].filter(
 			(one) => one.zone === 'rennes',
 		);
-		for (const program of cluster.of('entry', 'brest').concat(cluster.of('scheduler', 'brest')))
+		for (const program of cluster
+			.programsOf('entry', 'brest')
+			.concat(cluster.programsOf('scheduler', 'brest')))
 			linkProxies.get(program.box)?.set({ kind: 'cut' });
 		for (const one of rennesProcesses) one.process.child.kill('SIGSTOP');
 		const cutAt = Date.now();
@@ -171,8 +177,8 @@
 		for (const one of rennesProcesses) one.process.child.kill('SIGCONT');
 		for (const proxy of linkProxies.values()) proxy.set({ kind: 'pass' });
 		t.is((await callers.sendRequest(rennes, { body: Buffer.from('proof') })).status, 200);
-		await operate.reached(client, 'press/night', 'finished', 60_000);
-		await operate.settled(client);
+		await operate.waitForJobState(client, 'press/night', 'finished', 60_000);
+		await operate.waitUntilShardsReady(client);
 		t.is(await operate.jobState(client, 'press/web'), 'active');
 		client.close();
 		const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
--- a/test/requests.test.ts
+++ b/test/requests.test.ts
@@ -14,7 +14,7 @@
 	schedulersPerZone: 1,
 	backendsPerZone: 3,
 	workersPerZone: 1,
-	schedulerFlags: operate.fastFlags,
+	schedulerFlags: operate.shortTimeoutFlags,
 };
 
 const callerCount = 200;
@@ -32,7 +32,7 @@
 ): Promise<clusters.Cluster> {
 	const cluster = await clusters.Cluster.create({ ...clusterOptions, ...extra });
 	t.teardown(() => cluster.close());
-	await Promise.all(cluster.of('entry').map(callers.waitUntilReady));
+	await Promise.all(cluster.programsOf('entry').map(callers.waitUntilReady));
 	return cluster;
 }
 
@@ -40,7 +40,7 @@
 	'200 callers at once with distinct bodies of up to 1 MB each get their own complete answer',
 	async (t) => {
 		const cluster = await start(t);
-		const [first, second] = firstTwo(cluster.of('entry'));
+		const [first, second] = firstTwo(cluster.programsOf('entry'));
 		const wholeAnswers = Array.from({ length: callerCount }, async (_, index) => {
 			const size = Math.round((maxBodyBytes * (index + 1)) / callerCount);
 			const body = callers.seededBytes(`caller ${index}`, size);
@@ -79,7 +79,7 @@
 		`a backend server disconnects ${point} its answer: never a truncated answer, never a false "not run"`,
 		async (t) => {
 			const cluster = await start(t);
-			const [entry] = firstTwo(cluster.of('entry'));
+			const [entry] = firstTwo(cluster.programsOf('entry'));
 			const breakAll = { breakNext: point, breakCount: 1 };
 			await Promise.all(cluster.backends.map((box) => clusters.post(box.address, '/fault', breakAll)));
 			const headers = { 'x-request-id': 'one-booking' };
@@ -95,7 +95,7 @@
 			// Two backend servers still break off their next answer; the retry budget allows one more attempt.
 			t.true(safe.status === 200 ? safe.body.toString() === 'proof' : safe.problem?.mayHaveRun === true);
 			await Promise.all(cluster.backends.map((box) => clusters.post(box.address, '/fault', {})));
-			await operate.until(
+			await operate.waitUntil(
 				'whole answers again',
 				async () => (await callers.sendRequest(entry, { body: Buffer.from('x') })).body.toString() === 'x',
 			);
@@ -108,7 +108,7 @@
 	'a truncated large answer ends the connection: the caller never presumes it complete',
 	async (t) => {
 		const cluster = await start(t);
-		const [entry] = firstTwo(cluster.of('entry'));
+		const [entry] = firstTwo(cluster.programsOf('entry'));
 		const whole = await callers.sendRequest(entry, { path: '/proof?size=3000000', body: Buffer.from('a') });
 		t.is(whole.body.length, 3_000_000);
 		await Promise.all(
@@ -125,9 +125,9 @@
 	'a keyed request runs at most once, however often it is repeated through other boxes',
 	async (t) => {
 		const cluster = await start(t);
-		const [first, second] = firstTwo(cluster.of('entry'));
-		const client = operate.operatorOf(cluster);
-		await operate.settled(client);
+		const [first, second] = firstTwo(cluster.programsOf('entry'));
+		const client = operate.connectToOperator(cluster);
+		await operate.waitUntilShardsReady(client);
 		client.close();
 		const body = Buffer.from('confirm slot 14');
 		const headersOf = (key: string): Record<string, string> => ({
@@ -168,7 +168,7 @@
 			cluster.backends.map((box) => clusters.post(box.address, '/fault', { serviceMs: 300 })),
 		);
 		const interrupted = callers.sendRequest(first, { body, headers: headersOf('k3') });
-		await operate.until('the request running', () =>
+		await operate.waitUntil('the request running', () =>
 			callers.backendRuns(cluster).some((run) => run.key === 'k3'),
 		);
 		await clusters.kill(first.process);
@@ -186,9 +186,9 @@
 	'the platform is down: keyed requests are answered "not run" and do not run, others are served',
 	async (t) => {
 		const cluster = await start(t);
-		const [entry] = firstTwo(cluster.of('entry'));
-		const client = operate.operatorOf(cluster);
-		await operate.settled(client);
+		const [entry] = firstTwo(cluster.programsOf('entry'));
+		const client = operate.connectToOperator(cluster);
+		await operate.waitUntilShardsReady(client);
 		await cluster.platformFault({ down: true });
 		const headers = { 'idempotency-key': 'k9', 'x-woodcross-deadline-ms': '8000' };
 		const [keyed, unkeyed] = await Promise.all([
@@ -200,7 +200,7 @@
 		t.true(keyed.problem?.notRun);
 		t.truthy(keyed.headers['retry-after']);
 		await cluster.platformFault({});
-		await operate.until(
+		await operate.waitUntil(
 			'keyed requests run again',
 			async () => (await callers.sendRequest(entry, { body: Buffer.from('book'), headers })).status === 200,
 		);
@@ -214,7 +214,7 @@
 	'a leaving backend server gets no new request 3 s after it is marked, and none is aborted',
 	async (t) => {
 		const cluster = await start(t, { backendEnv: { SERVICE_MS: '20' } });
-		const [entry] = firstTwo(cluster.of('entry'));
+		const [entry] = firstTwo(cluster.programsOf('entry'));
 		const leaving = cluster.backends[0];
 		t.truthy(leaving);
 		if (leaving === undefined) return;
@@ -226,13 +226,13 @@
 				if (response.status !== 200) failures.push(`${response.status} ${response.problem?.detail ?? ''}`);
 			}
 		});
-		await operate.until('load on it', () =>
+		await operate.waitUntil('load on it', () =>
 			callers.backendRuns(cluster).some((run) => run.backend === leaving.id),
 		);
 		leaving.state = 'leaving';
 		await cluster.publish(leaving.zone);
 		const markedAt = Date.now();
-		await operate.until('4 s under load', () => Date.now() - markedAt > 4000);
+		await operate.waitUntil('4 s under load', () => Date.now() - markedAt > 4000);
 		stop = true;
 		await Promise.all(load);
 		const runs = await callers.allBackendRuns(cluster);
@@ -256,7 +256,7 @@
 		callers.sendRequest(entry, { path: '/slow', body: Buffer.from('proof') }),
 	);
 	const running = (): number => callers.backendRuns(cluster).filter((run) => run.path === '/slow').length;
-	await operate.until('the slow requests running', () => running() === entries.length);
+	await operate.waitUntil('the slow requests running', () => running() === entries.length);
 	await setServiceMs(20);
 	return slow;
 }
@@ -264,11 +264,11 @@
 for (const role of ['entry', 'scheduler', 'operator'] as const) {
 	test.serial(`a planned stop of ${role} under load: no caller sees an error`, async (t) => {
 		const cluster = await start(t, { schedulersPerZone: 2, backendEnv: { SERVICE_MS: '20' } });
-		const client = operate.operatorOf(cluster);
-		await operate.settled(client);
+		const client = operate.connectToOperator(cluster);
+		await operate.waitUntilShardsReady(client);
 		client.close();
-		const entries = cluster.of('entry');
-		const stopping = cluster.of(role)[0];
+		const entries = cluster.programsOf('entry');
+		const stopping = cluster.programsOf(role)[0];
 		if (stopping === undefined) return;
 		const slow = await sendSlowRequests(cluster, entries);
 		let stop = false;
@@ -286,13 +286,13 @@
 				else failures.push(`${got.status} ${got.problem?.detail ?? 'broken connection'}`);
 			}
 		});
-		await operate.until('load', () => answered > 50);
+		await operate.waitUntil('load', () => answered > 50);
 		const code = processes.stop(stopping.process);
-		await processes.waitLine(stopping.process, (line) => line.name === 'process.stopping');
+		await processes.waitForLine(stopping.process, (line) => line.name === 'process.stopping');
 		drained = true;
 		t.is(await code, 0);
 		const before = answered;
-		await operate.until('load goes on', () => answered > before + 50);
+		await operate.waitUntil('load goes on', () => answered > before + 50);
 		stop = true;
 		await Promise.all(load);
 		t.deepEqual(failures, []);
--- a/test/scheduler-failures.test.ts
+++ b/test/scheduler-failures.test.ts
@@ -12,15 +12,15 @@
 	schedulersPerZone: 2,
 	backendsPerZone: 0,
 	workersPerZone: 3,
-	schedulerFlags: operate.fastFlags,
+	schedulerFlags: operate.shortTimeoutFlags,
 };
 
 const taskCount = 12;
 
 /** Resolves with the first scheduler that logs an event, as soon as it does. */
 async function firstToLog(cluster: clusters.Cluster, name: string): Promise<clusters.Program> {
-	const waiting = cluster.of('scheduler').map(async (program) => {
-		await processes.waitLine(program.process, (line) => line.name === name, 30_000);
+	const waiting = cluster.programsOf('scheduler').map(async (program) => {
+		await processes.waitForLine(program.process, (line) => line.name === name, 30_000);
 		return program;
 	});
 	return Promise.any(waiting);
@@ -37,10 +37,10 @@
 		async (t) => {
 			const { cluster, client } = await fixtures.startReady(t, clusterOptions);
 			const killed = firstToLog(cluster, step).then((owner) => clusters.kill(owner.process));
-			await client.call('submit', { specJson: JSON.stringify(operate.batch('night', taskCount, 800)) });
+			await client.call('submit', { specJson: JSON.stringify(operate.batchSpec('night', taskCount, 800)) });
 			await killed;
-			await operate.submit(client, operate.batch('night', taskCount, 800));
-			await operate.reached(client, 'press/night', 'finished');
+			await operate.submit(client, operate.batchSpec('night', taskCount, 800));
+			await operate.waitForJobState(client, 'press/night', 'finished');
 			client.close();
 			const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
 			t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
@@ -58,21 +58,21 @@
 		});
 		await client.call(
 			'submit',
-			{ specJson: JSON.stringify(operate.batch('night', taskCount, 6000)) },
+			{ specJson: JSON.stringify(operate.batchSpec('night', taskCount, 6000)) },
 			15_000,
 		);
 		const owner = await frozen;
-		const other = cluster.of('scheduler').find((one) => one !== owner);
+		const other = cluster.programsOf('scheduler').find((one) => one !== owner);
 		t.truthy(other);
 		if (other === undefined) return;
-		await processes.waitLine(other.process, (line) => line.name === 'shard.taken', 30_000);
+		await processes.waitForLine(other.process, (line) => line.name === 'shard.taken', 30_000);
 		owner.process.child.kill('SIGCONT');
-		await processes.waitLine(
+		await processes.waitForLine(
 			owner.process,
 			(line) => line.name === 'shard.lost' || line.name === 'shard.taken',
 			30_000,
 		);
-		await operate.reached(client, 'press/night', 'finished');
+		await operate.waitForJobState(client, 'press/night', 'finished');
 		client.close();
 		const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
 		t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
@@ -83,18 +83,18 @@
 
 test.serial('a worker is killed and comes back: its tasks resume, each once', async (t) => {
 	const { cluster, client } = await fixtures.startReady(t, clusterOptions);
-	await operate.submit(client, operate.batch('night', taskCount, 3000));
+	await operate.submit(client, operate.batchSpec('night', taskCount, 3000));
 	const target = cluster.workers[0];
 	t.truthy(target);
 	if (target === undefined) return;
-	await processes.waitLine(target.process, (line) => line.journal !== undefined);
+	await processes.waitForLine(target.process, (line) => line.journal !== undefined);
 	const killedAt = Date.now();
 	await clusters.kill(target.process);
-	const killedWorker = { lines: target.process.lines, killedAt };
+	const killedWorker = { lines: target.process.jsonLines, killedAt };
 	const restarted = await cluster.startWorker(target.id, target.zone);
 	cluster.workers[0] = restarted;
 	await cluster.publish(target.zone);
-	await operate.reached(client, 'press/night', 'finished');
+	await operate.waitForJobState(client, 'press/night', 'finished');
 	client.close();
 	const ran = journal.attemptsFrom(journal.processJournalsOf(cluster, [killedWorker]));
 	t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
@@ -110,22 +110,24 @@
 			clusterOptions,
 			(from, to) => (from === 'scheduler' ? to : undefined),
 		);
-		await operate.submit(client, operate.batch('night', taskCount, 4000));
+		await operate.submit(client, operate.batchSpec('night', taskCount, 4000));
 		const target = cluster.workers[0];
 		if (target === undefined) return;
-		await processes.waitLine(target.process, (line) => line.journal !== undefined);
+		await processes.waitForLine(target.process, (line) => line.journal !== undefined);
 		linkProxies.get(target.id)?.set({ kind: 'drop-answers' });
-		await operate.reached(client, 'press/night', 'finished');
+		await operate.waitForJobState(client, 'press/night', 'finished');
 		linkProxies.get(target.id)?.set({ kind: 'cut' });
 		linkProxies.get(target.id)?.set({ kind: 'pass' });
-		await operate.settled(client);
+		await operate.waitUntilShardsReady(client);
 		client.close();
 		const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
 		t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
 		t.deepEqual(wrongFinishCounts(ran), []);
 		t.is(Object.keys(journal.successCounts(ran)).length, taskCount);
 		t.true(ran.some((one) => one.worker === target.id && one.how === 'lease lapsed'));
-		const logged = cluster.of('scheduler').flatMap((one) => one.process.lines.map((line) => line.name));
+		const logged = cluster
+			.programsOf('scheduler')
+			.flatMap((one) => one.process.jsonLines.map((line) => line.name));
 		t.true(logged.includes('worker.unreachable'));
 	},
 );
@@ -133,17 +135,17 @@
 test.serial('urgent work evicts batch work, which resumes from its checkpoint exactly once', async (t) => {
 	const { cluster, client } = await fixtures.startReady(t, clusterOptions);
 	const wholeWorker = { needs: { cores: 32, memoryMb: 1024 } };
-	await operate.submit(client, operate.batch('long', 3, 3000, wholeWorker));
-	await operate.until('the workers full', () =>
-		cluster.workers.every((box) => box.process.lines.some((line) => line.journal !== undefined)),
+	await operate.submit(client, operate.batchSpec('long', 3, 3000, wholeWorker));
+	await operate.waitUntil('the workers full', () =>
+		cluster.workers.every((box) => box.process.jsonLines.some((line) => line.journal !== undefined)),
 	);
 	const fullAt = Date.now();
-	await operate.until('work done that an eviction must not lose', () => Date.now() - fullAt > 1500);
-	await operate.submit(client, operate.batch('urgent', 1, 500, { ...wholeWorker, urgent: true }));
+	await operate.waitUntil('work done that an eviction must not lose', () => Date.now() - fullAt > 1500);
+	await operate.submit(client, operate.batchSpec('urgent', 1, 500, { ...wholeWorker, urgent: true }));
 	const finished = async (): Promise<boolean> =>
 		(await operate.jobState(client, 'press/urgent')) === 'finished' &&
 		(await operate.jobState(client, 'press/long')) === 'finished';
-	await operate.until('both jobs finished', finished);
+	await operate.waitUntil('both jobs finished', finished);
 	client.close();
 	const ran = journal.attemptsFrom(journal.processJournalsOf(cluster));
 	t.deepEqual(journal.findViolations(ran, clusters.workerCapacity.cores), []);
