--- a/dev/experiment/main.ts
+++ b/dev/experiment/main.ts
@@ -5,7 +5,7 @@
 import * as cmd from 'cmd-ts';
 import * as fs from 'node:fs';
 import * as path from 'node:path';
-import * as experimentRuns from './plays.js';
+import * as experimentRuns from './runs.js';
 import * as plot from './plot.js';
 import * as table from './table.js';
 import type * as types from './types.js';
--- a/dev/experiment/plays.ts
+++ b/dev/experiment/runs.ts
@@ -2,7 +2,7 @@
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 import * as bench from '../../platform/bench.js';
-import * as concurrent from '../work-off.js';
+import * as concurrent from '../for-each-concurrently.js';
 import type * as types from './types.js';
 
 /** What to play, and where the reports go. */
--- a/dev/soak/main.ts
+++ b/dev/soak/main.ts
@@ -6,7 +6,7 @@
 import * as cmd from 'cmd-ts';
 import * as fs from 'node:fs';
 import * as soak from './soak.js';
-import * as workQueue from '../work-off.js';
+import * as workQueue from '../for-each-concurrently.js';
 import type * as environments from './environment.js';
 
 /** A seed that once failed, and the cause. CI runs it again. */
--- a/spec/run.ts
+++ b/spec/run.ts
@@ -9,7 +9,7 @@
 import * as assets from '../src/core/assets.js';
 import * as catalogue from './checks.js';
 import * as explore from './explore.js';
-import * as workingOff from '../dev/work-off.js';
+import * as workingOff from '../dev/for-each-concurrently.js';
 
 /** Memory that one exploration may take, in MiB. */
 const heapMb = 3_000;
