--- a/stand-ins/backend-server/main.ts
+++ b/stand-ins/backend-server/main.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a backend server (a runner of guichet or programari): a fixed number of slots, answers after a
- * while, and a count of every run by key on standard output, where a kill can't take it back.
+ * Simulates a backend server (a runner of guichet or programari) with a fixed number of slots. It answers after a delay, and
+ * writes each run with its key to standard output, where lines survive a kill.
  */
 import type * as http from 'node:http';
 import * as h3 from 'h3';
@@ -10,17 +10,17 @@
 const z = zod.z;
 
 const fault = z.strictObject({
-	/** Milliseconds a request takes. */
+	/** Duration of a request, in milliseconds. */
 	serviceMs: z.number().default(Number(process.env.SERVICE_MS ?? '5')),
-	/** Close the connection of the next requests: before reading, after running, or halfway through the answer. */
+	/** Closes the connection of the next requests: before the body is read, after the run, or halfway through the answer. */
 	breakNext: z.enum(['none', 'before', 'after', 'halfway']).default('none'),
-	/** Requests that `breakNext` breaks. */
+	/** Number of requests to which `breakNext` applies. */
 	breakCount: z.number().int().default(1),
-	/** Refuses all new work, saying so. */
+	/** Refuses all new requests and reports that the server is leaving. */
 	leaving: z.boolean().default(false),
 });
 
-/** A line for the journal, behind all that was written before. */
+/** A marker for the journal. It is written after all earlier lines. */
 const marker = z.strictObject({ mark: z.string() });
 
 const slots = Number(process.env.SLOTS ?? '8');
@@ -46,7 +46,7 @@
 	res.end();
 }
 
-/** Echoes the body, or `size` bytes of it where the query asks for more; broken off halfway on request. */
+/** Answers with the request's body, or with `size` bytes filled from it if the query names a `size`. */
 async function answer(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
 	if (broken('before')) {
 		res.socket?.destroy();
--- a/stand-ins/fleet/busy-processor.ts
+++ b/stand-ins/fleet/busy-processor.ts
@@ -1,20 +1,20 @@
-/** A box's own processor in memory: sending an order and taking in an answer take their time, one after the other. */
+/** Simulates a box's processor. Sending a command and processing an answer take processor time, one after the other. */
 import * as queues from './serial-queue.js';
 import type * as clocks from '../../src/core/clock.js';
 import type * as fleet from '../../src/core/fleet/types.js';
 import type * as platform from '../../src/core/platform/types.js';
 
-/** What calls take of the processor, in milliseconds. */
+/** Processor time of a call, in milliseconds. */
 export interface CallCosts {
 	send: number;
 	answer: number;
 }
 
-/** A processor that does one thing at a time, in the order in which it was asked. */
+/** A processor that does one thing at a time, in the order of the requests. */
 export class BusyProcessor {
-	/** How long it was in use so far, in milliseconds. */
+	/** Total processor time used, in milliseconds. */
 	usedMs = 0;
-	/** How much longer everything waits, in milliseconds: other work comes before it. */
+	/** Additional wait of every use, in milliseconds, as when other work takes precedence. */
 	delayMs = 0;
 	private readonly queue: queues.SerialQueue;
 
@@ -29,12 +29,12 @@
 		return new BusyProcessor(clock, costs);
 	}
 
-	/** How long what is asked for now has to wait, in milliseconds. */
+	/** Queueing delay of a use that is requested at present, in milliseconds. */
 	get queueMs(): number {
 		return this.queue.waitMs;
 	}
 
-	/** Calls to workers that this processor makes. */
+	/** Calls to workers, slowed down by this processor. */
 	workers(calls: fleet.WorkerCalls): fleet.WorkerCalls {
 		return {
 			...calls,
@@ -45,7 +45,7 @@
 		};
 	}
 
-	/** The store, called by this processor. */
+	/** Calls to the store, slowed down by this processor. */
 	store(store: platform.RecordStore): platform.RecordStore {
 		return {
 			...store,
@@ -55,7 +55,7 @@
 		};
 	}
 
-	/** The clock as the process sees it: what a timer does waits for the processor. */
+	/** The clock as the process sees it. The callback of a timer waits for the processor. */
 	timers(): clocks.Clock {
 		const { clock } = this;
 		return {
@@ -82,7 +82,7 @@
 		return res;
 	}
 
-	/** Resolves once so much has been done behind all that was asked for before. */
+	/** Resolves once this use and all earlier ones are done. */
 	private use(ms: number): Promise<void> {
 		this.usedMs += ms;
 		const waitMs = this.queue.take(ms) + this.delayMs;
--- a/stand-ins/fleet/load-patterns.ts
+++ b/stand-ins/fleet/load-patterns.ts
@@ -1,55 +1,54 @@
-/** Loads that an owner has to bear, as seeded lists of jobs: what arrives when, how large it is and how long it runs. */
+/** Load patterns for an owner, as seeded lists of jobs with their arrival times, sizes and durations. */
 import * as random from '../../dev/random.js';
 import type * as jobs from '../../src/core/jobs/index.js';
 import type * as types from './types.js';
 
-/** Kinds of work: short urgent steps, wide steps that fill, and steps that last. */
+/** Kinds of work: short urgent steps, wide preemptible steps, and long-running steps. */
 const kinds = ['urgent', 'wide', 'lasting'] as const;
 
-/** One of these kinds. */
 export type WorkKind = (typeof kinds)[number];
 
-/** A job that arrives. */
+/** The arrival of a job. */
 export interface Arrival {
-	/** Milliseconds after the beginning. */
+	/** Milliseconds after the start of the load. */
 	atMs: number;
 	kind: WorkKind;
 	record: Pick<jobs.JobRecord, 'id' | 'queue' | 'steps'>;
 }
 
-/** One load. */
+/** A load pattern. */
 export interface LoadPattern {
 	name: string;
 	workers: number;
-	/** What each of them holds, in thousandths of a core. */
+	/** Capacity of each worker, in thousandths of a core. */
 	workerMilliCores: number;
-	/** How long jobs arrive, in milliseconds. */
+	/** Period during which jobs arrive, in milliseconds. */
 	lengthMs: number;
-	/** The earliest first. */
+	/** Sorted by time. */
 	arrivals: Arrival[];
-	/** How the run of a task goes. */
+	/** Plan for the runs of a task. */
 	plan: (task: string) => types.RunPlan;
 }
 
-/** What is handed in, and what it is like. */
+/** Mix of submitted jobs. Pairs are a minimum and a maximum. */
 interface Mix {
-	/** Jobs that a second of traffic brings a worker. */
+	/** Jobs per second of traffic and worker. */
 	perWorkerS: Record<WorkKind, number>;
-	/** Tasks of a wide step, and of an urgent one, at least and at most. */
+	/** Number of tasks in a wide step and in an urgent one. */
 	wideCount: [number, number];
 	urgentCount: [number, number];
-	/** Thousandths of a core of a task, at least and at most. */
+	/** Size of a task, in thousandths of a core. */
 	wideMilliCores: [number, number];
 	urgentMilliCores: [number, number];
 	lastingMilliCores: [number, number];
-	/** How long tasks run on average, in milliseconds. */
+	/** Mean duration of a task, in milliseconds. */
 	wideMs: number;
 	urgentMs: number;
-	/** What a worker holds, in thousandths of a core. */
+	/** Capacity of a worker, in thousandths of a core. */
 	workerMilliCores: number;
 }
 
-/** A busy printing fleet's. */
+/** Mix of a busy printing fleet. */
 const printing: Mix = {
 	perWorkerS: { urgent: 0.0303, wide: 0.0295, lasting: 0.00107 },
 	wideCount: [8, 70],
@@ -62,7 +61,7 @@
 	workerMilliCores: 32_000,
 };
 
-/** Twice as much batch work, of smaller tasks on smaller workers. */
+/** Twice as much batch work as `printingMix`, with smaller tasks on smaller workers. */
 const smallTasks: Mix = {
 	perWorkerS: { urgent: 0.0344, wide: 0.0612, lasting: 0.0015 },
 	wideCount: [8, 32],
@@ -75,7 +74,7 @@
 	workerMilliCores: 16_000,
 };
 
-/** Much batch work of large tasks on large workers: an owner's processor is nearly full with it. */
+/** Much batch work with large tasks on large workers. It nearly saturates an owner's processor. */
 const largeWorkers: Mix = {
 	perWorkerS: { urgent: 0.028, wide: 0.0534, lasting: 0.0005 },
 	wideCount: [8, 32],
@@ -88,10 +87,10 @@
 	workerMilliCores: 64_000,
 };
 
-/** Lasting jobs a worker that are there at the beginning: they reserve nearly all cores. */
+/** Long-running jobs per worker that are present at the start. They reserve nearly all cores. */
 const residentPerWorker = 0.17;
 
-/** Tail of an idle serving task, and the target of its users, in milliseconds. */
+/** Tail latency of a serving task without load, and the latency target, in milliseconds. */
 const tailMs = 25;
 const targetMs = 150;
 
@@ -101,19 +100,19 @@
 	lasting: queue('lasting', 0, 2.2, 2_500),
 };
 
-/** How a load differs from steady traffic. */
+/** Differences of a load from steady traffic. */
 export interface LoadShape {
-	/** Wide jobs arrive at so many times the usual rate from `fromMs` on, for `forMs`. */
+	/** From `fromMs` on, for `burstMs`, wide jobs arrive at `factor` times the usual rate. */
 	burst?: { factor: number; fromMs: number; forMs: number };
-	/** Nothing is handed in before this; then all of it at once. */
+	/** Jobs that arrive before this time are all submitted at this time; in milliseconds. */
 	heldBackMs?: number;
-	/** Tasks run so many times longer than usual. */
+	/** Factor by which tasks run longer than usual. */
 	slowdown?: number;
-	/** Absent: a busy printing fleet's. */
+	/** Absent: that of a busy printing fleet. */
 	mix?: Mix;
 }
 
-/** The shapes that have names. */
+/** Load shapes by name. */
 export const shapes: Record<string, LoadShape> = {
 	steady: {},
 	burst: { burst: { factor: 2.6, fromMs: 2_000, forMs: 4_000 } },
@@ -124,10 +123,10 @@
 	'small-tasks-burst': { mix: smallTasks, burst: { factor: 2.6, fromMs: 2_000, forMs: 4_000 } },
 };
 
-/** Traffic in proportion to the workers. */
+/** Creates a load pattern. The number of jobs is proportional to the number of workers. */
 export function createPattern(name: string, workers: number, lengthMs: number, seed: number): LoadPattern {
 	const shape = shapes[name];
-	if (shape === undefined) throw new Error(`no load is called '${name}'`);
+	if (shape === undefined) throw new Error(`no load pattern is named '${name}'`);
 	const { mix = printing } = shape;
 	const next = random.seeded(seed);
 	const resident = Math.round(workers * residentPerWorker);
@@ -176,7 +175,7 @@
 	return Array.from({ length: steps }, (_, i) => ({ ...spec, after: i === 0 ? [] : [i - 1] }));
 }
 
-/** The same for a task whenever it is asked. */
+/** Creates the plan for the runs of a task. Depends on nothing but its arguments, so that all runs of a task are alike. */
 function planOf(task: string, mix: Mix, slowdown: number): types.RunPlan {
 	const part = (random.hash(task) % 1_000) / 1_000;
 	if (task.startsWith('lasting')) return { ms: 'endless', how: 'done', reading: tailMs * (1 + 4 * part) };
@@ -184,7 +183,7 @@
 	return { ms: meanMs * (0.5 + part) * slowdown, how: 'done', reading: 3_000 };
 }
 
-/** A step that asks for nothing particular. */
+/** A step without special requirements. */
 export const plainStep: jobs.StepSpec = {
 	count: 1,
 	milliCores: 1_000,
--- a/stand-ins/fleet/memory-store.ts
+++ b/stand-ins/fleet/memory-store.ts
@@ -1,15 +1,18 @@
-/** The platform's store in memory, with the faults of the real one as switches. */
+/** Simulates the platform's store in memory, with faults like those of the real one. */
 import * as results from '../../src/core/result.js';
 import type * as platform from '../../src/core/platform/types.js';
 import type * as clocks from '../../src/core/clock.js';
 
-/** What happens to calls. `lost`: writes are done, and not answered. `late`: done a while after the caller gave up. */
+/**
+ * What happens to calls. `down`: they are refused. `lost`: writes are carried out and not answered. `late`: writes are
+ * carried out a while after the caller has timed out, and not answered. Reads work as usual under `lost` and `late`.
+ */
 export type StoreFault = 'none' | 'down' | 'lost' | 'late';
 
-/** Until a caller gives up on an answer, in milliseconds. */
+/** Timeout of a caller, in milliseconds. */
 const giveUpMs = 1_000;
 
-/** How much later than its caller gave up a late write is done, in milliseconds. */
+/** How long after the caller's timeout a late write is carried out, in milliseconds. */
 const lateMs = 3_000;
 
 interface Entry {
@@ -29,18 +32,18 @@
 const unanswered = results.fail({ effect: 'unknown' as const, reason: 'no answer' });
 const refused = results.fail({ effect: 'none' as const, reason: 'the store is unavailable' });
 
-/** One store; `view` gives each box its own faults. */
+/** One store. `view` gives each box its own faults. */
 export class MemoryStore {
-	/** Counts changes; the version of whatever changed last. */
+	/** Number of changes so far; the version of the latest change. */
 	private revision = 0;
-	/** Writing calls that were carried out. */
+	/** Number of transactions that were committed. */
 	writes = 0;
-	/** How long a read takes to be answered, and a write, in milliseconds. */
+	/** Time until a read is answered, and a write, in milliseconds. */
 	readMs = 4;
 	writeMs = 4;
 	private readonly entries = new Map<string, Entry>();
 	private history: platform.StoreChange[] = [];
-	/** Changes up to this revision are not known any more. */
+	/** Changes up to this revision have been dropped from the history. */
 	private forgottenUpTo = 0;
 	private readonly leases = new Map<string, { ttlMs: number; timer: clocks.Timer }>();
 	private waiters: Waiter[] = [];
@@ -52,7 +55,7 @@
 		return new MemoryStore(clock);
 	}
 
-	/** The store as one box sees it; `fault` is read at each call. */
+	/** The store as one box sees it. `fault` is called for each call. */
 	view(fault: () => StoreFault = () => 'none'): platform.RecordStore {
 		const read = <T>(fn: () => T): StoreResult<T> => this.read(fault, fn);
 		const write = <T>(fn: () => T): StoreResult<T> => this.write(fault, fn);
@@ -67,24 +70,24 @@
 		};
 	}
 
-	/** Writes a key whatever its version: what operators and workers do. */
+	/** Writes a key regardless of its version, as operators and workers do. */
 	put(key: string, value: Uint8Array): void {
 		this.apply(key, value);
 	}
 
-	/** Removes a key, as the platform may at any time. */
+	/** Removes a key, as the platform may do at any time. */
 	drop(key: string): void {
 		if (this.entries.has(key)) this.apply(key, undefined);
 	}
 
-	/** Forgets all changes so far: whoever follows from before has to read the list again. */
+	/** Drops the history of changes. Callers that follow from an earlier revision must read the list again. */
 	forget(): void {
 		this.history = [];
 		this.forgottenUpTo = this.revision;
 		for (const waiter of [...this.waiters]) if (waiter.after < this.forgottenUpTo) this.answer(waiter);
 	}
 
-	/** Keys that stand in the store. */
+	/** All keys, sorted. */
 	keys(): string[] {
 		return [...this.entries.keys()].sort();
 	}
--- a/stand-ins/fleet/serial-queue.ts
+++ b/stand-ins/fleet/serial-queue.ts
@@ -1,7 +1,7 @@
-/** Something that serves one after the other: a link, a processor. */
+/** A resource that serves one request at a time, such as a link or a processor. */
 import type * as clocks from '../../src/core/clock.js';
 
-/** Serves in the order in which it was asked. */
+/** Serves requests in their order of arrival. */
 export class SerialQueue {
 	private freeAt = 0;
 
@@ -11,12 +11,12 @@
 		return new SerialQueue(clock);
 	}
 
-	/** How long what is asked for now has to wait, in milliseconds. */
+	/** Queueing delay of a request that arrives at present, in milliseconds. */
 	get waitMs(): number {
 		return Math.max(0, this.freeAt - this.clock.now());
 	}
 
-	/** Takes `ms` behind all that was asked for before; returns how long it is until that is over, in milliseconds. */
+	/** Enqueues a request that takes `ms` milliseconds. Returns the time until it is done, in milliseconds. */
 	take(ms: number): number {
 		const now = this.clock.now();
 		this.freeAt = Math.max(this.freeAt, now) + ms;
--- a/stand-ins/fleet/slow-link.ts
+++ b/stand-ins/fleet/slow-link.ts
@@ -1,18 +1,18 @@
-/** A box's own link in memory: one byte after another, whatever they are for. */
+/** Simulates a box's network link, which sends one byte after another for all calls. */
 import * as queues from './serial-queue.js';
 import type * as clocks from '../../src/core/clock.js';
 import type * as fleet from '../../src/core/fleet/types.js';
 import type * as platform from '../../src/core/platform/types.js';
 
-/** What an order to a worker takes beside the text of a job, in bytes: request line, headers and the other fields. */
+/** Size of a command to a worker without the text of a job, in bytes: request line, headers and the other fields. */
 const orderBytes = 400;
 
-/** What a call to the store takes, in bytes. */
+/** Size of a call to the store, in bytes. */
 const storeCallBytes = 400;
 
-/** A link that sends so many bytes a second. */
+/** A link with a limited bandwidth. */
 export class SlowLink {
-	/** The longest that a call to the store waited for the link so far, in milliseconds. */
+	/** Longest time that a call to the store has waited for the link, in milliseconds. */
 	longestStoreWaitMs = 0;
 	private readonly queue: queues.SerialQueue;
 
@@ -27,7 +27,7 @@
 		return new SlowLink(clock, bytesPerS);
 	}
 
-	/** Calls to workers that go over this link. */
+	/** Calls to workers over this link. */
 	workers(calls: fleet.WorkerCalls): fleet.WorkerCalls {
 		return {
 			...calls,
@@ -37,7 +37,7 @@
 		};
 	}
 
-	/** The store, over this link. */
+	/** Calls to the store over this link. */
 	store(store: platform.RecordStore): platform.RecordStore {
 		const timed = async <T>(call: () => Promise<T>): Promise<T> => {
 			const sentAt = this.clock.now();
@@ -54,7 +54,7 @@
 		};
 	}
 
-	/** Does `call` once so many bytes have passed behind all that was sent before. */
+	/** Makes a call once its bytes and all earlier ones have been sent. */
 	private after<T>(bytes: number, call: () => Promise<T>): Promise<T> {
 		const waitMs = this.queue.take((bytes * 1_000) / this.bytesPerS);
 		return new Promise((resolve) => {
--- a/stand-ins/fleet/types.ts
+++ b/stand-ins/fleet/types.ts
@@ -1,39 +1,41 @@
-/** Runs of the workers in memory, and what a judge sees of them. */
+/** Behaviour of simulated runs, and the records of them that checkers read. */
 import type * as fleet from '../../src/core/fleet/types.js';
 
-/** How a run goes; `endless` ones end only by a stop or with their lease. */
+/** How a run proceeds. An `endless` run exits only by a stop or the end of its lease. */
 export interface RunPlan {
 	ms: number | 'endless';
 	how: 'done' | 'failed';
-	/** Tail latency to report, in milliseconds. */
+	/**
+	 * Reading to report. Of a serving task: its tail latency in milliseconds. Of any other: thousandths of a core in use.
+	 */
 	reading?: number;
-	/** Progress to report, in per cent; absent: all. */
+	/** Percent of full speed to report; absent: 100. */
 	percent?: number;
-	/** How much it adds to the readings of others on its worker at full pace, as a part of them; absent: nothing. */
+	/** Interference at full pace: the fraction by which it raises the readings of other runs on its worker; absent: none. */
 	disturbs?: number;
-	/** It brings its worker down so many milliseconds after its start; absent: it does not. */
+	/** Milliseconds from its start until it crashes its worker; absent: it doesn't. */
 	crashMs?: number;
 }
 
-/** How a worker goes down. */
+/** How a worker crashes. */
 export interface Crash {
-	/** It is back at its address after so long, in milliseconds. */
+	/** Milliseconds until it is back at its address. */
 	downMs: number;
-	/** Its connections go silent; else they break, and new ones are turned away. */
+	/** Its connections stay open without an answer. Otherwise they break, and new ones are refused. */
 	dark: boolean;
-	/** It comes back under the name that it had, and tells when it started; else under a new one. */
+	/** It comes back under its old name and reports its start time; otherwise under a new name. */
 	keepsName?: boolean;
 }
 
-/** A worker went down. */
+/** One crash of a worker. */
 export interface CrashRecord {
 	at: number;
 	worker: string;
-	/** What ran there. */
+	/** Tasks that had a run there. */
 	tasks: string[];
 }
 
-/** A start that was carried out, as the judge of a test sees it. */
+/** A start that was carried out. */
 export interface StartRecord {
 	at: number;
 	task: string;
@@ -43,14 +45,14 @@
 	epoch: number;
 }
 
-/** What a judge is told of workers, as it happens. */
+/** Callbacks that report events of the workers to a checker. */
 export interface FleetJournal {
 	/** A start was carried out. */
 	started: (start: StartRecord) => void;
-	/** A run ended. */
+	/** A run exited. */
 	ended: (end: fleet.RunExit) => void;
-	/** A worker went down with these tasks; absent: nobody asks. */
+	/** A worker crashed while these tasks ran there; absent: crashes are not reported. */
 	crashed?: (tasks: string[]) => void;
-	/** An end was forgotten, as the boxes asked. */
+	/** A worker dropped an exit that a box had acknowledged. */
 	forgotten: (end: fleet.RunExit) => void;
 }
--- a/stand-ins/fleet/virtual-clock.ts
+++ b/stand-ins/fleet/virtual-clock.ts
@@ -1,4 +1,7 @@
-/** A clock that tests move by hand: timers fire in order, and everything that follows from one runs before the next. */
+/**
+ * A clock that tests advance explicitly. Timers fire in order, and all work that follows from one is done before the next
+ * fires.
+ */
 import type * as clocks from '../../src/core/clock.js';
 
 interface Pending {
@@ -8,19 +11,19 @@
 	cancelled: boolean;
 }
 
-/** Rounds of the event loop after each timer; enough for the longest chain of promises between two timers. */
+/** Turns of the event loop after each timer; enough for the longest chain of promises between two timers. */
 const settleRounds = 4;
 
-/** Time under a test's control. */
+/** A clock under a test's control. */
 export class VirtualClock implements clocks.Clock {
 	private time = 1_000;
 	private order = 0;
 	private resumed = -Infinity;
-	/** A binary heap, the earliest first: some tests keep thousands of timers. */
+	/** A binary heap, the earliest first. Some tests keep thousands of timers. */
 	private readonly heap: Pending[] = [];
 
 	private constructor() {
-		// Built by `create`, like every class here.
+		// Instances are built by `create`, as in all classes here.
 	}
 
 	static create(): VirtualClock {
@@ -39,7 +42,7 @@
 		return this.resumed;
 	}
 
-	/** The machine was suspended until now. */
+	/** Notes that the machine was suspended until the present time. */
 	resume(): void {
 		this.resumed = this.time;
 	}
@@ -54,7 +57,7 @@
 		};
 	}
 
-	/** Lets `ms` milliseconds pass. */
+	/** Advances the time by `ms` milliseconds and fires the timers that become due. */
 	async pass(ms: number): Promise<void> {
 		const end = this.time + ms;
 		await settle();
@@ -67,7 +70,7 @@
 		this.time = Math.max(this.time, end);
 	}
 
-	/** A computation takes `ms` milliseconds: time passes, and nothing else happens meanwhile. */
+	/** Simulates a computation of `ms` milliseconds: time passes, and no timer fires meanwhile. */
 	spend(ms: number): void {
 		this.time += ms;
 	}
@@ -84,7 +87,7 @@
 		}
 	}
 
-	/** Takes the earliest timer off; undefined: none is due by `end`. */
+	/** Removes and returns the earliest timer; undefined: none is due by `end`. */
 	private pop(end: number): Pending | undefined {
 		const { heap } = this;
 		const first = heap[0];
--- a/stand-ins/fleet/workers.ts
+++ b/stand-ins/fleet/workers.ts
@@ -1,4 +1,7 @@
-/** Workers in memory: leases on their own clocks, epochs, run numbers, and unanswered or late orders as switches. */
+/**
+ * Simulated workers with leases on their own clocks, epochs and run numbers. Fields switch faults on, such as unanswered or
+ * delayed commands.
+ */
 import * as fencing from '../../src/core/dispatch/fencing-tokens.js';
 import * as lives from '../../src/core/fleet/incarnations.js';
 import * as results from '../../src/core/result.js';
@@ -9,56 +12,59 @@
 export type { Crash, CrashRecord, FleetJournal, RunPlan, StartRecord } from './types.js';
 
 /**
- * What happens to calls. `lost`: carried out, not answered. `late`: not answered, and carried out much later.
- * `refused`: connections are turned away.
+ * What happens to calls. `silent`: not carried out, not answered. `lost`: carried out, not answered. `late`: not answered,
+ * and carried out after the caller has timed out. `refused`: connections are refused.
  */
 export type WorkerFault = 'none' | 'silent' | 'lost' | 'late' | 'refused';
 
-/** A call's way there, and until a caller gives up, in milliseconds. */
+/** Network delay of a call, and timeout of its caller, in milliseconds. */
 const arrivalMs = 2;
 const giveUpMs = 1_000;
 
-/** When late orders are carried out, after the caller gave up, in milliseconds. */
+/** How long after the caller's timeout a late operation is carried out, in milliseconds. */
 const lateMs = 5_000;
 
-/** A stop takes so long, in milliseconds. */
+/** How long a run takes to stop, in milliseconds. */
 const stopMs = 200;
 
-/** A reading covers so long, in milliseconds. */
+/** Period that a reading covers, in milliseconds. */
 const readingMs = 500;
 
-/** Ends in one report, at most: the others come once these are forgotten. */
+/** Maximum number of exits in a report. More follow once these are acknowledged. */
 const mostEnds = 500;
 
-/** First reading of a worker's clock, in milliseconds: far from ours, so that nobody takes one for the other. */
+/**
+ * First reading of a worker's clock, in milliseconds. It is far from the fleet's clock, so that neither can be mistaken for
+ * the other.
+ */
 const firstClockMs = 500_000;
 
-/** First reading of the clock of a worker that tells when it started, in milliseconds. */
+/** First reading of the clock of a worker that reports its start time, in milliseconds. */
 const restartClockMs = 1_000;
 
-/** When the first worker that tells it started, in Unix milliseconds. */
+/** Start time of the first worker that reports one, in Unix milliseconds. */
 export const firstBornMs = 1_796_000_000_000;
 
 const noAnswer: fleet.WorkerFailure = { kind: 'no-answer', reason: 'silent' };
 
-/** What a call does at a worker. */
+/** The part of a call that runs at the worker. */
 type Order<T> = (worker: FakeWorker) => results.Result<T, fleet.WorkerFailure>;
 
 interface Running {
 	run: number;
 	timer: clocks.Timer | undefined;
-	/** Work left, in milliseconds at full pace, as of `pacedAt`. */
+	/** Work left, in milliseconds at full pace, as of `paceSetAt`. */
 	leftMs: number;
 	pacedAt: number;
 	how: fleet.ExitKind;
-	/** How much it adds to readings beside it at full pace, as a part of them. */
+	/** Interference at full pace: the fraction by which it raises the readings of other runs on the worker. */
 	disturbs: number;
 	stopping: boolean;
 	reading: number;
 	percent: number;
-	/** Share of its speed at which it works, in per cent. */
+	/** Pace in percent of full speed. */
 	pace: number;
-	/** What it was before its last change, and when that was. */
+	/** Pace before its last change, and the time of that change. */
 	paceBefore: number;
 	changedAt: number;
 }
@@ -71,32 +77,32 @@
 	journal?: types.FleetJournal;
 }
 
-/** A crash as tasks bring it about. */
+/** A crash that a task causes. */
 const plainCrash: types.Crash = { downMs: 3_000, dark: false };
 
-/** The platform lists a life for so long after it crashed, in milliseconds: three heartbeats. */
+/** How long the platform lists an incarnation after its crash, in milliseconds: three heartbeats. */
 const lapseMs = 4_500;
 
-/** One worker. */
+/** One incarnation of a worker. */
 export class FakeWorker {
 	fault: WorkerFault = 'none';
-	/** It answers all calls but stops, which it does not carry out. */
+	/** The worker answers stop commands like other calls, but doesn't carry them out. */
 	ignoresStops = false;
-	/** It answers all calls but orders on pace, which it carries out much later. */
+	/** The worker leaves pace commands unanswered and carries them out late. It answers all other calls. */
 	delaysPaces = false;
-	/** Its clock's rate against ours. */
+	/** Speed of its clock relative to the fleet's clock. */
 	rate = 1;
 	readonly running = new Map<string, Running>();
 	readonly ended: fleet.RunExit[] = [];
-	/** Whether this life is over. */
+	/** Whether this incarnation has ended. */
 	dead = false;
-	/** The highest token it has seen. */
+	/** Highest fencing token seen. */
 	private token = 0;
 	private leaseUntil = 0;
 	private leaseTimer: clocks.Timer | undefined;
 	/** Highest run number seen, by task. */
 	private readonly highest = new Map<string, number>();
-	/** Number of the newest end. */
+	/** Sequence number of the newest exit. */
 	private seq = 0;
 	private waiting: (() => void)[] = [];
 	private readonly startedAt: number;
@@ -106,13 +112,13 @@
 		private readonly opts: FleetOptions,
 		private readonly starts: types.StartRecord[],
 		private readonly crash: (worker: FakeWorker) => void,
-		/** Its time of day at its start, in milliseconds; undefined: it does not tell. */
+		/** Start by its own wall clock, in Unix milliseconds; undefined: the worker doesn't report it. */
 		readonly born: number | undefined,
 	) {
 		this.startedAt = opts.clock.now();
 	}
 
-	/** `starts`: where the starts that it carries out are listed; `crash`: brings it down. */
+	/** `starts`: list to which the worker adds each start that it carries out. `crash`: crashes the worker. */
 	static create(
 		entry: fleet.WorkerEntry,
 		opts: FleetOptions,
@@ -123,7 +129,7 @@
 		return new FakeWorker(entry, opts, starts, crash, born);
 	}
 
-	/** What it is called, over all its lives. */
+	/** The name that all its incarnations share. */
 	get name(): string {
 		return lives.nameOf(this.entry.id);
 	}
@@ -135,7 +141,7 @@
 		return firstClockMs + now * this.rate;
 	}
 
-	/** Extends the lease, forgets ends, and reports. */
+	/** Extends the lease, drops acknowledged exits, and reports. */
 	hold(req: fleet.ReportRequest): results.Result<fleet.WorkerReport, fleet.WorkerFailure> {
 		if (!this.accepts(req.token)) return results.fail({ kind: 'fenced' });
 		this.extend(req.leaseUntil);
@@ -146,7 +152,7 @@
 		return results.ok(this.report());
 	}
 
-	/** What it says of itself now. */
+	/** Report of the current state. */
 	report(): fleet.WorkerReport {
 		const running = [...this.running].map(([task, one]) => ({
 			task,
@@ -160,7 +166,7 @@
 		return { born, clockMs: this.clockMs(), running, ended, hasMoreExits: ended.length === mostEnds };
 	}
 
-	/** Starts a run, unless the token, the run number or the lease forbids it; a repeated start changes nothing. */
+	/** Starts a run, unless the token, the run number or the lease forbids it. A repeated start command changes nothing. */
 	start(req: fleet.StartCommand): results.Result<fleet.ClockReading, fleet.WorkerFailure> {
 		if (!this.accepts(req.token)) return results.fail({ kind: 'fenced' });
 		this.extend(req.leaseUntil);
@@ -172,7 +178,7 @@
 		return results.ok({ clockMs: this.clockMs() });
 	}
 
-	/** Ends a run after a while, and refuses later starts of it. */
+	/** Stops a run after a delay, and refuses later starts of it. */
 	stop(task: string, run: number, token: number): results.Result<fleet.ClockReading, fleet.WorkerFailure> {
 		if (!this.accepts(token)) return results.fail({ kind: 'fenced' });
 		this.highest.set(task, Math.max(run, this.highest.get(task) ?? 0));
@@ -187,7 +193,7 @@
 		return results.ok({ clockMs: this.clockMs() });
 	}
 
-	/** Lets a run work at a share of its speed. */
+	/** Sets the pace of a run. */
 	pace(
 		task: string,
 		run: number,
@@ -200,7 +206,7 @@
 		return results.ok({ clockMs: this.clockMs() });
 	}
 
-	/** This life is over: what runs dies without an end, and calls that wait get no answer. */
+	/** Ends this incarnation. Its runs end without an exit, and waiting calls get no answer. */
 	die(): void {
 		this.dead = true;
 		this.leaseTimer?.cancel();
@@ -209,7 +215,7 @@
 		this.wake();
 	}
 
-	/** Calls `fn` at the next end. */
+	/** Calls `fn` once, at the next exit. */
 	onEnd(fn: () => void): void {
 		this.waiting.push(fn);
 	}
@@ -264,7 +270,7 @@
 			});
 	}
 
-	/** Lets a run go on at this share of its speed, in per cent, to its end. */
+	/** Sets a run's pace, in percent, and reschedules its exit accordingly. */
 	private setPace(task: string, one: Running, percent: number): void {
 		const now = this.opts.clock.now();
 		one.leftMs -= ((now - one.pacedAt) * one.pace) / 100;
@@ -282,7 +288,10 @@
 		});
 	}
 
-	/** What a run's reading is beside what disturbs it. */
+	/**
+	 * A run's reading, with the interference from the other runs on the worker. Runs that interfere with others are not
+	 * affected themselves.
+	 */
 	private readingOf(one: Running): number {
 		let more = 0;
 		for (const other of this.running.values()) if (other !== one) more += (other.disturbs * other.pace) / 100;
@@ -290,13 +299,13 @@
 		return one.disturbs > 0 ? own : own * (1 + more);
 	}
 
-	/** The mean pace of a run while its newest reading was taken, in per cent. */
+	/** Mean pace of a run over the period that its newest reading covers, in percent. */
 	private recentPaceOf({ pace, paceBefore, changedAt }: Running): number {
 		const sinceMs = Math.min(readingMs, this.opts.clock.now() - changedAt);
 		return pace + ((paceBefore - pace) * (readingMs - sinceMs)) / readingMs;
 	}
 
-	/** A run brings its worker down, if it still runs there. */
+	/** Crashes the worker because of a run, if the run is still active. */
 	private crashUnder({ task, run }: fleet.StartCommand): void {
 		if (this.running.get(task)?.run === run) this.crash(this);
 	}
@@ -321,36 +330,38 @@
 	}
 }
 
-/** What a worker that comes in another's place has of its entry. */
+/** Fields of the entry that a replacement worker takes over. */
 function placeOf({ entry }: FakeWorker): Partial<fleet.WorkerEntry> {
 	const { address, zone, pool, capacity, labels } = entry;
 	return { address, zone, pool, capacity, labels };
 }
 
-/** Whether a box's calls to a worker, by its name, do not arrive. */
+/** Whether calls of a box to the worker of this name are cut off. */
 type IsCut = (worker: string) => boolean;
 
-/** All workers of a test, and the calls to them. */
+/** All simulated workers of a test, and the calls to them. */
 export class FakeFleet {
 	readonly workers = new Map<string, FakeWorker>();
-	/** How long a report waits on its way back, in milliseconds: the owner's link or processor is full. */
+	/** Extra delay of each report on its way back, in milliseconds, as when the owner's link or processor is saturated. */
 	reportDelayMs = 0;
-	/** Every start that was carried out, in order. */
+	/** All starts that were carried out, in order. */
 	readonly starts: types.StartRecord[] = [];
 	private readonly byAddress = new Map<string, FakeWorker>();
-	/** Entries of lives that have ended, which the platform lists until they lapse. */
+	/** Entries of crashed incarnations, which the platform lists until they lapse. */
 	lapsing: fleet.WorkerEntry[] = [];
-	/** Every crash, in order. */
+	/** All crashes, in order. */
 	readonly crashes: types.CrashRecord[] = [];
-	/** A run brings its worker down. */
+	/** Called when a run crashes its worker. */
 	onCrash: (worker: FakeWorker) => void = (worker) => {
 		this.crash(worker, plainCrash);
 	};
-	/** Told as the platform's list changes by crashes: entries that are new, ids that went. */
+	/** Called when crashes change the platform's list; gets the new entries and the names of the removed workers. */
 	onListed: (added: fleet.WorkerEntry[], removed: string[]) => void = () => undefined;
-	/** How many workers have started again under their names. */
+	/** Number of workers that have restarted under their old names. */
 	private restarts = 0;
-	/** Addresses of workers that crashed and are not back; `dark`: nothing answers there. */
+	/**
+	 * Addresses of crashed workers that are not replaced yet. `closed`: connections are refused. `dark`: nothing answers.
+	 */
 	private readonly down = new Map<string, 'dark' | 'closed'>();
 
 	private constructor(private readonly opts: FleetOptions) {}
@@ -359,7 +370,7 @@
 		return new FakeFleet(opts);
 	}
 
-	/** Adds a worker of 32 cores; `born`: it tells that it started then. */
+	/** Adds a worker of 32 cores. `born`: the start time that it reports; absent: it reports none. */
 	add(name: string, more: Partial<fleet.WorkerEntry> = {}, born?: number): FakeWorker {
 		const entry: fleet.WorkerEntry = {
 			id: lives.idOf(name, born),
@@ -383,7 +394,7 @@
 		return worker;
 	}
 
-	/** A worker goes down with all that runs there; nobody listens at its address until another life is added there. */
+	/** Crashes a worker with all its runs. Nothing listens at its address until another incarnation is added there. */
 	takeDown(worker: FakeWorker, dark = false): void {
 		const { address } = worker.entry;
 		this.crashes.push({ at: this.opts.clock.now(), worker: worker.name, tasks: [...worker.running.keys()] });
@@ -391,7 +402,7 @@
 		this.down.set(address, dark ? 'dark' : 'closed');
 	}
 
-	/** A worker goes down with all that runs there, and comes back. */
+	/** Crashes a worker with all its runs, and brings up a replacement or a new incarnation after `how.downMs`. */
 	crash(worker: FakeWorker, how: types.Crash): void {
 		if (worker.dead) return;
 		const { entry } = worker;
@@ -407,26 +418,29 @@
 				this.onListed([this.addNext(worker).entry], []);
 				return;
 			}
-			// The entry of the life before stands under the same key.
+			// The entry of the previous incarnation has the same key.
 			lapse.cancel();
 			this.unlist(entry);
 			this.restart(worker);
 		});
 	}
 
-	/** A worker starts again under the name that it had, and knows nothing of before. */
+	/** Restarts a worker under its old name. It knows nothing of its earlier runs. */
 	private restart(worker: FakeWorker): void {
 		const reborn = this.add(worker.name, placeOf(worker), this.bornAfter(worker));
 		this.onListed([reborn.entry], []);
 	}
 
-	/** Another worker comes at the address of one that went down. */
+	/** Adds a worker of a new name at the address of a crashed one. */
 	private addNext(worker: FakeWorker): FakeWorker {
 		const [name = worker.name, life = '1'] = worker.name.split('~');
 		return this.add(`${name}~${String(Number(life) + 1)}`, placeOf(worker));
 	}
 
-	/** When a worker's next life says that it started: the time of day, which may have been set back meanwhile. */
+	/**
+	 * Start time that a worker's next incarnation reports. Each third one is earlier than the one before, as after a wall
+	 * clock that was set back.
+	 */
 	private bornAfter(worker: FakeWorker): number {
 		this.restarts += 1;
 		const isSetBack = this.restarts % 3 === 0;
@@ -443,19 +457,19 @@
 		if (this.workers.get(worker.name) === worker) this.workers.delete(worker.name);
 	}
 
-	/** Entries as the platform lists them, by id. */
+	/** Entries that the platform lists, sorted by id. */
 	entries(): fleet.WorkerEntry[] {
 		const living = [...this.workers.values()].map((one) => one.entry);
 		return [...living, ...this.lapsing].sort((a, b) => (a.id < b.id ? -1 : 1));
 	}
 
-	/** Tasks with two runs at once. */
+	/** Tasks with two active runs. */
 	doubled(): string[] {
 		const running = [...this.workers.values()].flatMap((one) => [...one.running.keys()]);
 		return running.filter((task, index) => running.indexOf(task) !== index);
 	}
 
-	/** The calls as one box makes them; `isCut`: its calls to that worker do not arrive. */
+	/** The calls of one box. `isCut`: whether its calls to a worker are cut off. */
 	calls(isCut: IsCut = () => false): fleet.WorkerCalls {
 		const call = <T>(at: fleet.WorkerTarget, order: Order<T>): fleet.WorkerResult<T> =>
 			this.carryOut(at, isCut, order);
@@ -482,7 +496,10 @@
 		};
 	}
 
-	/** Carries an order out at the worker that listens at the address, as that worker's fault lets it. */
+	/**
+	 * Runs an operation at the worker that listens at the address, subject to that worker's fault. `onConnected`: called
+	 * when the connection is accepted.
+	 */
 	private async carryOut<T>(
 		at: fleet.WorkerTarget,
 		isCut: IsCut,
@@ -505,13 +522,13 @@
 		return results.fail(noAnswer);
 	}
 
-	/** A call that is left without an answer. */
+	/** A call that gets no answer. */
 	private async giveUp(): fleet.WorkerResult<never> {
 		await this.sleep(giveUpMs);
 		return results.fail(noAnswer);
 	}
 
-	/** Carries an order out much later, by whoever has the worker's name then. */
+	/** Runs an operation after the caller's timeout, at the worker that has the name by then. */
 	private carryOutLate<T>(worker: FakeWorker, order: Order<T>): void {
 		this.opts.clock.after(giveUpMs + lateMs, () => {
 			const heir = this.workers.get(worker.name);
@@ -519,7 +536,7 @@
 		});
 	}
 
-	/** Asks for a report; without an end to report, the answer waits for one. */
+	/** Requests a report. If there is no exit to report, the answer waits for one. */
 	private async hold(
 		at: fleet.WorkerTarget,
 		isCut: IsCut,
@@ -530,7 +547,7 @@
 		if (!first.ok || worker === undefined || order.waitMs === 0) return first;
 		if (first.value.ended.length > 0) return first;
 		await this.endOrTimeout(worker, order.waitMs);
-		// A worker without power does not even break its connections.
+		// A worker without power doesn't close its connections either.
 		if (this.down.get(at.address) === 'dark') await this.sleep(giveUpMs);
 		if (worker.dead) return results.fail(noAnswer);
 		if (isCut(worker.name) || worker.fault !== 'none') return this.giveUp();
@@ -539,7 +556,7 @@
 
 	private atAddress(address: string): FakeWorker | undefined {
 		const known = this.byAddress.get(address);
-		// Tests take workers out of the map themselves.
+		// Tests remove workers from the map directly.
 		return known !== undefined && this.workers.get(known.name) === known ? known : undefined;
 	}
 
--- a/stand-ins/http.ts
+++ b/stand-ins/http.ts
@@ -1,9 +1,9 @@
-/** What the stand-ins share: an h3 app on a kernel-chosen port, and a line that tells it. */
+/** What the stand-ins share: serving an h3 app on loopback, and announcing its address. */
 import * as http from 'node:http';
 import type * as net from 'node:net';
 import * as h3 from 'h3';
 
-/** Starts `app`; resolves with the server and its address `host:port`. */
+/** Serves `app` on loopback; port 0: the kernel chooses one. Resolves with the server and its address, `host:port`. */
 export async function listen(app: h3.H3, port: number): Promise<{ server: http.Server; address: string }> {
 	const server = http.createServer(h3.toNodeHandler(app));
 	server.keepAliveTimeout = 60_000;
@@ -14,7 +14,7 @@
 	return { server, address: `127.0.0.1:${at.port}` };
 }
 
-/** Tells the starter, on standard output, where the stand-in listens. */
+/** Writes the stand-in's address to standard output for the process that started it. */
 export function announce(address: string): void {
 	process.stdout.write(`${JSON.stringify({ ready: address })}\n`);
 }
--- a/stand-ins/platform/main.ts
+++ b/stand-ins/platform/main.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the platform's key-value service: the part of etcd's v3 JSON mapping that woodcross uses,
- * with faults on request (`POST /fault`) and a count of calls (`GET /stats`). Not shipped.
+ * Simulates the platform's key-value service: the part of etcd's v3 JSON mapping that woodcross uses. `POST /fault` sets
+ * faults, `GET /stats` returns counts of calls. Not shipped.
  */
 import * as timers from 'node:timers/promises';
 import * as h3 from 'h3';
@@ -11,17 +11,17 @@
 const z = zod.z;
 
 const fault = z.strictObject({
-	/** Refuse everything and cut the watches. */
+	/** Refuses all calls and closes the watches. */
 	down: z.boolean().default(false),
-	/** Milliseconds before a write takes effect. */
+	/** Delay before a write takes effect, in milliseconds. */
 	writeMs: z.number().default(0),
-	/** Milliseconds before a read is answered. */
+	/** Delay before a read is answered, in milliseconds. */
 	readMs: z.number().default(0),
-	/** Of each n-th write the answer is lost after it took effect; 0: none. */
+	/** For every n-th write the connection closes without an answer after the write took effect; 0: none. */
 	dropAnswerEvery: z.number().int().default(0),
-	/** Watches stay open and say nothing. */
+	/** Watches stay open and send no changes. */
 	stallWatches: z.boolean().default(false),
-	/** Writes a second served at most; 0: no cap. */
+	/** Maximum number of writes per second; 0: no limit. */
 	maxWrites: z.number().int().default(0),
 });
 
@@ -44,7 +44,7 @@
 
 const header = (): object => ({ revision: String(store.revision) });
 
-/** Ends the connection without an answer. */
+/** Closes the connection without an answer. */
 function hangUp(event: h3.H3Event): never {
 	event.runtime?.node?.res?.socket?.destroy();
 	throw new h3.HTTPError({ status: 503, message: 'down' });
--- a/stand-ins/platform/store.ts
+++ b/stand-ins/platform/store.ts
@@ -1,6 +1,6 @@
-/** The stand-in's keys, leases and watches, in memory: what it would keep on its own disks. */
+/** Keys, leases and watches of the simulated key-value service, in memory. */
 
-/** One key. Versions are etcd's `mod_revision`. */
+/** A key with its value. `version` is etcd's `mod_revision`. */
 export interface Entry {
 	key: string;
 	value: string;
@@ -8,7 +8,7 @@
 	lease: string;
 }
 
-/** A change, as watches tell it. */
+/** A change of a key, as watches report it. */
 export interface Change {
 	type: 'PUT' | 'DELETE';
 	entry: Entry;
@@ -22,14 +22,14 @@
 
 interface Lease {
 	ttlS: number;
-	/** Wall milliseconds. */
+	/** Wall-clock milliseconds. */
 	endsAt: number;
 }
 
-/** Changes remembered for watches that start in the past. */
+/** Number of changes kept for watches that start at an earlier revision. */
 const historySize = 50_000;
 
-/** Keys are compared as base64-decoded strings; the range is `from` up to, not including, `to`. */
+/** The store. Keys are compared as base64-decoded strings. A range includes `from` and excludes `to`. */
 export class MemoryStore {
 	revision = 1;
 	private readonly entries = new Map<string, Entry>();
@@ -44,7 +44,7 @@
 		return new MemoryStore(wall);
 	}
 
-	/** Entries from `from` up to `to`; without `to`, the key `from` alone. */
+	/** Entries of the range from `from` to `to`; without `to`, the entry of the key `from` alone. */
 	range(from: string, to?: string): Entry[] {
 		if (to === undefined) {
 			const entry = this.entries.get(from);
@@ -73,7 +73,7 @@
 		return id;
 	}
 
-	/** Renews; returns the seconds granted, 0 if the lease is gone. */
+	/** Renews a lease. Returns its TTL in seconds; 0: the lease has ended. */
 	keep(id: string): number {
 		this.expire();
 		const lease = this.leases.get(id);
@@ -93,7 +93,7 @@
 		);
 	}
 
-	/** Ends the leases whose time has passed. */
+	/** Ends all expired leases. */
 	expire(): void {
 		const now = this.wall();
 		for (const [id, lease] of [...this.leases]) {
@@ -101,7 +101,10 @@
 		}
 	}
 
-	/** Tells `notify` of past changes from `startRevision` on, then of new ones. Returns the end of the watch. */
+	/**
+	 * Calls `notify` with the known changes since `startRevision`, then with each new one. Returns a function that ends the
+	 * watch.
+	 */
 	watch(from: string, to: string, startRevision: number, notify: (changes: Change[]) => void): () => void {
 		const watcher = { from, to, notify };
 		const past = this.history.filter(
--- a/stand-ins/proxy/index.ts
+++ b/stand-ins/proxy/index.ts
@@ -1,31 +1,34 @@
-/** A small TCP proxy that injects faults between two processes: cut, one-way cut, delay, freeze, a narrow link. Not shipped. */
+/**
+ * A TCP proxy that injects faults between two processes: a broken link in both directions or one, a delay, a frozen link, a
+ * limited bandwidth. Not shipped.
+ */
 import * as net from 'node:net';
 import type * as narrow from './narrow-link.js';
 
 /** What the proxy does with traffic. */
 export type ProxyMode =
-	/** Passes everything on. */
+	/** Forwards everything. */
 	| { kind: 'pass' }
-	/** Ends connections and refuses new ones. */
+	/** Closes connections, and new ones as soon as they are accepted. */
 	| { kind: 'cut' }
-	/** Accepts and passes nothing on, either way. */
+	/** Accepts connections and forwards nothing in either direction. */
 	| { kind: 'freeze' }
-	/** Requests reach the target; answers are dropped. */
+	/** Forwards requests and drops answers. */
 	| { kind: 'drop-answers' }
-	/** Holds each piece back for so many milliseconds. */
+	/** Delays each chunk by `ms` milliseconds. */
 	| { kind: 'delay'; ms: number }
-	/** Sends over links that others may share, one for requests and one for answers. */
+	/** Sends through links with limited bandwidth, which other proxies may share; one for requests and one for answers. */
 	| { kind: 'narrow'; links: Record<'request' | 'answer', narrow.NarrowLink> };
 
-/** One proxied target. */
+/** A proxy for one target. */
 export class FaultProxy {
-	/** Where it listens, also once it is closed. */
+	/** Address at which the proxy listens, `host:port`. Stays after `close`. */
 	address = '';
 	private mode: ProxyMode = { kind: 'pass' };
-	/** Troubles under way, the newest last. */
+	/** Faults in force, the newest last. */
 	private troubles: ProxyMode[] = [];
 	private readonly sockets = new Set<net.Socket>();
-	/** Connections that have gone silent for good. */
+	/** Connections that forward nothing any more. */
 	private readonly silenced = new WeakSet<net.Socket>();
 
 	private constructor(
@@ -33,7 +36,7 @@
 		private readonly target: string,
 	) {}
 
-	/** Listens on a kernel-chosen port of loopback for `target`, `host:port`. */
+	/** Creates a proxy for `target`, `host:port`, on a port of loopback that the kernel chooses. */
 	static async create(target: string): Promise<FaultProxy> {
 		const server = net.createServer();
 		const proxy = new FaultProxy(server, target);
@@ -47,15 +50,15 @@
 		return proxy;
 	}
 
-	/** Changes what happens from now on; connections from before a cut or freeze are treated alike. */
+	/** Sets the mode. `cut` closes the open connections too; `pass` closes paused ones. */
 	set(mode: ProxyMode): void {
 		this.mode = mode;
 		if (mode.kind === 'cut') for (const socket of this.sockets) socket.destroy();
-		// What a frozen link held back must not come through later as if nothing had been.
+		// Data that a frozen link held back must not arrive later as if the link had never been frozen.
 		if (mode.kind === 'pass') for (const socket of this.sockets) if (socket.isPaused()) socket.destroy();
 	}
 
-	/** Changes what happens until the call that is returned; of several troubles the newest counts. */
+	/** Sets a mode until the returned function is called. Of several faults in force, the newest applies. */
 	trouble(mode: ProxyMode): () => void {
 		const own = { ...mode };
 		this.troubles.push(own);
@@ -67,7 +70,7 @@
 		};
 	}
 
-	/** The connections that are open now carry nothing any more, not even their end; new ones work. */
+	/** From here on, the open connections forward neither data nor their end. New connections work. */
 	silence(): void {
 		for (const socket of this.sockets) this.silenced.add(socket);
 	}
@@ -106,7 +109,7 @@
 		});
 	}
 
-	/** Passes the end of a connection on, unless it is silent. */
+	/** Forwards the end of a connection, unless the connection is stalled. */
 	private end(from: net.Socket, pass: () => void): void {
 		if (!this.silenced.has(from)) pass();
 	}
--- a/stand-ins/proxy/narrow-link.ts
+++ b/stand-ins/proxy/narrow-link.ts
@@ -1,12 +1,14 @@
-/** A link that sends so many bytes a second, one piece after another, whatever connections they belong to. */
+/**
+ * A link with limited bandwidth that sends one chunk after another, regardless of the connection that a chunk belongs to.
+ */
 
 /** One direction of a link. */
 export class NarrowLink {
-	/** Time at which all that was given is sent, on the machine's clock. */
+	/** Time at which all queued chunks will have been sent, by the monotonic clock of the process, in milliseconds. */
 	private freeAt = 0;
 	private waitingBytes = 0;
 	private readonly queue: (() => void)[] = [];
-	/** Senders that wait until the link has room. */
+	/** Paused senders, to be resumed when the link is not full any more. */
 	private paused: (() => void)[] = [];
 
 	private constructor(
@@ -14,22 +16,22 @@
 		private readonly windowBytes: number,
 	) {}
 
-	/** `windowBytes`: so many wait to be sent at most; senders are told to pause beyond. */
+	/** `maxWaitingBytes`: bytes that may wait to be sent; beyond it the link is full and senders have to pause. */
 	static create(bytesPerS: number, windowBytes = Infinity): NarrowLink {
 		return new NarrowLink(bytesPerS, windowBytes);
 	}
 
-	/** Whether more has been given than may wait. */
+	/** Whether more bytes wait than may. */
 	get isFull(): boolean {
 		return this.waitingBytes > this.windowBytes;
 	}
 
-	/** Calls `resume` once no more waits than may, whoever's pieces made room. */
+	/** Calls `resume` once the link is not full any more. */
 	whenFree(resume: () => void): void {
 		this.paused.push(resume);
 	}
 
-	/** Calls `deliver` once so many bytes have been sent behind those given before. */
+	/** Calls `deliver` once these bytes and all earlier ones have been sent. */
 	send(bytes: number, deliver: () => void): void {
 		const now = performance.now();
 		this.freeAt = Math.max(this.freeAt, now) + (bytes * 1_000) / this.bytesPerS;
@@ -39,7 +41,7 @@
 			deliver();
 			this.resumeAll();
 		});
-		// Timers may fire out of order within a millisecond; the pieces must not.
+		// Timers may fire out of order within a millisecond, but chunks must stay in order.
 		setTimeout(() => this.queue.shift()?.(), this.freeAt - now);
 	}
 
--- a/stand-ins/users-platform/address-view.ts
+++ b/stand-ins/users-platform/address-view.ts
@@ -1,22 +1,22 @@
 /**
- * The store as one box sees it where each box has a way of its own to everyone else: addresses that are kept in the store
- * are written as they are, and read as the box reaches them.
+ * A view of the store for one box that reaches every other process at an address of its own. Values hold real addresses in
+ * the store; the view translates them into the box's addresses on reads, and back on writes.
  */
 import * as results from '../../src/core/result.js';
 import type * as platform from '../../src/core/platform/types.js';
 
-/** Addresses on loopback with ports of the kernel's choice; one as long as another, so that values keep their lengths. */
+/** Addresses on loopback. Five-digit ports make all of them equally long, so that values keep their lengths. */
 const addresses = /127\.0\.0\.1:\d{5}/g;
 
-/** What a box calls whom. */
+/** Translation between real addresses and those of one box. */
 export interface AddressBook {
-	/** How the box reaches who listens at `address`. */
+	/** Address at which the box reaches the process that listens at `address`. */
 	seen: (address: string) => string;
-	/** Where the one listens that the box reaches at `seen`; an address that is not known yet is the box's own. */
+	/** Real address behind one of the box's addresses. An address that is not known yet belongs to the box itself. */
 	real: (seen: string) => Promise<string>;
 }
 
-/** A store whose values hold the box's own addresses. */
+/** A view of the store with the box's addresses in its values. */
 export function withAddresses(store: platform.RecordStore, book: AddressBook): platform.RecordStore {
 	const seen = (value: Uint8Array): Uint8Array => replaceAll(value, (address) => book.seen(address));
 	const show = (item: platform.Stored): platform.Stored => ({ ...item, value: seen(item.value) });
@@ -43,7 +43,7 @@
 	};
 }
 
-/** A write with the real addresses in it. */
+/** The write with real addresses in its value. */
 async function unshow<T extends { value: Uint8Array }>(write: T, book: AddressBook): Promise<T> {
 	const found = new Set(toText(write.value).match(addresses));
 	const real = new Map<string, string>();
--- a/stand-ins/users-platform/listing.ts
+++ b/stand-ins/users-platform/listing.ts
@@ -1,22 +1,21 @@
-/** Entries that workers keep of themselves in the store, with their heartbeats. */
+/** Entries of workers in the store, kept up by heartbeats. */
 import * as clocks from '../../src/core/clock.js';
 import type * as memory from '../fleet/memory-store.js';
 
-/** An entry goes after so many heartbeats of silence. */
+/** Number of missed heartbeats after which an entry is removed. */
 const missedBeats = 3;
 
-/** One worker's entry. */
 interface Listed {
 	fields: object;
-	/** Counts what the worker has written. */
+	/** Number of times that the worker has written its entry. */
 	seq: number;
-	/** The next heartbeat, or the time at which a silent one's entry goes. */
+	/** Timer of the next heartbeat, or of the removal of the entry once heartbeats have stopped. */
 	timer: clocks.Timer | undefined;
-	/** Clock time of the newest heartbeat. */
+	/** Clock time of the newest heartbeat, in milliseconds. */
 	beatAt: number;
 }
 
-/** What stands under `servers/`. */
+/** The entries under `servers/`. */
 export class Listing {
 	private readonly entries = new Map<string, Listed>();
 
@@ -25,12 +24,15 @@
 		private readonly heartbeatMs: number | undefined,
 	) {}
 
-	/** `heartbeatMs`: entries are written anew so often; undefined: once only, and they go only by `drop`. */
+	/**
+	 * `heartbeatMs`: interval at which each entry is rewritten. Undefined: an entry is written once and removed by `remove`
+	 * alone.
+	 */
 	static create(store: memory.MemoryStore, heartbeatMs: number | undefined): Listing {
 		return new Listing(store, heartbeatMs);
 	}
 
-	/** A worker writes its first entry. */
+	/** Adds a worker and writes its first entry. */
 	add(id: string, fields: object): void {
 		this.entries.get(id)?.timer?.cancel();
 		const listed: Listed = { fields, seq: 0, timer: undefined, beatAt: 0 };
@@ -38,7 +40,7 @@
 		this.beat(id, listed);
 	}
 
-	/** A worker writes an entry with other fields from now on. */
+	/** Replaces a worker's fields and writes its entry. An unknown worker is ignored. */
 	update(id: string, fields: object): void {
 		const listed = this.entries.get(id);
 		if (listed === undefined) return;
@@ -47,7 +49,7 @@
 		this.beat(id, listed);
 	}
 
-	/** A worker writes no more; its entry goes by and by. */
+	/** Stops a worker's heartbeats. Its entry is removed when it lapses; without heartbeats it stays. */
 	silence(id: string): void {
 		const listed = this.entries.get(id);
 		if (listed === undefined || this.heartbeatMs === undefined) return;
@@ -58,14 +60,14 @@
 		});
 	}
 
-	/** An entry goes now. */
+	/** Removes an entry immediately. */
 	drop(id: string): void {
 		this.entries.get(id)?.timer?.cancel();
 		this.entries.delete(id);
 		this.store.drop(`servers/${id}`);
 	}
 
-	/** Ends all heartbeats. */
+	/** Stops all heartbeats. */
 	close(): void {
 		for (const listed of this.entries.values()) listed.timer?.cancel();
 	}
--- a/stand-ins/users-platform/server.ts
+++ b/stand-ins/users-platform/server.ts
@@ -1,6 +1,6 @@
 /**
- * A small users' platform for tests with real boxes: its store and its workers over HTTP, in the words of its pages.
- * It keeps to what a box sends; faults are switches of the memory store and the fake workers behind it.
+ * A small simulation of the platform for tests with real boxes. It serves the store and the workers over HTTP in the
+ * platform's protocol, as far as a box uses it. Faults are set on the memory store and the simulated workers behind it.
  */
 import * as http from 'node:http';
 import * as addressViews from './address-view.js';
@@ -14,27 +14,30 @@
 
 type Body = Record<string, unknown>;
 
-/** Status and body of an answer; `none`: the connection breaks, and the call may have been done. */
+/** Status and body of an answer. `none`: the connection breaks, and the call may have been carried out. */
 type Answer = [number, object] | 'none';
 
 type Answerer = (req: http.IncomingMessage, url: URL, body: Body) => Promise<Answer>;
 
-/** What can be set of a stand-in. */
+/** Options of the simulated platform. */
 export interface UsersPlatformOptions {
 	plan: (task: string, run: number) => workers.RunPlan;
-	/** Told of each start that a worker carried out, and each end that it forgot. */
+	/**
+	 * Notified of each start that a worker carried out, each exit, and each exit that a worker dropped once it was
+	 * acknowledged.
+	 */
 	journal?: workers.FleetJournal;
-	/** Workers write their entries anew so often, in milliseconds; absent: never. */
+	/** Interval at which workers rewrite their entries, in milliseconds; absent: they don't. */
 	heartbeatMs?: number;
 }
 
-/** Longest lease of the workers, in milliseconds; `box-process.ts` tells boxes the same. */
+/** Longest lease of the workers, in milliseconds; equals `hold_max_ms` in the boxes' settings (`box-process.ts`). */
 const maxLeaseMs = 10_000;
 
-/** What a worker holds unless its room has shrunk, in thousandths of a core. */
+/** Capacity of a worker unless it is resized, in thousandths of a core. */
 export const workerMilliCores = 32_000;
 
-/** Status of each refusal of a worker, and its reason on the wire. */
+/** HTTP status of each refusal by a worker, and the reason in its body. */
 const refusals: Record<string, [number, string]> = {
 	fenced: [409, 'fence'],
 	'stale-run': [409, 'old'],
@@ -43,11 +46,11 @@
 	'other-life': [421, ''],
 };
 
-/** The stand-in. */
+/** The simulated platform. */
 export class UsersPlatform {
 	readonly store = memory.MemoryStore.create(clocks.systemClock);
 	readonly fleet: workers.FakeFleet;
-	/** What the store does to every call. */
+	/** Fault of every call to the store. */
 	storeFault: memory.StoreFault = 'none';
 	private readonly listing: listings.Listing;
 	private readonly servers: http.Server[] = [];
@@ -61,7 +64,10 @@
 		return new UsersPlatform(opts);
 	}
 
-	/** Starts the store, or one box's view of it if it has its own addresses for everyone else; returns its address. */
+	/**
+	 * Serves the store and returns its address. `addressMap`: serves a view for one box that has its own addresses for the
+	 * other processes.
+	 */
 	startStore(book?: addressViews.AddressBook): Promise<string> {
 		const plain = this.store.view(() => this.storeFault);
 		const view = book === undefined ? plain : addressViews.withAddresses(plain, book);
@@ -69,8 +75,8 @@
 	}
 
 	/**
-	 * Starts a worker and lists it in the store under `listedAs(address)`; returns where it listens. `born`: it tells that
-	 * it started then.
+	 * Starts a worker and lists it in the store under `listedAs(address)`. Returns the address at which it listens. `born`:
+	 * the start time that it reports; absent: it reports none.
 	 */
 	async startWorker(
 		id: string,
@@ -85,9 +91,8 @@
 	}
 
 	/**
-	 * A worker dies with all it runs; another life comes at the same address. `lapsing`: the entry of the one that died
-	 * stays listed beside it, as it does until it has gone three heartbeats without a word; without heartbeats it stays
-	 * until `lapse`.
+	 * Ends a worker with all its runs and starts another incarnation at the same address. `lapsing`: the old entry stays
+	 * listed until it lapses after three missed heartbeats; without heartbeats it stays until `removeEntry`.
 	 */
 	replaceWorker(
 		before: string,
@@ -95,21 +100,21 @@
 		listedAs: string,
 		entry: 'dropped' | 'lapsing' = 'dropped',
 	): void {
-		// One that went down before has no life there.
+		// A worker that has crashed already is not in the fleet.
 		const address = this.fleet.workers.get(before)?.entry.address ?? listedAs;
 		if (entry === 'dropped') this.lapse(before);
 		else this.listing.silence(before);
 		this.addLife(id, address, listedAs);
 	}
 
-	/** A worker starts again under its id at its address; if it lives, it dies with all it runs. */
+	/** Restarts a worker under its id at its address. If it is up, it crashes with all its runs first. */
 	restartWorker(id: string, listedAs: string, born: number): void {
 		const before = this.fleet.workers.get(id);
 		if (before !== undefined) this.fleet.takeDown(before);
 		this.addLife(id, before?.entry.address ?? listedAs, listedAs, born);
 	}
 
-	/** The entry of a life that has ended goes. */
+	/** Removes the entry of an incarnation that has ended. */
 	lapse(id: string): void {
 		this.listing.drop(id);
 	}
@@ -119,33 +124,33 @@
 		this.listing.add(id, { ...entryOf(listedAs, workerMilliCores), born });
 	}
 
-	/** A worker that is listed at `listedAs` holds so many thousandths of a core from now on, as its entry says. */
+	/** Changes the capacity in the entry of worker `id`, which is listed at `listedAs`. */
 	resize(id: string, listedAs: string, milliCores: number): void {
 		this.listing.update(id, entryOf(listedAs, milliCores));
 	}
 
-	/** The entry of a worker that went down is not written any more. */
+	/** Stops the heartbeats of a worker that has crashed. */
 	silence(id: string): void {
 		this.listing.silence(id);
 	}
 
-	/** Writes the operators' configuration: queues at `host`, one for each prefix of paths. */
+	/** Writes the operators' configuration, with one queue at `host` for each path prefix. */
 	configure(version: number, host: string, prefixes = ['/jobs/']): void {
 		const configuration = { version, ...configurationFor(host, prefixes) };
 		this.store.put('op/config', Buffer.from(JSON.stringify(configuration)));
 	}
 
-	/** An operator evacuates a zone. */
+	/** Evacuates a zone, as an operator does. */
 	evacuate(zone: string): void {
 		this.store.put(`op/evacuate/${zone}`, Buffer.from('{}'));
 	}
 
-	/** An operator takes an evacuation back. */
+	/** Cancels an evacuation, as an operator does. */
 	takeBack(zone: string): void {
 		this.store.drop(`op/evacuate/${zone}`);
 	}
 
-	/** Ends every server. */
+	/** Closes all servers. */
 	close(): void {
 		this.listing.close();
 		for (const server of this.servers) {
@@ -176,7 +181,7 @@
 		return spell(await calls.start(at, order), clock);
 	}
 
-	/** Starts a server on a port of the kernel's choice; returns its address. */
+	/** Starts a server on a port that the kernel chooses. Returns its address. */
 	private async listen(answer: Answerer): Promise<string> {
 		const server = http.createServer((req, res) => {
 			respond(req, res, answer);
@@ -190,7 +195,7 @@
 	}
 }
 
-/** Reads a request's body, and answers; a caller that goes away first gets no answer. */
+/** Reads a request's body and answers it. Answer `none` closes the connection. */
 function respond(req: http.IncomingMessage, res: http.ServerResponse, answer: Answerer): void {
 	const chunks: Buffer[] = [];
 	req.on('data', (chunk: Buffer) => chunks.push(chunk));
@@ -208,7 +213,7 @@
 	});
 }
 
-/** What a worker says of itself. */
+/** The fields that a worker writes in its entry. */
 function entryOf(address: string, milliCores: number): object {
 	return {
 		service: 'press',
@@ -220,7 +225,7 @@
 	};
 }
 
-/** What stands in every version of the operators' configuration. */
+/** The part of the operators' configuration that all versions share. */
 function configurationFor(host: string, prefixes: string[]): object {
 	const routes = prefixes.map((prefix, number) => ({
 		name: `proofs-${number}`,
@@ -244,7 +249,7 @@
 	};
 }
 
-/** A worker's answer on the wire. */
+/** Converts a worker's answer to HTTP. */
 function spell<T>(res: Awaited<fleet.WorkerResult<T>>, show: (value: T) => object): Answer {
 	if (res.ok) return [200, show(res.value)];
 	const refusal = refusals[res.err.kind];
@@ -260,12 +265,12 @@
 	};
 }
 
-/** A failed call to the store: nothing was done, or nobody knows. */
+/** Converts a failed call to the store: 503 if nothing was written, a broken connection if that is unknown. */
 function spellFailure(err: platform.StoreFailure): Answer {
 	return err.effect === 'none' ? [503, {}] : 'none';
 }
 
-/** One call to the store. */
+/** Handles a call to the store. */
 async function answerStore(
 	view: platform.RecordStore,
 	method: string,
--- a/stand-ins/worker/farm.ts
+++ b/stand-ins/worker/farm.ts
@@ -1,4 +1,7 @@
-/** Many stand-in workers in one process, each on its own port, for measurements; counts the bytes they exchange. */
+/**
+ * Runs many simulated workers in one process, each on its own port, and counts the bytes that they exchange. For
+ * measurements.
+ */
 import * as crypto from 'node:crypto';
 import type * as net from 'node:net';
 import * as h3 from 'h3';
--- a/stand-ins/worker/machine.ts
+++ b/stand-ins/worker/machine.ts
@@ -1,7 +1,7 @@
-/** The stand-in worker's own rules: fence, incarnation, not-after, leases, and tasks that only count time. */
+/** Simulates a worker: fencing, incarnation check, `notAfter`, leases, and tasks that do nothing but take time. */
 import type * as workers from '../../src/core/worker/index.js';
 
-/** One line of the journal, the independent witness of what ran where and when. */
+/** A line of the journal, which records independently of the scheduler what ran where and when. */
 export interface JournalLine {
 	worker: string;
 	incarnation: string;
@@ -9,9 +9,9 @@
 	attempt: number;
 	what: 'start' | 'end';
 	how: string;
-	/** Wall milliseconds. */
+	/** Wall-clock milliseconds. */
 	at: number;
-	/** Milliseconds of the task's work done so far, over all attempts. */
+	/** Work of the task done so far, in milliseconds over all attempts. */
 	progressMs: number;
 	cores: number;
 	memoryMb: number;
@@ -24,32 +24,31 @@
 	state: workers.TaskReport['state'];
 	needs: { cores: number; memoryMb: number };
 	run: Record<string, string | number | boolean>;
-	/** Work done before the last change of speed. */
+	/** Work done until the last change of `share`, in milliseconds. */
 	doneMs: number;
-	/** Monotonic time of the last change of speed. */
+	/** Monotonic time of the last change of `share`, in milliseconds. */
 	since: number;
 	share: number;
 	leaseEnds: number;
 	reason?: string;
 }
 
-/** Faults that the stand-in plays on request. */
+/** Faults that can be switched on. */
 export interface WorkerFaults {
-	/** Every task fails at once. */
+	/** Every task fails immediately. */
 	failAll: boolean;
 }
 
-/** Settings of the machine. */
 export interface MachineOptions {
 	id: string;
 	incarnation: string;
-	/** Monotonic milliseconds. */
+	/** Monotonic clock, in milliseconds. */
 	now: () => number;
 	wall: () => number;
 	journal: (line: JournalLine) => void;
 }
 
-/** Runs pretended tasks and keeps the worker's side of the promises. */
+/** Runs simulated tasks and implements the worker's side of the protocol. */
 export class Machine {
 	readonly faults: WorkerFaults = { failAll: false };
 	private readonly attempts = new Map<string, Attempt>();
@@ -62,7 +61,7 @@
 		return new Machine(opts);
 	}
 
-	/** Takes one message; refuses it whole if its fence or incarnation does not match. */
+	/** Processes a message. Rejects it as a whole if its epoch, sequence number or incarnation does not match. */
 	exchange(req: workers.ExchangeReq): workers.ExchangeRes {
 		this.advance();
 		const accepted = this.admits(req);
@@ -76,7 +75,7 @@
 		return { accepted, incarnation: this.opts.incarnation, now: this.opts.now(), epoch: this.epoch, tasks };
 	}
 
-	/** Brings every task up to the present: ends and lapsed leases. */
+	/** Brings every running task up to date: tasks that are finished, and leases that have expired. */
 	advance(): void {
 		for (const attempt of this.attempts.values()) {
 			if (attempt.state === 'running') this.advanceOne(attempt);
--- a/stand-ins/worker/main.ts
+++ b/stand-ins/worker/main.ts
@@ -1,11 +1,11 @@
-/** Stand-in of one of the platform's workers. Its journal goes to standard output, where a kill can't take it back. */
+/** Simulates a worker in a process of its own. It writes the journal to standard output, where lines survive a kill. */
 import * as crypto from 'node:crypto';
 import * as h3 from 'h3';
 import * as workers from '../../src/core/worker/index.js';
 import * as standIn from '../http.js';
 import * as machines from './machine.js';
 
-/** How often leases and ends are looked at, in milliseconds. */
+/** Interval at which leases and finished tasks are checked, in milliseconds. */
 const tickMs = 10;
 
 const machine = machines.Machine.create({
