--- a/stand-ins/fleet/virtual-clock.ts
+++ b/stand-ins/fleet/virtual-clock.ts
@@ -1,4 +1,7 @@
-/** A clock that tests move by hand: timers fire in order, and everything that follows from one runs before the next. */
+/**
+ * A clock that tests advance explicitly. Timers fire in order, and all work that follows from one is done before the next
+ * fires.
+ */
 import type * as clocks from '../../src/core/clock.js';
 
 interface PendingTimer {
@@ -8,19 +11,19 @@
 	cancelled: boolean;
 }
 
-/** Rounds of the event loop after each timer; enough for the longest chain of promises between two timers. */
+/** Turns of the event loop after each timer; enough for the longest chain of promises between two timers. */
 const eventLoopRounds = 4;
 
-/** Time under a test's control. */
+/** A clock under a test's control. */
 export class VirtualClock implements clocks.Clock {
 	private timeMs = 1_000;
 	private lastSequence = 0;
 	private lastResumedAt = -Infinity;
-	/** A binary heap, the earliest first: some tests keep thousands of timers. */
+	/** A binary heap, the earliest first. Some tests keep thousands of timers. */
 	private readonly heap: PendingTimer[] = [];
 
 	private constructor() {
-		// Built by `create`, like every class here.
+		// Instances are built by `create`, as in all classes here.
 	}
 
 	static create(): VirtualClock {
@@ -39,7 +42,7 @@
 		return this.lastResumedAt;
 	}
 
-	/** The machine was suspended until now. */
+	/** Notes that the machine was suspended until the present time. */
 	noteResume(): void {
 		this.lastResumedAt = this.timeMs;
 	}
@@ -59,7 +62,7 @@
 		};
 	}
 
-	/** Lets `ms` milliseconds pass. */
+	/** Advances the time by `ms` milliseconds and fires the timers that become due. */
 	async advance(ms: number): Promise<void> {
 		const end = this.timeMs + ms;
 		await runEventLoop();
@@ -72,7 +75,7 @@
 		this.timeMs = Math.max(this.timeMs, end);
 	}
 
-	/** A computation takes `ms` milliseconds: time passes, and nothing else happens meanwhile. */
+	/** Simulates a computation of `ms` milliseconds: time passes, and no timer fires meanwhile. */
 	blockFor(ms: number): void {
 		this.timeMs += ms;
 	}
@@ -89,7 +92,7 @@
 		}
 	}
 
-	/** Takes the earliest timer off; undefined: none is due by `end`. */
+	/** Removes and returns the earliest timer; undefined: none is due by `end`. */
 	private pop(end: number): PendingTimer | undefined {
 		const { heap } = this;
 		const first = heap[0];
