--- a/dev/bench-days.mjs
+++ b/dev/bench-days.mjs
@@ -1,6 +1,7 @@
 /**
- * Writes days of our own, one a kind of trouble, with that trouble twice or at awkward moments. They name nothing of a
- * site's own, so they fit every site; the bench's `hunt` varies their times and figures.
+ * Writes benchmark days, one file for each kind of fault. A day repeats its fault or injects it while the system is
+ * vulnerable. The days name nothing that belongs to one site, so they fit every site. The bench's `hunt` varies their times
+ * and figures.
  * Usage: node dev/bench-days.mjs FOLDER
  */
 import * as fs from 'node:fs';
@@ -9,7 +10,10 @@
 
 const [folder] = process.argv.slice(2);
 
-/** Each kind with a change of owner soon after it: the second fault strikes what the first left half done. */
+/**
+ * The faults of each day, by the day's name. On some days the owner changes soon after the first fault, so the second fault
+ * hits a recovery that is not finished.
+ */
 const troubles = {
 	'srv-cut': ['{ at = 6, kind = "srv_cut", share = 0.3, for_s = 5 }'],
 	'srv-cut-one-way': ['{ at = 6, kind = "srv_cut", share = 0.3, for_s = 5, how = "one_way" }'],
@@ -45,7 +49,7 @@
 		'{ at = 5, kind = "platform_lost", x = 0.5, for_s = 8 }',
 		'{ at = 8, kind = "node_kill", on = "core", count = 1, how = "leader" }',
 	],
-	// A tenth of the workers crash every three seconds: many tasks are lost more than once, and none is to blame.
+	// A tenth of the workers crash every three seconds. Many tasks are lost more than once, and none of them is the cause.
 	'crashes-by-chance': Array.from(
 		{ length: 9 },
 		(_, turn) => `{ at = ${4 + 3 * turn}, kind = "srv_crash", share = 0.1, for_s = 3 }`,
@@ -62,7 +66,8 @@
 		'{ at = 8.5, kind = "node_kill", on = "core", count = 1, how = "leader" }',
 		'{ at = 18.2, kind = "node_kill", on = "core", count = 1, how = "leader" }',
 	],
-	// Crashed workers are back at their addresses, and the entries of their lives before have not lapsed yet.
+	// The crashed workers have restarted at their addresses, and the entries of their previous incarnations have not expired
+	// yet.
 	'reborn-then-owner-killed': [
 		'{ at = 16.0, kind = "srv_crash", share = 0.25, for_s = 2 }',
 		'{ at = 19.3, kind = "node_kill", on = "core", count = 1, how = "leader" }',
@@ -71,7 +76,7 @@
 		'{ at = 16.0, kind = "srv_crash", share = 0.25, for_s = 1 }',
 		'{ at = 18.3, kind = "node_kill", on = "core", count = 1, how = "leader" }',
 	],
-	// The list is read again a second after that.
+	// The compaction forces the list to be read again, about a second after the crashed workers have restarted.
 	'reborn-then-history-gone': [
 		'{ at = 16.0, kind = "srv_crash", share = 0.25, for_s = 1 }',
 		'{ at = 17.7, kind = "platform_compact" }',
@@ -80,7 +85,7 @@
 		'{ at = 6, kind = "node_freeze", on = "core", count = 1, for_s = 4, how = "leader" }',
 		'{ at = 7, kind = "zone_cut", for_s = 5, how = "reset" }',
 	],
-	// The owner's link or processor is full, and it or its successor is lost in that moment.
+	// The owner's link or processor is saturated, and the owner or its successor is lost at that moment.
 	'burst-then-owner-killed': [
 		'{ at = 8, kind = "burst", x = 2.5, for_s = 5 }',
 		'{ at = 10, kind = "node_kill", on = "core", count = 1, how = "leader" }',
--- a/dev/bundle.mjs
+++ b/dev/bundle.mjs
@@ -1,4 +1,4 @@
-/** Bundles the box into target/: one minified file loads in half the time of its parts. */
+/** Bundles the box program into target/: one minified file loads in half the time that its separate modules take. */
 import * as esbuild from 'esbuild';
 
 await esbuild.build({
--- a/dev/cluster.ts
+++ b/dev/cluster.ts
@@ -1,40 +1,42 @@
-/** A small deployment of real processes on loopback: stand-ins, and the programs of the system. */
+/** A small deployment on loopback: the programs of the system and the stand-ins, each a real process. */
 import * as undici from 'undici';
 import * as boxes from '../src/core/boxes/index.js';
 import * as platform from '../src/core/platform/index.js';
 import * as processes from './processes.js';
 
-/** Shape of a deployment. */
+/** Size and settings of a deployment. */
 export interface ClusterOptions {
 	zones: string[];
 	entriesPerZone: number;
 	schedulersPerZone: number;
 	backendsPerZone: number;
 	workersPerZone: number;
-	/** Least severe events that programs print. */
+	/** Lowest level of the events that the programs print; absent: debug. */
 	logLevel?: 'debug' | 'info';
-	/** Extra flags for schedulers, e.g. shorter leases. */
+	/** Additional flags of the schedulers, e.g. shorter leases. */
 	schedulerFlags?: string[];
-	/** Extra flags for entries. */
+	/** Additional flags of the entry programs. */
 	entryFlags?: string[];
-	/** Extra environment of backend servers. */
+	/** Additional environment variables of the backend servers. */
 	backendEnv?: Record<string, string>;
-	/** The address a program reaches something by, for a proxy between; the default is the address itself. */
+	/**
+	 * Returns the address at which `from` reaches `to`, so that a proxy can stand between them. Absent: `address` itself.
+	 */
 	via?: (from: string, to: string, address: string) => Promise<string> | string;
 }
 
-/** A backend server or worker with its address. */
+/** A stand-in backend server or worker, with its address. */
 export interface Box {
 	id: string;
 	zone: string;
 	address: string;
-	/** The address by which the programs know it, if a proxy stands between. */
+	/** The address in the published box list: that of the proxy, if there is one, otherwise `address`. */
 	listedAddress: string;
 	state: 'live' | 'leaving';
 	process: processes.Started;
 }
 
-/** A program of the system with its addresses. */
+/** A program of the system, with its addresses. */
 export interface Program {
 	box: string;
 	zone: string;
@@ -44,17 +46,17 @@
 	process: processes.Started;
 }
 
-/** Capacity of each stand-in worker. */
+/** Capacity that the box list states for each stand-in worker. */
 export const workerCapacity = { cores: 32, memoryMb: 125_000, accelerators: 0 };
 
-/** Slots and connections of each stand-in backend server. */
+/** Request slots and connections of each stand-in backend server. */
 export const backendSlots = 8;
 const backendConnections = 64;
 
-/** Service that the backend servers run. */
+/** The service that all backend servers offer. */
 export const serviceName = 'guichet';
 
-/** Workers a rack. */
+/** Number of workers in a rack. */
 const rackSize = 8;
 
 /** A running deployment. */
@@ -69,7 +71,7 @@
 
 	private constructor(readonly opts: ClusterOptions) {}
 
-	/** Starts everything and waits until each process listens. */
+	/** Starts all processes and waits until each of them listens. */
 	static async create(opts: ClusterOptions): Promise<Cluster> {
 		const cluster = new Cluster(opts);
 		cluster.platform = processes.start('platform', 'stand-ins/platform/main.js');
@@ -88,7 +90,7 @@
 		return cluster;
 	}
 
-	/** Starts one program and resolves once it listens. */
+	/** Starts one program and waits until it listens. */
 	async startProgram(role: Program['role'], zone: string, flags: string[] = []): Promise<Program> {
 		const box = `${role}-${zone}-${this.nextBox}`;
 		this.nextBox += 1;
@@ -109,7 +111,7 @@
 		return program;
 	}
 
-	/** Starts a worker under an id, or starts it anew after it ended. */
+	/** Starts a worker process with this id; also restarts a worker that has exited. */
 	async startWorker(id: string, zone: string): Promise<Box> {
 		const process = processes.start(id, 'stand-ins/worker/main.js', [], { BOX_ID: id });
 		const address = await processes.readyAddress(process);
@@ -117,7 +119,7 @@
 		return { id, zone, address, listedAddress, state: 'live', process };
 	}
 
-	/** Writes a zone's box lists, as the platform would. */
+	/** Writes the lists of a zone's workers and backend servers into the store, as the platform does. */
 	async publish(zone: string): Promise<void> {
 		const workers = this.workers.filter((box) => box.zone === zone);
 		const workerList: boxes.WorkerBox[] = workers.map((box, index) => ({
@@ -140,17 +142,17 @@
 		await this.put(boxes.backendsKey(zone), backendList);
 	}
 
-	/** Programs of a role, of one zone if given. */
+	/** Programs with a role, in one zone or (without `zone`) in all zones. */
 	of(role: Program['role'], zone?: string): Program[] {
 		return this.programs.filter((one) => one.role === role && (zone === undefined || one.zone === zone));
 	}
 
-	/** Sets faults of the platform stand-in. */
+	/** Configures fault injection in the platform stand-in. */
 	async platformFault(fault: Record<string, unknown>): Promise<void> {
 		await post(this.platformAddress, '/fault', fault);
 	}
 
-	/** Ends every process. */
+	/** Kills every process. */
 	async close(): Promise<void> {
 		const all = [...this.programs, ...this.workers, ...this.backends].map((one) => one.process);
 		await Promise.all([...all, this.platform].map((one) => kill(one)));
@@ -188,23 +190,23 @@
 		return this.opts.via === undefined ? address : this.opts.via(from, to, address);
 	}
 
-	/** Writes a box list, as the platform would. */
+	/** Writes a box list into the store, as the platform does. */
 	async put(key: string, value: unknown): Promise<void> {
 		const current = await this.store.get(key);
-		if (!current.ok) throw new Error(`platform stand-in: ${current.err.reason}`);
+		if (!current.ok) throw new Error(`platform stand-in: read failed: ${current.err.reason}`);
 		const bytes = Buffer.from(JSON.stringify(value));
 		const put = await this.store.swap(key, bytes, current.value?.version ?? 0);
-		if (!put.ok || !put.value.swapped) throw new Error(`platform stand-in: ${key} not written`);
+		if (!put.ok || !put.value.swapped) throw new Error(`platform stand-in: ${key} could not be written`);
 	}
 }
 
-/** Kills a process, stopped ones included. */
+/** Kills a process, even one that SIGSTOP has suspended. */
 export async function kill(started: processes.Started): Promise<void> {
 	started.child.kill('SIGCONT');
 	await processes.stop(started, 'SIGKILL');
 }
 
-/** Posts JSON to a stand-in. */
+/** Posts JSON to a stand-in and returns its JSON answer. */
 export async function post(address: string, path: string, body: unknown): Promise<unknown> {
 	const res = await undici.request(`http://${address}${path}`, {
 		method: 'POST',
--- a/dev/demo.ts
+++ b/dev/demo.ts
@@ -1,4 +1,7 @@
-/** The demonstration: a small deployment does the main job on real input. Exits with 1 if any of it did not happen. */
+/**
+ * The demonstration: a small deployment answers requests, runs jobs and changes its configuration. Exits with 1 if any step
+ * fails.
+ */
 import * as crypto from 'node:crypto';
 import * as undici from 'undici';
 import * as consolaLib from 'consola';
@@ -11,14 +14,14 @@
 /** Requests sent to each entry box. */
 const requestsPerEntry = 50;
 
-/** Milliseconds the whole demonstration may take. */
+/** Timeout of the whole demonstration, in milliseconds. */
 const limitMs = 55_000;
 
-/** Events shown of the time line. */
+/** Number of timeline events printed. */
 const shownEvents = 40;
 
 function must(condition: boolean, what: string): asserts condition {
-	if (!condition) throw new Error(`demo: ${what} did not happen`);
+	if (!condition) throw new Error(`demo: expected ${what}`);
 }
 
 async function must2xx<T>(what: string, call: Promise<results.Result<T, operator.CallError>>): Promise<T> {
@@ -35,7 +38,10 @@
 	}
 }
 
-/** Sends distinct bodies to an entry box and checks each answer by hash. */
+/**
+ * Sends random bodies to an entry box and checks that each answer returns its body byte for byte. Returns the number of
+ * correct answers.
+ */
 async function askEntry(entry: clusters.Program): Promise<number> {
 	const asked = Array.from({ length: requestsPerEntry }, async () => {
 		const body = crypto.randomBytes(1 + Math.floor(Math.random() * 20_000));
@@ -51,7 +57,7 @@
 	const whole = (await Promise.all(asked)).filter(Boolean).length;
 	must(
 		whole === requestsPerEntry,
-		`${entry.box} answering all ${requestsPerEntry} requests whole (it was ${whole})`,
+		`${entry.box} to answer all ${requestsPerEntry} requests correctly (it answered ${whole})`,
 	);
 	return whole;
 }
@@ -60,8 +66,8 @@
 	const [first] = cluster.of('operator');
 	must(first !== undefined, 'an operator process');
 	const client = operator.OperatorClient.create(first.serves);
-	consola.start('Waiting for the schedulers to take over their shards');
-	await until('every shard owned', async () => {
+	consola.start('Waiting for the schedulers to take ownership of their shards');
+	await until('every shard to have an owner that reaches its workers', async () => {
 		const status = await client.call('status', { team: '' });
 		return (
 			status.ok &&
@@ -92,22 +98,22 @@
 
 	const answered = await Promise.all(cluster.of('entry').map(askEntry));
 	consola.success(
-		`${answered.reduce((sum, one) => sum + one, 0)} requests answered whole through ${answered.length} entry boxes`,
+		`${answered.reduce((sum, one) => sum + one, 0)} requests answered correctly through ${answered.length} entry boxes`,
 	);
 
 	const set = await must2xx(
 		'config set',
 		client.call('setConfig', { key: 'entry.retryBudgetPercent', value: '7', by: 'demo', seenVersion: 0 }),
 	);
-	await until('the configuration on every process', async () => {
+	await until('the configuration to be in force on every process', async () => {
 		const res = await must2xx('boxes', client.call('boxes', {}));
 		return res.boxes.every((box) => box.reachable && box.configVersion === set.version);
 	});
 	const boxes = await must2xx('boxes', client.call('boxes', {}));
-	must(boxes.boxes.length === cluster.programs.length, 'every process known');
+	must(boxes.boxes.length === cluster.programs.length, 'the operator to list every process');
 	consola.success(`Configuration version ${set.version} is in force on all ${boxes.boxes.length} processes`);
 
-	await until('the batch job finished and the service running', async () => {
+	await until('the batch job to finish and the service to run', async () => {
 		const res = await must2xx('status', client.call('status', { team: 'press' }));
 		const jobs = res.shards.flatMap((shard) => shard.jobs);
 		const running = jobs
@@ -120,17 +126,20 @@
 	);
 	must(
 		ended.length === batch.tasks,
-		`each of ${batch.tasks} tasks finishing once by the workers' journals (${ended.length} did)`,
+		`${batch.tasks} successful exits in the workers' journals, got ${ended.length}`,
 	);
 	consola.success(
-		`Job press/certificates finished: ${ended.length} tasks, each once by the workers' own journals`,
+		`Job press/certificates finished: ${ended.length} tasks, each with one successful exit in the workers' own journals`,
 	);
 
 	const explained = await must2xx('explain', client.call('explain', { task: 'press/guichet@rennes/0' }));
 	consola.info(`press/guichet@rennes/0 is ${explained.state} on ${explained.worker}: ${explained.why}`);
 	const line = await must2xx('timeline', client.call('timeline', { about: '', limit: 2000 }));
-	must(line.missing.length === 0 && line.events.length > 0, 'a time line of every process');
-	consola.info(`The newest ${shownEvents} of ${line.events.length} events over all processes:`);
+	must(
+		line.missing.length === 0 && line.events.length > 0,
+		'a timeline with events and without missing processes',
+	);
+	consola.info(`Newest ${shownEvents} of ${line.events.length} events of all processes:`);
 	for (const event of line.events.slice(-shownEvents)) {
 		const fields = Object.entries(event.fields).map(([key, value]) => `${key}=${value}`);
 		const at = new Date(event.ms).toISOString().slice(11, 23);
@@ -154,7 +163,7 @@
 });
 try {
 	await demo(cluster);
-	consola.success('Everything the demonstration promises has happened');
+	consola.success('All steps of the demonstration succeeded');
 } catch (err) {
 	consola.error(err);
 	process.exitCode = 1;
--- a/dev/events-page.ts
+++ b/dev/events-page.ts
@@ -1,7 +1,7 @@
-/** The text of docs/EVENTS.md, from the catalogue of events. */
+/** Generates the text of docs/EVENTS.md from the event catalogue. */
 import * as events from '../src/core/events/index.js';
 
-/** The page, as Prettier would leave it. */
+/** The page, formatted as Prettier formats it. */
 export function eventsPage(): string {
 	const rows = Object.entries(events.eventCatalogue)
 		.sort(([, a], [, b]) => a.id - b.id)
--- a/dev/processes.ts
+++ b/dev/processes.ts
@@ -1,18 +1,18 @@
-/** Starts real processes for the demo, the measurements and the tests, and reads what they announce. */
+/** Starts real processes for the demo, the measurements and the tests, and reads the JSON lines that they print. */
 import * as childProcess from 'node:child_process';
 import * as events from 'node:events';
 import * as readline from 'node:readline';
 import * as url from 'node:url';
 
-/** A started process. */
+/** A started process and its output. */
 export interface Started {
 	name: string;
 	child: childProcess.ChildProcess;
-	/** Lines of standard output that were JSON objects, in order. */
+	/** The JSON objects that the process printed on standard output, oldest first. */
 	lines: Record<string, unknown>[];
-	/** Emits `line` with each new JSON line. */
+	/** Emits `line` with each new JSON object, and with `{ exited: true }` when the process exits. */
 	bus: events.EventEmitter;
-	/** Everything written to standard error. */
+	/** Lines that the process wrote to standard error. */
 	errors: string[];
 }
 
@@ -52,7 +52,10 @@
 	started.bus.emit('line', value);
 }
 
-/** Resolves with the first line that `wanted` accepts, past or future; rejects when the process ends or time runs out. */
+/**
+ * Resolves with the first line, earlier or new, for which `matches` returns true. Rejects when the process exits or after
+ * `timeoutMs`.
+ */
 export function waitLine(
 	started: Started,
 	wanted: (line: Record<string, unknown>) => boolean,
@@ -70,29 +73,29 @@
 		const look = (line: Record<string, unknown>): void => {
 			if (wanted(line)) done(undefined, line);
 			else if (line.exited === true)
-				done(new Error(`${started.name} ended: ${started.errors.join('\n')}`), line);
+				done(new Error(`${started.name} exited: ${started.errors.join('\n')}`), line);
 		};
 		const timer = setTimeout(() => {
-			done(new Error(`${started.name}: awaited line did not come within ${timeoutMs} ms`), {});
+			done(new Error(`${started.name} did not print the expected line within ${timeoutMs} ms`), {});
 		}, timeoutMs);
 		started.bus.on('line', look);
 	});
 }
 
-/** The address a stand-in announced. */
+/** The address that a stand-in prints once it listens. */
 export async function readyAddress(started: Started): Promise<string> {
 	const line = await waitLine(started, (one) => typeof one.ready === 'string');
 	return String(line.ready);
 }
 
-/** The addresses of a program of the system, from its event 1001. */
+/** The addresses of a program of the system, from its event 1001 (`process.started`). */
 export async function startedAddresses(started: Started): Promise<{ peer: string; serves: string }> {
 	const line = await waitLine(started, (one) => one.name === 'process.started');
 	const fields = line.fields as Record<string, string>;
 	return { peer: fields.peer ?? '', serves: fields.serves ?? '' };
 }
 
-/** Asks a process to stop and resolves with its exit code (null after a signal). */
+/** Sends a signal to a process and resolves with its exit code (null if a signal ended it). */
 export function stop(started: Started, signal: NodeJS.Signals = 'SIGTERM'): Promise<number | null> {
 	if (started.child.exitCode !== null || started.child.signalCode !== null) {
 		return Promise.resolve(started.child.exitCode);
