--- a/dev/experiment/compare.ts
+++ b/dev/experiment/compare.ts
@@ -1,15 +1,18 @@
-/** Compares variants pairing by pairing: luck of a day and a seed is alike for both, so only differences count. */
+/**
+ * Compares variants scenario by scenario. The influence of the day and of the seed is the same for both variants of a pair,
+ * so the differences show the effect of the code.
+ */
 import ttest from '@stdlib/stats-ttest';
 import type * as bench from '../../platform/bench.js';
 import type * as types from './types.js';
 
-/** Reads one figure from a result. */
+/** Reads one metric from a result; undefined if the result does not have it. */
 export type Figure = (result: bench.BenchResult) => number | undefined;
 
-/** Fewer pairings than this have no spread. */
+/** The standard deviation needs at least this number of scenarios. */
 const leastPairings = 2;
 
-/** Values of a figure for two variants, from pairings that both played. */
+/** Values of a metric for two variants, from the scenarios that both have results for. */
 export function pairs(
 	results: types.PairedResult[],
 	first: string,
@@ -24,7 +27,7 @@
 	});
 }
 
-/** How a variant differs from the first one; undefined: too few pairings. */
+/** Difference of a variant from the baseline; undefined if both have results for fewer than `minScenarios` scenarios. */
 export function difference(
 	results: types.PairedResult[],
 	first: string,
@@ -35,12 +38,12 @@
 	if (values.length < leastPairings) return undefined;
 	const mean = meanOf(values);
 	const spread = Math.sqrt(values.reduce((sum, one) => sum + (one - mean) ** 2, 0) / (values.length - 1));
-	// Without any spread a test has nothing to say.
+	// The t-test needs values that differ; if all are equal, the interval is the mean alone.
 	const [from, to] = spread === 0 ? [mean, mean] : ttest(values).ci;
 	return { variant, count: values.length, mean, spread, from: from ?? mean, to: to ?? mean };
 }
 
-/** Mean of a figure over all pairings that a variant played. */
+/** Arithmetic mean; NaN for an empty list. */
 export function meanOf(values: number[]): number {
 	return values.reduce((sum, one) => sum + one, 0) / values.length;
 }
--- a/dev/experiment/main.ts
+++ b/dev/experiment/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run experiment -- --bench PATH --site PATH --variant NAME=CHECKOUT ... --day NAME ... --seed N ... --why TEXT`:
- * plays the same days and seeds with several checkouts, compares them with the first, and writes a table and a plot.
+ * `npm run experiment -- --bench PATH --site PATH --variant NAME=CHECKOUT ... --day NAME ... --seed N ... --why TEXT`: runs
+ * the same days and seeds with several checkouts, compares each with the first, and writes a table and a plot.
  */
 import * as cmd from 'cmd-ts';
 import * as fs from 'node:fs';
@@ -15,7 +15,7 @@
 		Promise.resolve(
 			given.map((one) => {
 				const [name = '', checkout = ''] = one.split('=');
-				if (checkout === '') throw new Error(`a variant is NAME=CHECKOUT, not '${one}'`);
+				if (checkout === '') throw new Error(`expected a variant as NAME=CHECKOUT, got '${one}'`);
 				return { name, checkout };
 			}),
 		),
--- a/dev/experiment/plays.ts
+++ b/dev/experiment/plays.ts
@@ -1,23 +1,26 @@
-/** Plays every pairing with every variant, a few at a time; what was played before is read from its report. */
+/**
+ * Runs every scenario with every variant, several at a time. A run whose report file exists is not repeated: its result is
+ * read from the report.
+ */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 import * as bench from '../../platform/bench.js';
 import * as workingOff from '../work-off.js';
 import type * as types from './types.js';
 
-/** What to play, and where the reports go. */
+/** What to run, and where the reports go. */
 export interface PlayOptions {
 	benchPath: string;
 	site: string;
 	variants: types.Variant[];
 	pairings: types.Pairing[];
-	/** Plays at the same time. */
+	/** Maximum number of runs in progress at a time. */
 	jobs: number;
 	why: string;
 	folder: string;
 }
 
-/** Plays all; the results in the order of the pairings. */
+/** Runs all scenarios with all variants. The results are in the order of `scenarios`; a run without a report has none. */
 export async function playAll(opts: PlayOptions): Promise<types.PairedResult[]> {
 	const paired = opts.pairings.map((one) => ({
 		...one,
--- a/dev/experiment/plot.ts
+++ b/dev/experiment/plot.ts
@@ -1,4 +1,4 @@
-/** A plot of an experiment: the worth of every play, a column a day, a colour a variant. */
+/** A plot of an experiment: the worth of every run, with a column for each day and a colour for each variant. */
 import * as vega from 'vega';
 import * as vegaLite from 'vega-lite';
 import type * as types from './types.js';
--- a/dev/experiment/table.ts
+++ b/dev/experiment/table.ts
@@ -1,21 +1,23 @@
-/** Tables of an experiment, as Markdown: every pairing, then means and differences by part, class, zone and window. */
+/**
+ * Tables of an experiment, as Markdown: first the scenarios, then the means and differences by part, class, zone and window.
+ */
 import * as compare from './compare.js';
 import type * as bench from '../../platform/bench.js';
 import type * as types from './types.js';
 
-/** One figure with a name. */
+/** A metric and its name in the table. */
 interface NamedFigure {
 	name: string;
 	figure: compare.Figure;
 }
 
-/** The whole report of an experiment. */
+/** The report of an experiment: both tables. */
 export function report(results: types.PairedResult[], variants: string[]): string {
 	const figures = figuresOf(results);
 	return [plays(results, variants), differences(results, variants, figures)].join('\n\n');
 }
 
-/** A row a pairing, with the worth of each variant and the rules it broke. */
+/** A row for each scenario: the worth that each variant reached, and the rules that it violated. */
 function plays(results: types.PairedResult[], variants: string[]): string {
 	const rows = results.map((one) => [
 		one.day,
@@ -31,7 +33,7 @@
 	return [result.worth.toFixed(3), ...broken].join(' ');
 }
 
-/** A row a figure: its mean for each variant, and how the others differ from the first. */
+/** A row for each metric: its mean for each variant, and the difference of the other variants from the first. */
 function differences(results: types.PairedResult[], variants: string[], figures: NamedFigure[]): string {
 	const [first = '', ...others] = variants;
 	const header = ['figure', ...variants, ...others.map((name) => `${name} - ${first} (95%)`)];
@@ -57,7 +59,7 @@
 	return `${middle ?? ''} (${from ?? ''} to ${to ?? ''}, n ${String(found.count)})`;
 }
 
-/** The worth and its prices, then all parts, classes, zones and windows that any play names. */
+/** The worth and the prices, then every part, class, zone and window that any result names. */
 function figuresOf(results: types.PairedResult[]): NamedFigure[] {
 	const all = results.flatMap((one) => [...one.results.values()]);
 	const groups = ['parts', 'classes', 'zones', 'windows'] as const;
--- a/dev/experiment/types.ts
+++ b/dev/experiment/types.ts
@@ -1,32 +1,32 @@
-/** What an experiment plays and finds. */
+/** Types of an experiment's input and results. */
 import type * as bench from '../../platform/bench.js';
 
-/** A variant of the code: a checkout with a name. */
+/** A variant of the code: a named checkout. */
 export interface Variant {
 	name: string;
 	checkout: string;
 }
 
-/** One day with one seed; every variant plays it. */
+/** One day with one seed. Every variant runs it. */
 export interface Pairing {
 	day: string;
 	/** 0: the day's own seed. */
 	seed: number;
 }
 
-/** What each variant made of one pairing. */
+/** The results of one scenario, by the variant's name. A variant whose run left no report is absent. */
 export interface PairedResult extends Pairing {
 	results: Map<string, bench.BenchResult>;
 }
 
-/** Difference of a variant from the first one, over all pairings that both played. */
+/** Difference of a variant from the baseline, over all scenarios that both have results for. */
 export interface Difference {
 	variant: string;
 	count: number;
 	mean: number;
-	/** Standard deviation over the pairings. */
+	/** Standard deviation of the differences. */
 	spread: number;
-	/** Interval that holds the true mean with a confidence of 95%. */
+	/** Bounds of the 95% confidence interval of the mean. */
 	from: number;
 	to: number;
 }
--- a/dev/measure/commit.ts
+++ b/dev/measure/commit.ts
@@ -1,4 +1,4 @@
-/** Group commit against one write a decision, over many shards that share the platform's write rate. */
+/** Compares group commit with one write for each decision, over many shards that share the platform's write rate. */
 import * as hdr from 'hdr-histogram-js';
 import * as clocks from '../../src/core/clock.js';
 import * as events from '../../src/core/events/index.js';
@@ -19,7 +19,10 @@
 	since: number;
 }
 
-/** One shard's loop: appends what waits, all of it or one decision at a time. */
+/**
+ * Appends a shard's queued decisions, up to `maxBatchSize` in one write, until `endAt`. Returns the number of decisions
+ * appended.
+ */
 async function shardLoop(
 	log: shards.ShardLog,
 	waiting: Waiting[],
@@ -37,7 +40,7 @@
 			continue;
 		}
 		const from = performance.now();
-		// A placement's size, so that bytes are those of the real thing.
+		// A change of the size of a real placement, so that the bytes written are realistic.
 		const changes = batch.map((): shards.Change => ({
 			type: 'place.cleared',
 			task: 'press/certificates/12345',
--- a/dev/measure/dispatch-load.ts
+++ b/dev/measure/dispatch-load.ts
@@ -1,34 +1,37 @@
 /**
- * An owner under a load, in memory: `npm run measure -- load [pattern] [workers …]`. The processor's time is sampled and
- * counted by source file, so that the stand-in workers and their clock are told from the product.
+ * Measures an owner under load, in memory: `npm run measure -- load [pattern] [workers …]`. A sampling profiler attributes
+ * the processor's time to source files, so that the stand-in workers and their clock are counted apart from the product.
  */
 import * as inspector from 'node:inspector/promises';
 import * as patterns from '../../stand-ins/fleet/load-patterns.js';
 import * as report from './report.js';
 import * as world from '../../test/fixtures/dispatching.js';
 
-/** How long jobs arrive, in milliseconds. */
+/** The period in which jobs arrive, in milliseconds. */
 const lengthMs = 8_000;
 
-/** The lasting jobs that are there at the beginning find their places meanwhile; not measured. */
+/** Time for placing the long-running jobs that exist from the beginning, in milliseconds; not measured. */
 const settleMs = 2_000;
 
-/** Distance of samples of the processor, in microseconds. */
+/** Interval between the profiler's samples, in microseconds. */
 const sampleUs = 500;
 
 const seed = 7;
 
-/** Where processor time went, in milliseconds. */
+/** Processor time, in milliseconds. */
 interface Usage {
-	/** By file of the product, relative to its folder. */
+	/** By source file of the product, relative to src/core. */
 	files: Map<string, number>;
 	product: number;
 	standIn: number;
-	/** Of the runtime itself, collecting garbage among it. */
+	/** The runtime itself, including garbage collection. */
 	runtime: number;
 }
 
-/** Plays the named pattern at these sizes. */
+/**
+ * Measures the pattern named on the command line with each number of workers given there. Defaults: `steady`, and five sizes
+ * from 95 to 760 workers.
+ */
 export async function measureDispatchLoad(): Promise<void> {
 	const [, , , name = 'steady', ...sizes] = process.argv;
 	const workers = sizes.length > 0 ? sizes.map(Number) : [95, 190, 380, 540, 760];
@@ -94,7 +97,7 @@
 	return world.job(id, steps, { queue });
 }
 
-/** Quantiles of how long tasks of a kind waited for their places. */
+/** Quantiles of the time that tasks of a kind waited for their placements, in milliseconds. */
 function waitsOf(
 	kind: patterns.WorkKind,
 	placed: { fields: Record<string, string | number | undefined> }[],
--- a/dev/measure/entry.ts
+++ b/dev/measure/entry.ts
@@ -1,4 +1,7 @@
-/** What an entry box adds: the backend servers asked directly, and through one entry process, same load, same run. */
+/**
+ * Measures the overhead of an entry box: the same load goes to the backend servers directly and through one entry process,
+ * in the same run.
+ */
 import * as clusters from '../cluster.js';
 import * as load from './load.js';
 import * as report from './report.js';
--- a/dev/measure/load.ts
+++ b/dev/measure/load.ts
@@ -1,8 +1,11 @@
-/** Load on an HTTP address: a fixed number of callers, or a fixed rate. */
+/** Load generators for HTTP addresses: closed loop (a fixed number of callers) and open loop (a fixed rate). */
 import * as hdr from 'hdr-histogram-js';
 import * as undici from 'undici';
 
-/** What a run of load came to; times in milliseconds. */
+/**
+ * Result of a load. The percentiles are latencies of answered requests, in milliseconds. `refused` counts responses with
+ * status 503; `failed` counts errors, other statuses and answers that differ from the request's body.
+ */
 export interface LoadResult {
 	answered: number;
 	refused: number;
@@ -13,7 +16,7 @@
 	p999: number;
 }
 
-/** One request of a load. */
+/** The request that a load repeats, and the origins that take it in turn. */
 export interface Target {
 	origins: string[];
 	path: string;
@@ -44,7 +47,7 @@
 	}
 }
 
-/** Sends requests through connection pools, origins in turn. */
+/** Sends requests through one connection pool for each origin, round robin. */
 class Sender {
 	private turn = 0;
 	private readonly pools: undici.Pool[];
@@ -77,7 +80,7 @@
 	}
 }
 
-/** A number of callers who each ask again as soon as they are answered. */
+/** Closed loop: each of the callers sends its next request as soon as it has the answer to the last. */
 export async function closedLoad(target: Target, callers: number, seconds: number): Promise<LoadResult> {
 	const sender = new Sender(target);
 	const recorder = new Recorder();
@@ -90,7 +93,10 @@
 	return recorder.result(seconds);
 }
 
-/** Requests at a fixed rate whatever the answers; times count from when each was due. */
+/**
+ * Open loop: sends requests at a fixed rate, however late the answers are. A latency counts from the time at which the
+ * request was scheduled.
+ */
 export async function openLoad(target: Target, perSecond: number, seconds: number): Promise<LoadResult> {
 	const sender = new Sender(target);
 	const recorder = new Recorder();
--- a/dev/measure/main.ts
+++ b/dev/measure/main.ts
@@ -1,4 +1,4 @@
-/** `npm run measure -- <name>`: prints a table and keeps it as JSON under measurements/. */
+/** `npm run measure -- <name>`: prints a table and saves it as JSON under measurements/. */
 import * as commit from './commit.js';
 import * as dispatchLoad from './dispatch-load.js';
 import * as entry from './entry.js';
@@ -20,7 +20,9 @@
 const name = process.argv[2] ?? '';
 const run = measurements[name];
 if (run === undefined) {
-	console.error(`measure: '${name}' is not one of ${Object.keys(measurements).join(', ')}`);
+	console.error(
+		`measure: unknown measurement '${name}', expected one of ${Object.keys(measurements).join(', ')}`,
+	);
 	process.exit(2);
 }
 await run();
--- a/dev/measure/pair-estimate.ts
+++ b/dev/measure/pair-estimate.ts
@@ -1,34 +1,37 @@
 /**
- * A try that did not beat its baseline (docs/decisions/0009-placement.md): keep tasks away from neighbours whose pair
- * is known to disturb.
+ * An experiment that did not beat its baseline (docs/decisions/0009-placement.md): keep tasks away from neighbours that are
+ * known to interfere with them.
  *
- * Online estimate of how much latency each batch job adds to each service on the same worker, from the services'
- * late reports: observed = base(service) + sum of pair costs, learnt by normalised least mean squares.
- * Kept in memory only; a new owner learns it anew.
+ * The model estimates online how much latency each batch job adds to each service on the same worker. It learns from the
+ * services' delayed reports by normalised least mean squares: observed latency = base latency of the service + sum of the
+ * pair costs. It is kept in memory only; a new owner learns it from the beginning.
  */
 
 import * as placement from '../../src/core/placement/index.js';
 
-/** Part of an error taken into the estimate at each report. */
+/** Fraction of the prediction error that one report corrects. */
 const rate = 0.2;
 
-/** Pairs remembered at most; the oldest go first. */
+/** Maximum number of pairs kept. Above it, the pair added first is removed. */
 const maxPairs = 50_000;
 
-/** The estimate. */
+/** Model of the latency that batch jobs add to services. */
 export class PairEstimate {
 	private readonly bases = new Map<string, number>();
 	private readonly costs = new Map<string, number>();
 
 	private constructor() {
-		// Built by `create`.
+		// Instances are created by `create`.
 	}
 
 	static create(): PairEstimate {
 		return new PairEstimate();
 	}
 
-	/** Takes in one report: a service's latency in milliseconds beside these batch jobs, each once for each task. */
+	/**
+	 * Learns from one report: a service's latency in milliseconds while these batch jobs ran on its worker. A job is listed
+	 * once for each of its tasks.
+	 */
 	observe(service: string, batchJobs: readonly string[], latencyMs: number): void {
 		const base = this.bases.get(service);
 		if (base === undefined) {
@@ -42,13 +45,14 @@
 		for (const pair of pairs) this.adjust(pair, step);
 	}
 
-	/** Milliseconds that one task of the batch job adds to the service; 0 for a pair never seen together. */
+	/** Milliseconds that one task of the batch job adds to the service's latency; 0 for a pair that no report has shown. */
 	cost(service: string, batch: string): number {
 		return this.costs.get(pairKey(service, batch)) ?? 0;
 	}
 
 	private adjust(pair: string, step: number): void {
-		// A neighbour never makes a service faster: what looks like it belongs to the base.
+		// Costs are never negative, because a neighbour cannot make a service faster. An apparent gain lowers the base
+		// latency instead.
 		this.costs.set(pair, Math.max(0, (this.costs.get(pair) ?? 0) + step));
 		const oldest = this.costs.keys().next().value;
 		if (this.costs.size > maxPairs && oldest !== undefined) this.costs.delete(oldest);
@@ -59,20 +63,20 @@
 	return `${service}|${batch}`;
 }
 
-/** Estimated latency, in milliseconds, that a batch job adds to a service at the same worker. */
+/** Estimated milliseconds that one task of a batch job adds to a service's latency on the same worker. */
 export type PairCost = (service: string, batch: string) => number;
 
-/** Weight of a millisecond of added latency against a whole worker's load. */
+/** Options of the score. Added latency of `msPerFullLoad` milliseconds weighs as much as a whole worker's load. */
 export interface PairOptions {
 	cost: PairCost;
 	msPerLoad: number;
-	/** How batch tasks are rated apart from disturbance. */
+	/** Score of batch tasks without interference. */
 	batch: placement.Score;
 }
 
 /**
- * Services spread (so that a lost worker or rack takes few replicas of one job), batch as `opts.batch` says,
- * and both kept away from neighbours whose pair is known to disturb.
+ * Score that spreads services, so that a lost worker or rack takes few replicas of one job, and scores batch tasks by
+ * `opts.batch`. It keeps both away from neighbours that are known to interfere with them.
  */
 export function pairAware(opts: PairOptions): placement.Score {
 	return (task, box) => {
--- a/dev/measure/placement.ts
+++ b/dev/measure/placement.ts
@@ -1,6 +1,7 @@
 /**
- * A seeded day of placement by the program's own functions: wrong sizes and pair disturbance are hidden from the
- * policy, which learns of them by late reports. Not a simulator of the system: no processes, no failures.
+ * Measures placement policies over a seeded day, with the product's own placement functions. The tasks' real sizes and the
+ * interference between pairs of jobs are hidden from the policy, which learns them from delayed reports. This is not a
+ * simulation of the whole system: there are no processes and no failures.
  */
 import * as rng from '../random.js';
 import * as placement from '../../src/core/placement/index.js';
@@ -21,20 +22,20 @@
 	'pair-aware, batch spread, 5 ms',
 ];
 
-/** A service's latency counts as late above this, in milliseconds. */
+/** Latencies above this many milliseconds count as SLO violations of a service. */
 const lateMs = 60;
 
 interface Customer {
 	name: string;
-	/** Batch tasks that arrive in a minute of the day. */
+	/** Number of batch tasks that arrive in a minute of the day. */
 	arrivals: (minute: number, random: () => number) => number;
-	/** Services' load in a minute of the day, 0 to 1. */
+	/** Load of the services in a minute of the day, from 0 to 1. */
 	load: (minute: number) => number;
 }
 
 const daytime = (minute: number): number => Math.max(0.1, Math.sin(((minute - 360) / 780) * Math.PI));
 
-/** The Press prints overnight, the Co-op synchronises calendars by day. */
+/** The batch work of the Press arrives overnight, that of the Co-op by day. Both have their services' load by day. */
 const customers: Customer[] = [
 	{
 		name: 'Press',
@@ -54,7 +55,7 @@
 	resident: placement.Resident;
 	box: string;
 	leftMin: number;
-	/** Cores really used. */
+	/** Cores that the task really uses. */
 	uses: number;
 	startedAt: number;
 }
@@ -75,7 +76,10 @@
 	wastedMin: number;
 }
 
-/** Hidden truth: one pair in five disturbs, by up to 15 ms a task at full load. */
+/**
+ * The real pair costs, hidden from the policy: one pair in five interferes, by 5 to 15 ms of latency for each task at full
+ * load.
+ */
 function hiddenCosts(random: () => number): (service: string, batch: string) => number {
 	const costs = new Map<string, number>();
 	return (service, batch) => {
@@ -125,7 +129,7 @@
 		for (let index = 0; index < count; index += 1) {
 			const job = `batch-${Math.floor(this.random() * 12)}`;
 			const cores = 2 + Math.floor(this.random() * 3) * 2;
-			// Declared sizes are far from the truth: use is half to one and a half times what was asked.
+			// Declared sizes are unreliable: a task uses from half to one and a half times the cores that it declares.
 			const uses = cores * (0.5 + this.random());
 			const leftMin = 10 + this.random() * 110;
 			const task = { task: `${job}/${at}-${index}`, job, kind: 'batch', urgent: false } as const;
@@ -239,7 +243,7 @@
 		'pair-aware, batch spread, 5 ms': pairs.pairAware({ cost, msPerLoad: 5, batch: placement.spread }),
 	};
 	const world = new World(customer, random, scores[way] ?? placement.spread, estimate, truth);
-	// The first day teaches; the second is counted.
+	// The policy learns on the first day; only the second day is measured.
 	for (let at = 0; at < minutes; at += 1) world.minute(at);
 	Object.assign(world.day, { latencies: [], finished: 0, onTime: 0, arrived: 0, evictions: 0, wastedMin: 0 });
 	for (let at = minutes; at < 2 * minutes; at += 1) world.minute(at);
--- a/dev/measure/recovery.ts
+++ b/dev/measure/recovery.ts
@@ -1,4 +1,4 @@
-/** What it takes until work goes on: the owner killed, the owner frozen for 20 s, with the settings' defaults. */
+/** Measures the time until work continues after the owner is killed, or frozen for 20 s, with default settings. */
 import * as clusters from '../cluster.js';
 import * as operate from '../operate.js';
 import * as processes from '../processes.js';
@@ -10,13 +10,13 @@
 const frozenMs = 20_000;
 
 interface Recovery {
-	/** From the fault to the takeover entry, in milliseconds. */
+	/** From the fault until another scheduler logs that it has taken over the shard, in milliseconds. */
 	takenMs: number;
-	/** From the fault to a new task running, in milliseconds. */
+	/** From the fault until a task submitted after the takeover runs, in milliseconds. */
 	placedMs: number;
-	/** Calls to the platform in that time. */
+	/** Calls to the platform from the fault until that task runs. */
 	calls: number;
-	/** Batch attempts that ended other than well. */
+	/** Number of batch attempts that exited with anything but status 0. */
 	disturbed: number;
 }
 
@@ -49,7 +49,7 @@
 				(line.journal as { task?: string } | undefined)?.task?.startsWith(job),
 			),
 		);
-	await operate.until('work running', () => started('press/long'));
+	await operate.until('a batch task to run', () => started('press/long'));
 	const owner = cluster
 		.of('scheduler')
 		.find((one) => one.process.lines.some((line) => line.name === 'shard.taken'));
@@ -73,10 +73,10 @@
 	await taken;
 	const takenMs = performance.now() - from;
 	await operate.submit(client, operate.batch('new', 1, 100));
-	await operate.until('new work running', () => started('press/new'));
+	await operate.until('the new task to run', () => started('press/new'));
 	const placedMs = performance.now() - from;
 	const calls = (await callsOf()) - before;
-	// A frozen owner comes back and must do no harm.
+	// Waits until the frozen owner has resumed, to count the attempts that it then disturbs: it must disturb none.
 	if (fault === freezeOwner) await new Promise((resolve) => setTimeout(resolve, frozenMs + 2000 - placedMs));
 	client.close();
 	const disturbed = disturbedIn(cluster);
@@ -91,7 +91,7 @@
 		['owner killed', killOwner],
 		['owner frozen for 20 s', freezeOwner],
 	] as const) {
-		// Each turn has processes of its own; two at a time leave the machine half idle.
+		// Each repetition has its own processes. Two of them at a time leave the machine half idle.
 		const all: Recovery[] = [];
 		while (all.length < turns)
 			all.push(...(await Promise.all([oneTurn(fault), oneTurn(fault)])).slice(0, turns - all.length));
--- a/dev/measure/scrape.ts
+++ b/dev/measure/scrape.ts
@@ -1,10 +1,10 @@
-/** Reads the metrics pages of programs and the counters of stand-ins. */
+/** Reads the metrics of programs and the counters of stand-ins. */
 import * as undici from 'undici';
 
-/** Numbers by name. */
+/** Metrics or counters by name. */
 export type Numbers = Record<string, number>;
 
-/** The metrics page of a program at `address`. */
+/** The metrics that a program serves at `address`. */
 export async function metrics(address: string): Promise<Numbers> {
 	const res = await undici.request(`http://${address}/metrics`);
 	const text = await res.body.text();
@@ -16,13 +16,13 @@
 	return numbers;
 }
 
-/** The counters of a stand-in. */
+/** The counters that a stand-in serves at `address`. */
 export async function stats(address: string): Promise<Numbers> {
 	const res = await undici.request(`http://${address}/stats`);
 	return (await res.body.json()) as Numbers;
 }
 
-/** Differences a second over a window. */
+/** Increase of each number for each second, measured over a window of `seconds`. */
 export async function rates(read: () => Promise<Numbers>, seconds: number): Promise<Numbers> {
 	const before = await read();
 	const from = performance.now();
--- a/dev/measure/slopes.ts
+++ b/dev/measure/slopes.ts
@@ -1,4 +1,4 @@
-/** Cost of each role against its size, and the straight lines through it, for docs/CAPACITY.md. */
+/** Measures the cost of each role at several sizes and fits straight lines to it, for docs/CAPACITY.md. */
 import * as boxes from '../../src/core/boxes/index.js';
 import * as clusters from '../cluster.js';
 import * as load from './load.js';
@@ -11,7 +11,7 @@
 const requestRates = [200, 400, 800];
 const windowS = 8;
 
-/** Tasks a worker at the design size: (54,000 + 100,000) / 17,000, a third of them services. */
+/** Tasks for each worker at the design size, (54,000 + 100,000) / 17,000, of which a third are services. */
 const servicesPerWorker = 3;
 const batchPerWorker = 6;
 
@@ -20,7 +20,7 @@
 	values: scrape.Numbers;
 }
 
-/** One zone's scheduler with `count` workers at the design's number of tasks. */
+/** One zone's scheduler with `count` workers, and as many tasks for each worker as at the design size. */
 async function schedulerSample(count: number): Promise<Sample> {
 	const cluster = await clusters.Cluster.create({
 		...{ zones: ['rennes'], entriesPerZone: 0, schedulersPerZone: 1, backendsPerZone: 0, workersPerZone: 0 },
@@ -60,7 +60,7 @@
 			needs,
 		}),
 	});
-	await operate.until('every task started', async () => (await scrape.stats(farmAddress)).starts === total);
+	await operate.until('every task to start', async () => (await scrape.stats(farmAddress)).starts === total);
 	const startS = (performance.now() - startedAt) / 1000;
 	const busy = await scrape.metrics(address);
 	await new Promise((resolve) => setTimeout(resolve, 2000));
@@ -89,7 +89,7 @@
 	};
 }
 
-/** One entry process at given rates. */
+/** One entry process at each of the request rates. */
 async function entrySamples(): Promise<Sample[]> {
 	const cluster = await clusters.Cluster.create({
 		...{ zones: ['rennes'], entriesPerZone: 1, schedulersPerZone: 1, backendsPerZone: 4, workersPerZone: 1 },
@@ -117,7 +117,10 @@
 	return samples;
 }
 
-/** Platform calls and time to be in force, against the number of processes. */
+/**
+ * Calls to the platform, and the time until a configuration change is in force everywhere, with `perZone` entries and
+ * schedulers in each of two zones.
+ */
 async function processSample(perZone: number): Promise<Sample> {
 	const cluster = await clusters.Cluster.create({
 		...{
--- a/dev/measure/slots.ts
+++ b/dev/measure/slots.ts
@@ -1,4 +1,7 @@
-/** Ways to share slots among entry boxes with uneven callers, one slow and one dead backend server. */
+/**
+ * Compares ways to share backend servers' slots among entry boxes. The callers are spread unevenly over the boxes; one
+ * backend server is slow and one is dead.
+ */
 import * as clusters from '../cluster.js';
 import * as load from './load.js';
 import * as report from './report.js';
@@ -9,13 +12,16 @@
 const turns = 3;
 const seconds = 5;
 
-/** Part of the load that each of three entry boxes gets: callers and balancers are never even. */
+/**
+ * Fraction of the load that each of three entry boxes gets. They are uneven because load balancers and callers never spread
+ * load evenly.
+ */
 const parts = [0.6, 0.3, 0.1];
 
 const serviceMs = 40;
 const slowMs = 160;
 
-/** Requests a second that two whole backend servers and the slow one can take. */
+/** Capacity in requests a second: two healthy backend servers and the slow one. */
 const capacity = 2 * clusters.backendSlots * (1000 / serviceMs) + clusters.backendSlots * (1000 / slowMs);
 
 interface Turn {
