--- a/dev/demo.ts
+++ b/dev/demo.ts
@@ -1,4 +1,7 @@
-/** The demonstration: a small deployment does the main job on real input. Exits with 1 if any of it did not happen. */
+/**
+ * The demonstration: a small deployment answers requests, runs jobs and changes its configuration. Exits with 1 if any step
+ * fails.
+ */
 import * as crypto from 'node:crypto';
 import * as undici from 'undici';
 import * as consolaLib from 'consola';
@@ -11,14 +14,14 @@
 /** Requests sent to each entry box. */
 const requestsPerEntry = 50;
 
-/** Milliseconds the whole demonstration may take. */
+/** Timeout of the whole demonstration, in milliseconds. */
 const timeoutMs = 55_000;
 
-/** Events shown of the time line. */
+/** Number of timeline events printed. */
 const maxShownEvents = 40;
 
 function ensure(condition: boolean, expectation: string): asserts condition {
-	if (!condition) throw new Error(`demo: ${expectation} did not happen`);
+	if (!condition) throw new Error(`demo: expected ${expectation}`);
 }
 
 async function valueOrThrow<T>(
@@ -38,7 +41,10 @@
 	}
 }
 
-/** Sends distinct bodies to an entry box and checks each answer by hash. */
+/**
+ * Sends random bodies to an entry box and checks that each answer returns its body byte for byte. Returns the number of
+ * correct answers.
+ */
 async function checkEntry(entry: clusters.Program): Promise<number> {
 	const checks = Array.from({ length: requestsPerEntry }, async () => {
 		const body = crypto.randomBytes(1 + Math.floor(Math.random() * 20_000));
@@ -54,7 +60,7 @@
 	const correctCount = (await Promise.all(checks)).filter(Boolean).length;
 	ensure(
 		correctCount === requestsPerEntry,
-		`${entry.box} answering all ${requestsPerEntry} requests whole (it was ${correctCount})`,
+		`${entry.box} to answer all ${requestsPerEntry} requests correctly (it answered ${correctCount})`,
 	);
 	return correctCount;
 }
@@ -63,8 +69,8 @@
 	const [operatorProgram] = cluster.programsOf('operator');
 	ensure(operatorProgram !== undefined, 'an operator process');
 	const client = operator.OperatorClient.create(operatorProgram.serves);
-	consola.start('Waiting for the schedulers to take over their shards');
-	await waitUntil('every shard owned', async () => {
+	consola.start('Waiting for the schedulers to take ownership of their shards');
+	await waitUntil('every shard to have an owner that reaches its workers', async () => {
 		const status = await client.call('status', { team: '' });
 		return (
 			status.ok &&
@@ -95,24 +101,24 @@
 
 	const correctCounts = await Promise.all(cluster.programsOf('entry').map(checkEntry));
 	consola.success(
-		`${correctCounts.reduce((sum, count) => sum + count, 0)} requests answered whole through ${correctCounts.length} entry boxes`,
+		`${correctCounts.reduce((sum, count) => sum + count, 0)} requests answered correctly through ${correctCounts.length} entry boxes`,
 	);
 
 	const change = await valueOrThrow(
 		'config set',
 		client.call('setConfig', { key: 'entry.retryBudgetPercent', value: '7', by: 'demo', seenVersion: 0 }),
 	);
-	await waitUntil('the configuration on every process', async () => {
+	await waitUntil('the configuration to be in force on every process', async () => {
 		const res = await valueOrThrow('boxes', client.call('boxes', {}));
 		return res.boxes.every((box) => box.reachable && box.configVersion === change.version);
 	});
 	const boxes = await valueOrThrow('boxes', client.call('boxes', {}));
-	ensure(boxes.boxes.length === cluster.programs.length, 'every process known');
+	ensure(boxes.boxes.length === cluster.programs.length, 'the operator to list every process');
 	consola.success(
 		`Configuration version ${change.version} is in force on all ${boxes.boxes.length} processes`,
 	);
 
-	await waitUntil('the batch job finished and the service running', async () => {
+	await waitUntil('the batch job to finish and the service to run', async () => {
 		const res = await valueOrThrow('status', client.call('status', { team: 'press' }));
 		const jobs = res.shards.flatMap((shard) => shard.jobs);
 		const running = jobs
@@ -125,17 +131,20 @@
 	);
 	ensure(
 		successfulExits.length === batch.tasks,
-		`each of ${batch.tasks} tasks finishing once by the workers' journals (${successfulExits.length} did)`,
+		`${batch.tasks} successful exits in the workers' journals, got ${successfulExits.length}`,
 	);
 	consola.success(
-		`Job press/certificates finished: ${successfulExits.length} tasks, each once by the workers' own journals`,
+		`Job press/certificates finished: ${successfulExits.length} tasks, each with one successful exit in the workers' own journals`,
 	);
 
 	const explained = await valueOrThrow('explain', client.call('explain', { task: 'press/guichet@rennes/0' }));
 	consola.info(`press/guichet@rennes/0 is ${explained.state} on ${explained.worker}: ${explained.why}`);
 	const timeline = await valueOrThrow('timeline', client.call('timeline', { about: '', limit: 2000 }));
-	ensure(timeline.missing.length === 0 && timeline.events.length > 0, 'a time line of every process');
-	consola.info(`The newest ${maxShownEvents} of ${timeline.events.length} events over all processes:`);
+	ensure(
+		timeline.missing.length === 0 && timeline.events.length > 0,
+		'a timeline with events and without missing processes',
+	);
+	consola.info(`Newest ${maxShownEvents} of ${timeline.events.length} events of all processes:`);
 	for (const event of timeline.events.slice(-maxShownEvents)) {
 		const fields = Object.entries(event.fields).map(([key, value]) => `${key}=${value}`);
 		const at = new Date(event.ms).toISOString().slice(11, 23);
@@ -159,7 +168,7 @@
 });
 try {
 	await runDemo(cluster);
-	consola.success('Everything the demonstration promises has happened');
+	consola.success('All steps of the demonstration succeeded');
 } catch (err) {
 	consola.error(err);
 	process.exitCode = 1;
--- a/dev/experiment/table.ts
+++ b/dev/experiment/table.ts
@@ -1,21 +1,23 @@
-/** Tables of an experiment, as Markdown: every pairing, then means and differences by part, class, zone and window. */
+/**
+ * Tables of an experiment, as Markdown: first the scenarios, then the means and differences by part, class, zone and window.
+ */
 import * as compare from './compare.js';
 import type * as bench from '../../platform/bench.js';
 import type * as types from './types.js';
 
-/** One figure with a name. */
+/** A metric and its name in the table. */
 interface NamedMetric {
 	name: string;
 	metric: compare.Metric;
 }
 
-/** The whole report of an experiment. */
+/** The report of an experiment: both tables. */
 export function report(results: types.ScenarioResults[], variants: string[]): string {
 	const metrics = collectMetrics(results);
 	return [scenarioTable(results, variants), metricTable(results, variants, metrics)].join('\n\n');
 }
 
-/** A row a pairing, with the worth of each variant and the rules it broke. */
+/** A row for each scenario: the worth that each variant reached, and the rules that it violated. */
 function scenarioTable(results: types.ScenarioResults[], variants: string[]): string {
 	const rows = results.map((scenario) => [
 		scenario.day,
@@ -31,7 +33,7 @@
 	return [result.worth.toFixed(3), ...brokenRules].join(' ');
 }
 
-/** A row a figure: its mean for each variant, and how the others differ from the first. */
+/** A row for each metric: its mean for each variant, and the difference of the other variants from the first. */
 function metricTable(results: types.ScenarioResults[], variants: string[], metrics: NamedMetric[]): string {
 	const [baseline = '', ...others] = variants;
 	const header = ['figure', ...variants, ...others.map((name) => `${name} - ${baseline} (95%)`)];
@@ -59,7 +61,7 @@
 	return `${mean ?? ''} (${lowerBound ?? ''} to ${upperBound ?? ''}, n ${String(difference.count)})`;
 }
 
-/** The worth and its prices, then all parts, classes, zones and windows that any play names. */
+/** The worth and the prices, then every part, class, zone and window that any result names. */
 function collectMetrics(results: types.ScenarioResults[]): NamedMetric[] {
 	const benchResults = results.flatMap((one) => [...one.results.values()]);
 	const groups = ['parts', 'classes', 'zones', 'windows'] as const;
--- a/dev/processes.ts
+++ b/dev/processes.ts
@@ -1,18 +1,18 @@
-/** Starts real processes for the demo, the measurements and the tests, and reads what they announce. */
+/** Starts real processes for the demo, the measurements and the tests, and reads the JSON lines that they print. */
 import * as childProcess from 'node:child_process';
 import * as events from 'node:events';
 import * as readline from 'node:readline';
 import * as url from 'node:url';
 
-/** A started process. */
+/** A started process and its output. */
 export interface StartedProcess {
 	name: string;
 	child: childProcess.ChildProcess;
-	/** Lines of standard output that were JSON objects, in order. */
+	/** The JSON objects that the process printed on standard output, oldest first. */
 	jsonLines: Record<string, unknown>[];
-	/** Emits `line` with each new JSON line. */
+	/** Emits `line` with each new JSON object, and with `{ exited: true }` when the process exits. */
 	lineEmitter: events.EventEmitter;
-	/** Everything written to standard error. */
+	/** Lines that the process wrote to standard error. */
 	stderrLines: string[];
 }
 
@@ -58,7 +58,10 @@
 	started.lineEmitter.emit('line', value);
 }
 
-/** Resolves with the first line that `wanted` accepts, past or future; rejects when the process ends or time runs out. */
+/**
+ * Resolves with the first line, earlier or new, for which `matches` returns true. Rejects when the process exits or after
+ * `timeoutMs`.
+ */
 export function waitForLine(
 	started: StartedProcess,
 	matches: (line: Record<string, unknown>) => boolean,
@@ -76,29 +79,29 @@
 		const onLine = (line: Record<string, unknown>): void => {
 			if (matches(line)) finish(undefined, line);
 			else if (line.exited === true)
-				finish(new Error(`${started.name} ended: ${started.stderrLines.join('\n')}`), line);
+				finish(new Error(`${started.name} exited: ${started.stderrLines.join('\n')}`), line);
 		};
 		const timer = setTimeout(() => {
-			finish(new Error(`${started.name}: awaited line did not come within ${timeoutMs} ms`), {});
+			finish(new Error(`${started.name} did not print the expected line within ${timeoutMs} ms`), {});
 		}, timeoutMs);
 		started.lineEmitter.on('line', onLine);
 	});
 }
 
-/** The address a stand-in announced. */
+/** The address that a stand-in prints once it listens. */
 export async function readyAddress(started: StartedProcess): Promise<string> {
 	const line = await waitForLine(started, (jsonLine) => typeof jsonLine.ready === 'string');
 	return String(line.ready);
 }
 
-/** The addresses of a program of the system, from its event 1001. */
+/** The addresses of a program of the system, from its event 1001 (`process.started`). */
 export async function startedAddresses(started: StartedProcess): Promise<{ peer: string; serves: string }> {
 	const line = await waitForLine(started, (jsonLine) => jsonLine.name === 'process.started');
 	const fields = line.fields as Record<string, string>;
 	return { peer: fields.peer ?? '', serves: fields.serves ?? '' };
 }
 
-/** Asks a process to stop and resolves with its exit code (null after a signal). */
+/** Sends a signal to a process and resolves with its exit code (null if a signal ended it). */
 export function stop(started: StartedProcess, signal: NodeJS.Signals = 'SIGTERM'): Promise<number | null> {
 	if (started.child.exitCode !== null || started.child.signalCode !== null) {
 		return Promise.resolve(started.child.exitCode);
