--- a/spec/checks.ts
+++ b/spec/checks.ts
@@ -5,7 +5,7 @@
 import * as dispatch from './dispatch.js';
 import * as evacuations from './evacuations.js';
 import * as lease from './lease.js';
-import * as lives from './lives/index.js';
+import * as incarnations from './lives/index.js';
 import * as restarts from './restarts.js';
 import type * as explore from './explore.js';
 
@@ -22,28 +22,28 @@
 	return { expect, name: model.name, bounds: model.bounds, run: (explorer) => explorer(model) };
 }
 
-type Bounds = Omit<lease.LeaseOptions, 'name' | 'guards'>;
+type LeaseBounds = Omit<lease.LeaseOptions, 'name' | 'guards'>;
 
-const base: Bounds = {
+const baseLeaseBounds: LeaseBounds = {
 	workers: 2,
 	tasks: 1,
 	attempts: 2,
-	epochs: 2,
+	takeovers: 2,
 	restarts: 0,
 	late: 'none',
-	ends: true,
+	tasksComplete: true,
 	lost: false,
 };
 
 /** The lease model's bounds: each failure with two workers where the states allow, combined with one worker. */
 const leaseBounds = {
-	'late messages': { ...base, late: 'first', ends: false },
-	'lost answers': { ...base, lost: true },
-	restart: { ...base, restarts: 1 },
-	'restart and late messages': { ...base, workers: 1, restarts: 1, late: 'any' },
-	'two tasks': { ...base, workers: 1, tasks: 2 },
-	'two tasks, lost answers': { ...base, workers: 1, tasks: 2, attempts: 1, lost: true },
-} satisfies Record<string, Bounds>;
+	'late messages': { ...baseLeaseBounds, late: 'first', tasksComplete: false },
+	'lost answers': { ...baseLeaseBounds, lost: true },
+	restart: { ...baseLeaseBounds, restarts: 1 },
+	'restart and late messages': { ...baseLeaseBounds, workers: 1, restarts: 1, late: 'any' },
+	'two tasks': { ...baseLeaseBounds, workers: 1, tasks: 2 },
+	'two tasks, lost answers': { ...baseLeaseBounds, workers: 1, tasks: 2, attempts: 1, lost: true },
+} satisfies Record<string, LeaseBounds>;
 
 /** For each guard, bounds within which leaving it out goes wrong. */
 const leaseMutants: Record<keyof lease.Guards, keyof typeof leaseBounds> = {
@@ -74,16 +74,16 @@
 }
 
 /** Tries of one request in the claim model. */
-const tries = 3;
+const requestTries = 3;
 
 function claimChecks(): Check[] {
 	const mutants = Object.keys(claim.allClaimGuards).map((guard) =>
 		check(
 			'wrong',
-			claim.claimModel(`claim without ${guard}`, tries, { ...claim.allClaimGuards, [guard]: false }),
+			claim.claimModel(`claim without ${guard}`, requestTries, { ...claim.allClaimGuards, [guard]: false }),
 		),
 	);
-	return [check('holds', claim.claimModel('claim', tries, claim.allClaimGuards)), ...mutants];
+	return [check('holds', claim.claimModel('claim', requestTries, claim.allClaimGuards)), ...mutants];
 }
 
 /** Operators that race in the configuration model. */
@@ -102,10 +102,25 @@
 type DispatchVariant = Pick<dispatch.DispatchOptions, 'bounds' | 'storesPlace'>;
 
 function dispatchVariant(
-	[owners, ticks, runs, closings, statements = 0]: [number, number, number, number, number?],
+	[owners, ticks, runs, closingsPerOwner, expiryReportsPerOwner = 0]: [
+		number,
+		number,
+		number,
+		number,
+		number?,
+	],
 	storesPlace = false,
 ): DispatchVariant {
-	return { bounds: { owners, ticks, runs, closings, statements }, storesPlace };
+	return {
+		bounds: {
+			owners,
+			ticks,
+			runs,
+			closingsPerOwner,
+			expiryReportsPerOwner,
+		},
+		storesPlace,
+	};
 }
 
 /** The dispatch model's variants: owners, ticks, starts, closed entries and statements of each owner. */
@@ -161,64 +176,70 @@
 	return [...holds, ...mutants];
 }
 
-const livesBase: lives.LivesBounds = {
+const baseIncarnationBounds: incarnations.IncarnationBounds = {
 	owners: 2,
 	starts: 2,
-	messages: 1,
-	reborn: false,
-	lateHolds: false,
+	maxMessagesInFlight: 1,
+	reusesAddress: false,
+	lateReportRequests: false,
 	plannedStops: false,
 };
 
 /** The bounds of the model of lives: a life that is followed by another, and planned stops, with fewer starts. */
-const livesVariants = {
-	'lives: an address used again': { ...livesBase, starts: 1, reborn: true },
-	'lives: two starts': livesBase,
+const incarnationVariants = {
+	'lives: an address used again': { ...baseIncarnationBounds, starts: 1, reusesAddress: true },
+	'lives: two starts': baseIncarnationBounds,
 	'lives: one owner, an address used again': {
-		...livesBase,
+		...baseIncarnationBounds,
 		owners: 1,
-		messages: 2,
-		reborn: true,
-		lateHolds: true,
+		maxMessagesInFlight: 2,
+		reusesAddress: true,
+		lateReportRequests: true,
+	},
+	'lives: planned stop': {
+		...baseIncarnationBounds,
+		maxMessagesInFlight: 2,
+		lateReportRequests: true,
+		plannedStops: true,
 	},
-	'lives: planned stop': { ...livesBase, messages: 2, lateHolds: true, plannedStops: true },
 	'lives: planned stop, an address used again': {
-		...livesBase,
+		...baseIncarnationBounds,
 		starts: 1,
-		messages: 2,
-		reborn: true,
-		lateHolds: true,
+		maxMessagesInFlight: 2,
+		reusesAddress: true,
+		lateReportRequests: true,
 		plannedStops: true,
 	},
-} satisfies Record<string, lives.LivesBounds>;
+} satisfies Record<string, incarnations.IncarnationBounds>;
 
 /** For each fault, variants in which it goes wrong. */
-const livesMutants: Record<keyof lives.LivesFaults, (keyof typeof livesVariants)[]> = {
-	listProves: ['lives: an address used again', 'lives: one owner, an address used again'],
-	unknownIsEmpty: ['lives: two starts', 'lives: planned stop'],
-	goneWhileAlive: ['lives: two starts'],
-	doubtForgotten: ['lives: two starts', 'lives: one owner, an address used again'],
-	doubtLeased: ['lives: two starts'],
-	stopUnnoted: ['lives: two starts'],
-	unconfirmed: ['lives: two starts'],
-	absenceProves: ['lives: two starts'],
-	anyLifeObeys: ['lives: an address used again'],
-	fenceless: ['lives: two starts', 'lives: planned stop'],
-	stopSettles: ['lives: planned stop'],
-};
+const incarnationMutants: Record<keyof incarnations.IncarnationFaults, (keyof typeof incarnationVariants)[]> =
+	{
+		listProves: ['lives: an address used again', 'lives: one owner, an address used again'],
+		unknownIsEmpty: ['lives: two starts', 'lives: planned stop'],
+		goneWhileAlive: ['lives: two starts'],
+		doubtForgotten: ['lives: two starts', 'lives: one owner, an address used again'],
+		doubtLeased: ['lives: two starts'],
+		stopUnnoted: ['lives: two starts'],
+		unconfirmed: ['lives: two starts'],
+		absenceProves: ['lives: two starts'],
+		anyLifeObeys: ['lives: an address used again'],
+		fenceless: ['lives: two starts', 'lives: planned stop'],
+		stopSettles: ['lives: planned stop'],
+	};
 
-function livesChecks(): Check[] {
-	const holds = Object.entries(livesVariants).map(([name, bounds]) =>
-		check('holds', lives.livesModel({ name, bounds, faults: lives.noLivesFaults })),
+function incarnationChecks(): Check[] {
+	const holds = Object.entries(incarnationVariants).map(([name, bounds]) =>
+		check('holds', incarnations.incarnationModel({ name, bounds, faults: incarnations.noIncarnationFaults })),
 	);
-	const mutants = Object.entries(livesMutants).flatMap(([fault, variants]) =>
+	const mutants = Object.entries(incarnationMutants).flatMap(([fault, variants]) =>
 		variants.map((variant) =>
 			check(
 				'wrong',
-				lives.livesModel({
+				incarnations.incarnationModel({
 					name: `${variant}, with ${fault}`,
-					bounds: livesVariants[variant],
-					faults: { ...lives.noLivesFaults, [fault]: true },
+					bounds: incarnationVariants[variant],
+					faults: { ...incarnations.noIncarnationFaults, [fault]: true },
 				}),
 			),
 		),
@@ -227,14 +248,14 @@
 }
 
 /** Owners that die, in the model of crashes. */
-const crashDeaths = 4;
+const ownerDeaths = 4;
 
 function crashChecks(): Check[] {
 	const mutants = Object.keys(crashes.allCrashGuards).map((guard) => {
 		const guards = { ...crashes.allCrashGuards, [guard]: false };
-		return check('wrong', crashes.crashModel(`crashes without ${guard}`, crashDeaths, guards));
+		return check('wrong', crashes.crashModel(`crashes without ${guard}`, ownerDeaths, guards));
 	});
-	return [check('holds', crashes.crashModel('crashes', crashDeaths, crashes.allCrashGuards)), ...mutants];
+	return [check('holds', crashes.crashModel('crashes', ownerDeaths, crashes.allCrashGuards)), ...mutants];
 }
 
 function restartChecks(): Check[] {
@@ -256,7 +277,7 @@
 /** All checks, the longest first. */
 export const checks: Check[] = [
 	...dispatchChecks(),
-	...livesChecks(),
+	...incarnationChecks(),
 	...leaseChecks(),
 	...claimChecks(),
 	...configChecks(),
--- a/spec/claim.ts
+++ b/spec/claim.ts
@@ -35,14 +35,14 @@
 interface Try {
 	phase: Phase;
 	/** What the caller was told. */
-	told: '' | 'answer' | 'not-run' | 'may-have-run';
+	reportedOutcome: '' | 'answer' | 'not-run' | 'may-have-run';
 	ran: boolean;
-	boxDead: boolean;
+	hasBoxCrashed: boolean;
 	/** A request to the backend server that may still arrive. */
-	underWay: boolean;
+	isInFlight: boolean;
 }
 
-interface LateEnd {
+interface LateClaimEnd {
 	holder: number;
 	outcome: 'done' | 'not-run' | 'may-have-run';
 }
@@ -52,8 +52,8 @@
 	claim: { holder: number; outcome: shards.ClaimOutcome } | null;
 	tries: Try[];
 	/** Ends of claims under way; one may arrive twice. */
-	ends: LateEnd[];
-	wrong: string;
+	claimEnds: LateClaimEnd[];
+	violation: string;
 }
 
 const key = 'key';
@@ -70,7 +70,7 @@
 		isWorkerListRead: true,
 		nextShard: () => undefined,
 		answers: new Map(),
-		holderGone: (holder) => state.tries[Number(holder)]?.boxDead ?? false,
+		holderGone: (holder) => state.tries[Number(holder)]?.hasBoxCrashed ?? false,
 	});
 	for (const change of decision.changes) shards.applyChange(shard, change, 0);
 	const claim = shard.claims.get(key);
@@ -80,17 +80,23 @@
 
 /** The model with the given number of tries of one request. */
 export function claimModel(name: string, tries: number, guards: ClaimGuards): explore.Model<ClaimState> {
-	const fresh: Try = { phase: 'new', told: '', ran: false, boxDead: false, underWay: false };
+	const newTry: Try = {
+		phase: 'new',
+		reportedOutcome: '',
+		ran: false,
+		hasBoxCrashed: false,
+		isInFlight: false,
+	};
 	const initial: ClaimState = {
 		claim: null,
-		tries: Array.from({ length: tries }, () => ({ ...fresh })),
-		ends: [],
-		wrong: '',
+		tries: Array.from({ length: tries }, () => ({ ...newTry })),
+		claimEnds: [],
+		violation: '',
 	};
 
-	const begin = (next: ClaimState, index: number): string => {
-		const running = next.claim?.outcome === 'running' && next.claim.holder !== index;
-		if (running && !guards.neverRegrant && next.tries[next.claim?.holder ?? 0]?.boxDead) {
+	const beginClaim = (next: ClaimState, index: number): string => {
+		const isHeldByAnother = next.claim?.outcome === 'running' && next.claim.holder !== index;
+		if (isHeldByAnother && !guards.neverRegrant && next.tries[next.claim?.holder ?? 0]?.hasBoxCrashed) {
 			next.claim = { holder: index, outcome: 'running' };
 			return 'granted';
 		}
@@ -101,7 +107,7 @@
 		return value.claim === 'granted' ? 'granted' : value.outcome;
 	};
 
-	const end = (next: ClaimState, late: LateEnd): void => {
+	const endClaim = (next: ClaimState, late: LateClaimEnd): void => {
 		if (!guards.holderEnds && next.claim) {
 			next.claim.outcome = late.outcome;
 			return;
@@ -109,59 +115,64 @@
 		decide(next, { type: 'claim.end', shard: '', key, holder: String(late.holder), outcome: late.outcome });
 	};
 
-	const tell = (next: ClaimState, index: number, told: Try['told'], outcome?: LateEnd['outcome']): void => {
+	const answerCaller = (
+		next: ClaimState,
+		index: number,
+		reportedOutcome: Try['reportedOutcome'],
+		outcome?: LateClaimEnd['outcome'],
+	): void => {
 		const one = next.tries[index];
 		if (!one) return;
 		one.phase = 'over';
-		one.told = told;
-		if (outcome !== undefined) next.ends.push({ holder: index, outcome });
+		one.reportedOutcome = reportedOutcome;
+		if (outcome !== undefined) next.claimEnds.push({ holder: index, outcome });
 	};
 
-	const run = (next: ClaimState, index: number): void => {
+	const runRequest = (next: ClaimState, index: number): void => {
 		const one = next.tries[index];
 		if (!one) return;
 		one.ran = true;
-		one.underWay = false;
+		one.isInFlight = false;
 	};
 
-	const judge = (next: ClaimState): void => {
-		if (next.tries.filter((one) => one.ran).length > 1) next.wrong = 'the request ran twice';
-		if (next.tries.some((one) => one.ran && one.told === 'not-run'))
-			next.wrong = 'told "not run", and it ran';
+	const checkInvariants = (next: ClaimState): void => {
+		if (next.tries.filter((one) => one.ran).length > 1) next.violation = 'the request ran twice';
+		if (next.tries.some((one) => one.ran && one.reportedOutcome === 'not-run'))
+			next.violation = 'told "not run", and it ran';
 	};
 
 	const steps = (state: ClaimState): { name: string; next: ClaimState }[] => {
 		const out: { name: string; next: ClaimState }[] = [];
-		if (state.wrong !== '') return out;
+		if (state.violation !== '') return out;
 		const add = (step: string, change: (next: ClaimState) => void): void => {
 			const next = structuredClone(state);
 			change(next);
-			judge(next);
+			checkInvariants(next);
 			out.push({ name: step, next });
 		};
 		for (const [index, one] of state.tries.entries()) trySteps(state, index, one, add);
-		for (const [position, late] of state.ends.entries()) {
+		for (const [position, late] of state.claimEnds.entries()) {
 			const what = `the end of claim ${late.holder} (${late.outcome})`;
 			add(`${what} arrives`, (next) => {
-				next.ends.splice(position, 1);
-				end(next, late);
+				next.claimEnds.splice(position, 1);
+				endClaim(next, late);
 			});
 			add(`${what} arrives, and will again`, (next) => {
-				end(next, late);
+				endClaim(next, late);
 			});
 			add(`${what} is lost`, (next) => {
-				next.ends.splice(position, 1);
+				next.claimEnds.splice(position, 1);
 			});
 		}
 		return out;
 	};
 
-	type Add = (name: string, change: (next: ClaimState) => void) => void;
+	type AddStep = (name: string, change: (next: ClaimState) => void) => void;
 
-	const trySteps = (state: ClaimState, index: number, one: Try, add: Add): void => {
+	const trySteps = (state: ClaimState, index: number, one: Try, add: AddStep): void => {
 		// The caller tries again only after the try before has ended for it.
-		const before = state.tries[index - 1];
-		if (one.phase === 'new' && before !== undefined && before.phase !== 'over') return;
+		const previous = state.tries[index - 1];
+		if (one.phase === 'new' && previous !== undefined && previous.phase !== 'over') return;
 		if (one.phase === 'new') {
 			add(`try ${index} arrives`, (next) => {
 				const arrived = next.tries[index];
@@ -171,72 +182,73 @@
 		if (one.phase === 'claiming') claimSteps(index, add);
 		if (one.phase === 'held') sendSteps(index, add);
 		if (one.phase === 'sent') answerSteps(one, index, add);
-		if (one.underWay && one.phase === 'over') {
+		if (one.isInFlight && one.phase === 'over') {
 			add(`the late request of try ${index} runs`, (next) => {
-				run(next, index);
+				runRequest(next, index);
 			});
 		}
 		if (one.phase !== 'new' && one.phase !== 'over') {
 			add(`the box of try ${index} dies`, (next) => {
-				const dead = next.tries[index];
-				if (dead) Object.assign(dead, { phase: 'over', boxDead: true });
+				const crashed = next.tries[index];
+				if (crashed) Object.assign(crashed, { phase: 'over', hasBoxCrashed: true });
 			});
 		}
 	};
 
-	const claimSteps = (index: number, add: Add): void => {
+	const claimSteps = (index: number, add: AddStep): void => {
 		add(`try ${index} claims`, (next) => {
-			const outcome = begin(next, index);
+			const outcome = beginClaim(next, index);
 			const one = next.tries[index];
 			if (outcome === 'granted' && one) one.phase = 'held';
-			if (outcome === 'done' || outcome === 'may-have-run') tell(next, index, 'may-have-run');
+			if (outcome === 'done' || outcome === 'may-have-run') answerCaller(next, index, 'may-have-run');
 		});
 		add(`try ${index} claims, the answer is lost until its deadline`, (next) => {
-			begin(next, index);
-			tell(next, index, 'not-run', 'not-run');
+			beginClaim(next, index);
+			answerCaller(next, index, 'not-run', 'not-run');
 		});
 		add(`try ${index} claims, the answer is lost, it will ask again`, (next) => {
-			const outcome = begin(next, index);
+			const outcome = beginClaim(next, index);
 			if (outcome === 'granted' && !guards.askerGivesBack)
-				next.ends.push({ holder: index, outcome: 'not-run' });
+				next.claimEnds.push({ holder: index, outcome: 'not-run' });
 		});
 		add(`try ${index} can't claim before its deadline`, (next) => {
-			tell(next, index, 'not-run');
+			answerCaller(next, index, 'not-run');
 		});
 		add(`try ${index} finds the claim running until its deadline`, (next) => {
-			if (next.claim?.outcome === 'running' && next.claim.holder !== index) tell(next, index, 'may-have-run');
+			if (next.claim?.outcome === 'running' && next.claim.holder !== index)
+				answerCaller(next, index, 'may-have-run');
 		});
 	};
 
-	const sendSteps = (index: number, add: Add): void => {
+	const sendSteps = (index: number, add: AddStep): void => {
 		add(`try ${index} can't connect to a backend server`, (next) => {
-			tell(next, index, 'not-run', 'not-run');
+			answerCaller(next, index, 'not-run', 'not-run');
 		});
 		add(`try ${index} is sent`, (next) => {
 			const one = next.tries[index];
-			if (one) Object.assign(one, { phase: 'sent', underWay: true });
+			if (one) Object.assign(one, { phase: 'sent', isInFlight: true });
 		});
 	};
 
-	const answerSteps = (one: Try, index: number, add: Add): void => {
-		if (one.underWay) {
+	const answerSteps = (one: Try, index: number, add: AddStep): void => {
+		if (one.isInFlight) {
 			add(`try ${index} runs`, (next) => {
-				run(next, index);
+				runRequest(next, index);
 			});
 			add(`the backend server refuses try ${index}`, (next) => {
 				const refused = next.tries[index];
-				if (refused) refused.underWay = false;
-				tell(next, index, 'not-run', 'not-run');
+				if (refused) refused.isInFlight = false;
+				answerCaller(next, index, 'not-run', 'not-run');
 			});
 		}
 		if (one.ran) {
 			add(`the answer of try ${index} arrives`, (next) => {
-				tell(next, index, 'answer', 'done');
+				answerCaller(next, index, 'answer', 'done');
 			});
 		}
 		add(`try ${index} hears nothing until its deadline`, (next) => {
-			const word = guards.silenceMayHaveRun ? 'may-have-run' : 'not-run';
-			tell(next, index, word, word);
+			const presumedOutcome = guards.silenceMayHaveRun ? 'may-have-run' : 'not-run';
+			answerCaller(next, index, presumedOutcome, presumedOutcome);
 		});
 	};
 
@@ -245,6 +257,6 @@
 		bounds: `${tries} tries of one request through boxes that die, messages lost, late or doubled`,
 		initial,
 		steps,
-		wrong: (state) => (state.wrong === '' ? undefined : state.wrong),
+		violation: (state) => (state.violation === '' ? undefined : state.violation),
 	};
 }
--- a/spec/config.ts
+++ b/spec/config.ts
@@ -31,7 +31,7 @@
 
 interface Operator {
 	/** The changes by nonce that the record had when it was read; null before. */
-	read: number[] | null;
+	readRecord: number[] | null;
 	phase: 'idle' | 'unanswered' | 'accepted' | 'refused' | 'unknown';
 }
 
@@ -39,7 +39,7 @@
 	/** Changes of the version in force, oldest first; null: none known since its start. */
 	record: number[] | null;
 	/** Highest version that it served callers under since its start. */
-	served: number;
+	highestServedVersion: number;
 }
 
 /** A state of the model. */
@@ -52,8 +52,8 @@
 	push: number[] | null;
 	restarts: number;
 	/** Highest version that has been in force everywhere. */
-	settled: number;
-	wrong: string;
+	highestVersionEverywhere: number;
+	violation: string;
 }
 
 /** The model with two processes and the given number of racing operators. */
@@ -64,109 +64,111 @@
 ): explore.Model<ConfigState> {
 	const initial: ConfigState = {
 		record: [],
-		operators: Array.from({ length: operators }, () => ({ read: null, phase: 'idle' })),
+		operators: Array.from({ length: operators }, () => ({ readRecord: null, phase: 'idle' })),
 		processes: [
-			{ record: [], served: 0 },
-			{ record: [], served: 0 },
+			{ record: [], highestServedVersion: 0 },
+			{ record: [], highestServedVersion: 0 },
 		],
 		push: null,
 		restarts: 0,
-		settled: 0,
-		wrong: '',
+		highestVersionEverywhere: 0,
+		violation: '',
 	};
 
-	const judge = (next: ConfigState): void => {
+	const checkInvariants = (next: ConfigState): void => {
 		for (const [nonce, one] of next.operators.entries()) {
-			const times = next.record.filter((stored) => stored === nonce).length;
-			if (one.phase === 'accepted' && times === 0) next.wrong = `accepted change ${nonce} is gone`;
-			if (one.phase === 'refused' && times > 0) next.wrong = `refused change ${nonce} is stored`;
-			if (times > 1) next.wrong = `change ${nonce} is stored twice`;
+			const storedCount = next.record.filter((stored) => stored === nonce).length;
+			if (one.phase === 'accepted' && storedCount === 0) next.violation = `accepted change ${nonce} is gone`;
+			if (one.phase === 'refused' && storedCount > 0) next.violation = `refused change ${nonce} is stored`;
+			if (storedCount > 1) next.violation = `change ${nonce} is stored twice`;
 		}
 	};
 
-	const offer = (next: ConfigState, index: number, record: number[]): void => {
+	const offerRecord = (next: ConfigState, index: number, record: number[]): void => {
 		const process = next.processes[index];
 		if (!process) return;
 		if (!guards.onlyHigher || process.record === null || record.length > process.record.length)
 			process.record = record;
 	};
 
-	type Add = (name: string, change: (next: ConfigState) => void) => void;
+	type AddStep = (name: string, change: (next: ConfigState) => void) => void;
 
 	const steps = (state: ConfigState): { name: string; next: ConfigState }[] => {
 		const out: { name: string; next: ConfigState }[] = [];
-		if (state.wrong !== '') return out;
-		const add: Add = (step, change) => {
+		if (state.violation !== '') return out;
+		const add: AddStep = (step, change) => {
 			const next = structuredClone(state);
 			change(next);
-			judge(next);
+			checkInvariants(next);
 			out.push({ name: step, next });
 		};
 		for (const [nonce, one] of state.operators.entries()) operatorSteps(nonce, one, add);
 		for (const [index, process] of state.processes.entries()) processSteps(state, index, process, add);
 		if (state.push !== null) pushSteps(state.push, add);
-		const everywhere = state.processes.every((process) => process.record?.length === state.record.length);
-		if (everywhere && state.settled < state.record.length) {
+		const isInForceEverywhere = state.processes.every(
+			(process) => process.record?.length === state.record.length,
+		);
+		if (isInForceEverywhere && state.highestVersionEverywhere < state.record.length) {
 			add('the version is in force everywhere', (next) => {
-				next.settled = next.record.length;
+				next.highestVersionEverywhere = next.record.length;
 			});
 		}
 		return out;
 	};
 
-	const operatorSteps = (nonce: number, one: Operator, add: Add): void => {
+	const operatorSteps = (nonce: number, one: Operator, add: AddStep): void => {
 		if (one.phase === 'accepted' || one.phase === 'refused' || one.phase === 'unknown') return;
 		add(`operator ${nonce} reads`, (next) => {
 			const reader = next.operators[nonce];
 			if (!reader) return;
 			// What it reads shows whether an unanswered write of its own was stored.
 			if (guards.readBack && next.record.includes(nonce)) reader.phase = 'accepted';
-			reader.read = [...next.record];
+			reader.readRecord = [...next.record];
 		});
 		if (one.phase === 'unanswered') {
 			add(`operator ${nonce} runs out of time`, (next) => {
-				const tired = next.operators[nonce];
-				if (tired) tired.phase = guards.readBack ? 'unknown' : 'refused';
+				const timedOut = next.operators[nonce];
+				if (timedOut) timedOut.phase = guards.readBack ? 'unknown' : 'refused';
 			});
 		}
-		if (one.read !== null) writeSteps(nonce, one.read, add);
+		if (one.readRecord !== null) writeSteps(nonce, one.readRecord, add);
 	};
 
-	const writeSteps = (nonce: number, read: number[], add: Add): void => {
+	const writeSteps = (nonce: number, readRecord: number[], add: AddStep): void => {
 		const write = (next: ConfigState): boolean => {
-			const current = JSON.stringify(next.record) === JSON.stringify(read);
-			if (guards.compareAndSwap && !current) return false;
-			next.record = [...read, nonce];
+			const isCurrent = JSON.stringify(next.record) === JSON.stringify(readRecord);
+			if (guards.compareAndSwap && !isCurrent) return false;
+			next.record = [...readRecord, nonce];
 			return true;
 		};
 		add(`operator ${nonce} writes`, (next) => {
 			const writer = next.operators[nonce];
 			if (!writer) return;
-			const stored = write(next);
-			writer.read = null;
-			if (!stored) return;
+			const isStored = write(next);
+			writer.readRecord = null;
+			if (!isStored) return;
 			writer.phase = 'accepted';
 			next.push = [...next.record];
 		});
 		add(`operator ${nonce} writes, the answer is lost`, (next) => {
 			const writer = next.operators[nonce];
 			write(next);
-			if (writer) Object.assign(writer, { phase: 'unanswered', read: null });
+			if (writer) Object.assign(writer, { phase: 'unanswered', readRecord: null });
 		});
 		add(`operator ${nonce} writes, the request is lost`, (next) => {
 			const writer = next.operators[nonce];
-			if (writer) Object.assign(writer, { phase: 'unanswered', read: null });
+			if (writer) Object.assign(writer, { phase: 'unanswered', readRecord: null });
 		});
 	};
 
-	const processSteps = (state: ConfigState, index: number, process: Process, add: Add): void => {
+	const processSteps = (state: ConfigState, index: number, process: Process, add: AddStep): void => {
 		add(`process ${index} reads the platform`, (next) => {
-			offer(next, index, [...next.record]);
+			offerRecord(next, index, [...next.record]);
 		});
 		const peer = state.processes[1 - index]?.record;
 		if (peer) {
 			add(`process ${index} asks process ${1 - index}`, (next) => {
-				offer(next, index, [...peer]);
+				offerRecord(next, index, [...peer]);
 			});
 		}
 		if (process.record !== null || !guards.knowBeforeServing) {
@@ -174,26 +176,27 @@
 				const server = next.processes[index];
 				if (!server) return;
 				const version = server.record?.length ?? 0;
-				const least = Math.max(server.served, next.settled);
-				if (version < least) next.wrong = `process ${index} serves version ${version} after ${least}`;
-				server.served = Math.max(server.served, version);
+				const minVersion = Math.max(server.highestServedVersion, next.highestVersionEverywhere);
+				if (version < minVersion)
+					next.violation = `process ${index} serves version ${version} after ${minVersion}`;
+				server.highestServedVersion = Math.max(server.highestServedVersion, version);
 			});
 		}
 		if (state.restarts < 1 && index === 0) {
 			add(`process ${index} starts anew`, (next) => {
 				next.restarts += 1;
 				const restarted = next.processes[index];
-				if (restarted) Object.assign(restarted, { record: null, served: 0 });
+				if (restarted) Object.assign(restarted, { record: null, highestServedVersion: 0 });
 			});
 		}
 	};
 
 	const takePush = (next: ConfigState, push: number[]): void => {
-		const fresh = next.processes[0]?.record === null;
-		if (!fresh || !guards.pushProvesNothing) offer(next, 0, [...push]);
+		const isNewlyStarted = next.processes[0]?.record === null;
+		if (!isNewlyStarted || !guards.pushProvesNothing) offerRecord(next, 0, [...push]);
 	};
 
-	const pushSteps = (push: number[], add: Add): void => {
+	const pushSteps = (push: number[], add: AddStep): void => {
 		add('a push arrives', (next) => {
 			takePush(next, push);
 			next.push = null;
@@ -208,7 +211,7 @@
 		bounds: `${operators} operators, 2 processes, 1 restart, answers and requests lost, pushes late or doubled`,
 		initial,
 		steps,
-		wrong: (state) => (state.wrong === '' ? undefined : state.wrong),
-		goal: (state) => state.processes.every((process) => process.record?.length === state.record.length),
+		violation: (state) => (state.violation === '' ? undefined : state.violation),
+		isGoal: (state) => state.processes.every((process) => process.record?.length === state.record.length),
 	};
 }
--- a/spec/crashes.ts
+++ b/spec/crashes.ts
@@ -29,10 +29,10 @@
 };
 
 /** Crashes of workers that hung before. */
-const mostHangs = 1;
+const maxHangs = 1;
 
 /** More starts than any run within the bounds comes to. */
-const mostStarts = 9;
+const maxStarts = 9;
 
 /**
  * `waiting`: to be started. `storing`: its history is being stored. `sending`: the start is on its way. `running`,
@@ -47,14 +47,14 @@
 	known: jobs.StoredCrashes | null;
 	stored: jobs.StoredCrashes | null;
 	/** The roster names a worker that has died. */
-	rostered: boolean;
+	isDeadWorkerOnRoster: boolean;
 	/** The owner has taken over and not heard of that worker. */
-	unheard: boolean;
+	isDeadWorkerUnreported: boolean;
 	/** Number of the newest run; what really happened: workers crashed, and starts after the third of them. */
 	run: number;
 	crashes: number;
 	late: number;
-	deaths: number;
+	ownerDeaths: number;
 	/** Crashes of workers that hung before. */
 	hangs: number;
 }
@@ -63,95 +63,100 @@
 	phase: 'waiting',
 	known: null,
 	stored: null,
-	rostered: false,
-	unheard: false,
+	isDeadWorkerOnRoster: false,
+	isDeadWorkerUnreported: false,
 	run: 0,
 	crashes: 0,
 	late: 0,
-	deaths: 0,
+	ownerDeaths: 0,
 	hangs: 0,
 };
 
 /** Does something to the owner's history. */
-function change(state: CrashState, fn: (history: jobs.CrashHistory) => void): void {
+function updateHistory(state: CrashState, fn: (history: jobs.CrashHistory) => void): void {
 	const history = jobs.CrashHistory.create(state.known ?? undefined);
 	fn(history);
 	state.known = history.isEmpty ? null : history.toStored();
 }
 
 /** The model for so many deaths of owners. */
-export function crashModel(name: string, deaths: number, guards: CrashGuards): explore.Model<CrashState> {
-	const begin = (next: CrashState): void => {
+export function crashModel(
+	name: string,
+	maxOwnerDeaths: number,
+	guards: CrashGuards,
+): explore.Model<CrashState> {
+	const placeTask = (next: CrashState): void => {
 		// The worker of before answers as another life, and nothing was heard of the task.
-		if (next.unheard && next.known === null && guards.countUnseen)
-			change(next, (history) => {
+		if (next.isDeadWorkerUnreported && next.known === null && guards.countUnseen)
+			updateHistory(next, (history) => {
 				history.noteCrash(0, false);
 			});
 		// Once there is a history, no dead worker but that of the newest stored start is on the roster.
-		const fate = next.unheard ? 'crashed' : 'not-started';
-		next.unheard = false;
+		const tryOutcome = next.isDeadWorkerUnreported ? 'crashed' : 'not-started';
+		next.isDeadWorkerUnreported = false;
 		if (guards.settleTries)
-			change(next, (history) => {
-				history.resolveTries(() => fate);
+			updateHistory(next, (history) => {
+				history.resolveTries(() => tryOutcome);
 			});
-		const isSpent = next.known !== null && jobs.CrashHistory.create(next.known).abandonReason !== undefined;
-		if (isSpent) {
+		const isAbandoned =
+			next.known !== null && jobs.CrashHistory.create(next.known).abandonReason !== undefined;
+		if (isAbandoned) {
 			next.phase = 'given-up';
 			return;
 		}
 		next.run += 1;
 		const isStored = next.known !== null && guards.storeFirst;
 		if (next.known !== null)
-			change(next, (history) => {
+			updateHistory(next, (history) => {
 				history.noteTry(next.run, 'worker');
 			});
 		next.phase = isStored ? 'storing' : 'sending';
 	};
 
-	const start = (next: CrashState): void => {
+	const carryOutStart = (next: CrashState): void => {
 		next.phase = 'running';
 		if (next.crashes >= crashing.crashesBeforeStartLimit) next.late += 1;
 	};
 
-	const notice = (next: CrashState, isHanging: boolean): void => {
-		change(next, (history) => {
+	const reportCrash = (next: CrashState, isHanging: boolean): void => {
+		updateHistory(next, (history) => {
 			if (isHanging) history.notePossibleCrash(next.run);
 			else history.noteCrash(next.run, false);
 		});
 		if (isHanging) next.hangs += 1;
 		next.phase = 'waiting';
-		if (!guards.forgetLast) next.rostered = false;
+		if (!guards.forgetLast) next.isDeadWorkerOnRoster = false;
 	};
 
-	const store = (next: CrashState): void => {
+	const storeHistory = (next: CrashState): void => {
 		next.stored = next.known;
 		// What went down with the dead worker is stored: it may be forgotten.
-		if (next.phase !== 'down') next.rostered = false;
+		if (next.phase !== 'down') next.isDeadWorkerOnRoster = false;
 		if (next.phase === 'storing') next.phase = 'sending';
 	};
 
 	const takeOver = (next: CrashState): void => {
-		next.deaths += 1;
+		next.ownerDeaths += 1;
 		next.known = next.stored;
 		// A start on its way is fenced, or carried out first; a run is found, or its end is listed.
 		if (next.phase !== 'running') next.phase = 'waiting';
-		next.unheard = next.rostered;
+		next.isDeadWorkerUnreported = next.isDeadWorkerOnRoster;
 	};
 
 	const steps = (state: CrashState): { name: string; next: CrashState }[] => {
-		const found: { name: string; next: CrashState }[] = [];
+		const possibleSteps: { name: string; next: CrashState }[] = [];
 		const step = (label: string, isPossible: boolean, act: (next: CrashState) => void): void => {
 			if (!isPossible) return;
 			const next = structuredClone(state);
 			act(next);
-			found.push({ name: label, next });
+			possibleSteps.push({ name: label, next });
 		};
 		const { phase } = state;
-		step('the owner places the task', phase === 'waiting', begin);
-		step('its history is stored', JSON.stringify(state.known) !== JSON.stringify(state.stored), store);
-		step('the start is carried out', phase === 'sending', start);
+		step('the owner places the task', phase === 'waiting', placeTask);
+		step('its history is stored', JSON.stringify(state.known) !== JSON.stringify(state.stored), storeHistory);
+		step('the start is carried out', phase === 'sending', carryOutStart);
 		step('the start is refused', phase === 'sending', (next) => {
-			change(next, (history) => {
+			updateHistory(next, (history) => {
 				history.noteNotStarted(next.run);
 			});
 			next.phase = 'waiting';
@@ -159,34 +164,34 @@
 		step('the worker crashes', phase === 'running', (next) => {
 			next.phase = 'down';
 			next.crashes += 1;
-			next.rostered = true;
+			next.isDeadWorkerOnRoster = true;
 		});
 		step('the run is stopped first', phase === 'running', (next) => {
-			change(next, (history) => {
+			updateHistory(next, (history) => {
 				history.noteExit(next.run);
 			});
 			next.phase = 'waiting';
 		});
 		step('the owner hears of the crash', phase === 'down', (next) => {
-			notice(next, false);
+			reportCrash(next, false);
 		});
 		step(
 			'the owner hears of it after the worker hung',
-			phase === 'down' && state.hangs < mostHangs,
+			phase === 'down' && state.hangs < maxHangs,
 			(next) => {
-				notice(next, true);
+				reportCrash(next, true);
 			},
 		);
-		step('the owner dies', state.deaths < deaths, takeOver);
-		return found;
+		step('the owner dies', state.ownerDeaths < maxOwnerDeaths, takeOver);
+		return possibleSteps;
 	};
 
 	return {
 		name,
-		bounds: `${String(deaths)} deaths of owners`,
+		bounds: `${String(maxOwnerDeaths)} deaths of owners`,
 		initial,
-		steps: (state) => (state.run >= mostStarts ? [] : steps(state)),
-		wrong: (state) =>
+		steps: (state) => (state.run >= maxStarts ? [] : steps(state)),
+		violation: (state) =>
 			state.late > crashing.maxStartsAfterCrashes
 				? `${String(state.late)} starts after the third crash`
 				: undefined,
--- a/spec/dispatch.ts
+++ b/spec/dispatch.ts
@@ -100,7 +100,7 @@
 const horizonTicks = 1;
 
 const workerCount = 2;
-const mostMessages = 1;
+const maxMessagesInFlight = 1;
 const runsPerEpoch = 10;
 
 /** Bounds of the exploration. */
@@ -110,9 +110,9 @@
 	/** Starts by each owner. */
 	runs: number;
 	/** Closing roster writes by each owner. */
-	closings: number;
+	closingsPerOwner: number;
 	/** Statements by each owner, of one worker each; 0: the protocol has none. */
-	statements: number;
+	expiryReportsPerOwner: number;
 }
 
 /** What a model is made of. */
@@ -129,71 +129,71 @@
 	phase: 'new' | 'on' | 'barred' | 'over';
 	epoch: number;
 	confirmedAt: number;
-	tookAt: number;
+	tookOverAt: number;
 	/** The roster as read at the takeover, without the workers settled since. */
-	unsettled: Entry[];
+	unreconciled: RosterEntry[];
 	/** The stored roster as it knows it, by its own read or write. */
-	roster: Entry[];
+	knownRoster: RosterEntry[];
 	/** The roster write under way that closes an entry. */
-	closing: Closing;
+	closingWrite: ClosingWrite;
 	closings: number;
 	/** The stored place as it knows it, by its own read or write, and as it read it at the takeover; -1: none. */
 	place: number;
-	inheritedPlace: number;
+	inheritedPlacement: number;
 	/** Where it believes the task to be; -1: nowhere. */
 	placed: number;
 	run: number;
 	/** End of the latest lease that it granted there. */
-	grantedUntil: number;
-	sawEnd: EndListing;
+	leaseGrantedUntil: number;
+	seenExit: ExitListing;
 	/** Workers that showed it an end of the task, as long as no end is stored: bits. */
-	endsAt: number;
+	exitListingWorkers: number;
 	/** By worker, the end of every lease there, as the owner reckons; kept only where statements are made. */
-	leaseOver: number[];
+	leaseEndByWorker: number[];
 	/** Workers that answered it, kept only there: bits. */
-	answered: number;
-	statements: number;
+	answeredWorkers: number;
+	expiryReports: number;
 	/** Workers of which it stated an end, so that it grants no lease there: bits. */
-	withheld: number;
+	leaseWithheldWorkers: number;
 	/** Those of them whose statement is void by a write that it has not heard of. */
-	voided: number;
+	voidedReportWorkers: number;
 	/** A roster write of its own took effect and it has not heard of that. */
-	unheard: boolean;
+	hasUnacknowledgedWrite: boolean;
 }
 
 /** What an owner told all that may follow it; anybody may have got it, or not. */
-interface Statement {
+interface ReportedExpiry {
 	epoch: number;
 	/** Of the roster record. */
 	version: number;
 	worker: number;
 	/** By then every lease there is over. */
-	end: number;
+	leasesEndAt: number;
 }
 
 /**
  * What the stored roster says of a worker. `open`: the task may be there. Closed: `lists` the task, which may be there,
  * or is `empty`.
  */
-type Entry = 'none' | 'open' | 'lists' | 'empty';
+type RosterEntry = 'none' | 'open' | 'lists' | 'empty';
 
 /** Composed, and not in force yet; worker -1: nothing is under way. */
-interface Closing {
+interface ClosingWrite {
 	worker: number;
-	entry: Entry;
+	entry: RosterEntry;
 }
 
-const noClosing: Closing = { worker: -1, entry: 'none' };
+const noClosingWrite: ClosingWrite = { worker: -1, entry: 'none' };
 
-type EndListing = 'no' | 'counts' | 'lapsed';
+type ExitListing = 'no' | 'counts' | 'lapsed';
 
 interface Worker {
 	epoch: number;
 	running: boolean;
-	highest: number;
+	highestRun: number;
 	leaseUntil: number;
 	/** Whether it lists the task's end; one whose lease lapsed before anybody heard of it does not count. */
-	listsEnd: EndListing;
+	listedExit: ExitListing;
 }
 
 interface Start {
@@ -206,14 +206,14 @@
 /** A state of the model. */
 export interface DispatchState {
 	tick: number;
-	stored: { epoch: number; roster: Entry[]; version: number; place: number; end: EndListing };
+	stored: { epoch: number; roster: RosterEntry[]; version: number; place: number; exit: ExitListing };
 	/** An end that counts was forgotten by its worker. */
-	forgotten: boolean;
+	isExitAcknowledged: boolean;
 	owners: Owner[];
 	workers: Worker[];
 	starts: Start[];
-	statements: Statement[];
-	wrong: string;
+	reportedExpiries: ReportedExpiry[];
+	violation: string;
 }
 
 interface Step {
@@ -225,30 +225,30 @@
 	phase: 'new',
 	epoch: 0,
 	confirmedAt: 0,
-	tookAt: 0,
-	unsettled: [],
-	roster: [],
-	closing: noClosing,
+	tookOverAt: 0,
+	unreconciled: [],
+	knownRoster: [],
+	closingWrite: noClosingWrite,
 	closings: 0,
 	place: -1,
-	inheritedPlace: -1,
+	inheritedPlacement: -1,
 	placed: -1,
 	run: 0,
-	grantedUntil: 0,
-	sawEnd: 'no',
-	endsAt: 0,
-	leaseOver: [],
-	answered: 0,
-	statements: 0,
-	withheld: 0,
-	voided: 0,
-	unheard: false,
+	leaseGrantedUntil: 0,
+	seenExit: 'no',
+	exitListingWorkers: 0,
+	leaseEndByWorker: [],
+	answeredWorkers: 0,
+	expiryReports: 0,
+	leaseWithheldWorkers: 0,
+	voidedReportWorkers: 0,
+	hasUnacknowledgedWrite: false,
 };
 
 /** Every lease of a worker is over, and the epoch was confirmed after. */
-const longOver = -1;
+const leaseExpiryConfirmed = -1;
 
-const newWorker: Worker = { epoch: 0, running: false, highest: 0, leaseUntil: 0, listsEnd: 'no' };
+const newWorker: Worker = { epoch: 0, running: false, highestRun: 0, leaseUntil: 0, listedExit: 'no' };
 
 function initialState(bounds: DispatchBounds): DispatchState {
 	return {
@@ -258,27 +258,27 @@
 			roster: Array.from({ length: workerCount }, () => 'none' as const),
 			version: 0,
 			place: -1,
-			end: 'no',
+			exit: 'no',
 		},
-		forgotten: false,
+		isExitAcknowledged: false,
 		owners: Array.from({ length: bounds.owners }, () => ({ ...newOwner })),
 		workers: Array.from({ length: workerCount }, () => ({ ...newWorker })),
 		starts: [],
-		statements: [],
-		wrong: '',
+		reportedExpiries: [],
+		violation: '',
 	};
 }
 
 /** The model under some guards, within some bounds. */
 export function dispatchModel(opts: DispatchOptions): explore.Model<DispatchState> {
-	const { owners, ticks, runs, closings, statements } = opts.bounds;
-	const told = statements === 0 ? '' : `, ${statements} statements each`;
+	const { owners, ticks, runs, closingsPerOwner, expiryReportsPerOwner } = opts.bounds;
+	const expiryReportsText = expiryReportsPerOwner === 0 ? '' : `, ${expiryReportsPerOwner} statements each`;
 	return {
 		name: opts.name,
-		bounds: `${owners} owners, ${workerCount} workers, ${ticks} ticks, ${runs} starts and ${closings} closed entries each, ${mostMessages} late${told}`,
+		bounds: `${owners} owners, ${workerCount} workers, ${ticks} ticks, ${runs} starts and ${closingsPerOwner} closed entries each, ${maxMessagesInFlight} late${expiryReportsText}`,
 		initial: initialState(opts.bounds),
 		steps: (state) => stepsOf(state, opts),
-		wrong: (state) => (state.wrong === '' ? undefined : state.wrong),
+		violation: (state) => (state.violation === '' ? undefined : state.violation),
 	};
 }
 
@@ -290,25 +290,25 @@
 	const step: AddStep = (name, change) => {
 		const next = copy(state);
 		change(next);
-		judge(next);
+		checkInvariants(next);
 		dropIrrelevant(next, opts);
 		steps.push({ name, next });
 	};
-	state.owners.forEach((owner, index) => {
-		ownerSteps(state, owner, index, opts, step);
+	state.owners.forEach((owner, ownerIndex) => {
+		ownerSteps(state, owner, ownerIndex, opts, step);
 	});
 	state.workers.forEach((worker, index) => {
 		if (!worker.running) return;
 		step(`worker ${index} finishes`, (next) => {
 			const one = at(next.workers, index);
 			one.running = false;
-			one.listsEnd = 'counts';
+			one.listedExit = 'counts';
 		});
 	});
 	state.starts.forEach((start, index) => {
 		step(`the start of run ${start.run} arrives at worker ${start.worker}`, (next) => {
 			next.starts.splice(index, 1);
-			arrive(next, start, guards);
+			deliverStart(next, start, guards);
 		});
 	});
 	if (state.tick < bounds.ticks) step('time passes', passTime);
@@ -316,66 +316,76 @@
 }
 
 /** Makes alike what can't differ in what follows: fewer states, none lost. */
-function dropIrrelevant(next: DispatchState, { guards, bounds: { statements } }: DispatchOptions): void {
+function dropIrrelevant(
+	next: DispatchState,
+	{ guards, bounds: { expiryReportsPerOwner } }: DispatchOptions,
+): void {
 	for (const owner of next.owners) {
-		if (owner.placed === -1) owner.grantedUntil = 0;
-		if (owner.unsettled[owner.inheritedPlace] === 'none') owner.inheritedPlace = -1;
-		const isLate = next.tick - owner.confirmedAt > horizonTicks && guards.horizon;
-		const isBarred = owner.phase === 'on' && owner.epoch < next.stored.epoch && isLate;
+		if (owner.placed === -1) owner.leaseGrantedUntil = 0;
+		if (owner.unreconciled[owner.inheritedPlacement] === 'none') owner.inheritedPlacement = -1;
+		const isPastHorizon = next.tick - owner.confirmedAt > horizonTicks && guards.horizon;
+		const isBarred = owner.phase === 'on' && owner.epoch < next.stored.epoch && isPastHorizon;
 		if (isBarred || owner.phase === 'barred') {
-			const { epoch, sawEnd } = owner;
-			Object.assign(owner, newOwner, { phase: 'barred', epoch, sawEnd });
+			const { epoch, seenExit } = owner;
+			Object.assign(owner, newOwner, { phase: 'barred', epoch, seenExit });
 		}
 		if (owner.phase === 'over') Object.assign(owner, newOwner, { phase: 'over' });
 	}
-	dropUnread(next, guards);
-	dropVoid(next, guards);
+	dropUnreadRecords(next, guards);
+	dropVoidExpiryReports(next, guards);
 	next.workers.forEach((worker, index) => {
 		if (worker.leaseUntil < next.tick) worker.leaseUntil = 0;
-		const isOlder = (start: Start): boolean => start.worker === index && start.run <= worker.highest;
-		if (statements > 0 && isLeaseUnused(next, worker, index)) worker.leaseUntil = 0;
-		if (guards.fence && !next.starts.some(isOlder)) worker.highest = 0;
+		const isOlder = (start: Start): boolean => start.worker === index && start.run <= worker.highestRun;
+		if (expiryReportsPerOwner > 0 && isLeaseUnused(next, worker, index)) worker.leaseUntil = 0;
+		if (guards.fence && !next.starts.some(isOlder)) worker.highestRun = 0;
 	});
 }
 
 /** Nothing at the worker rests on its lease, and later starts bring their own. */
 function isLeaseUnused(next: DispatchState, worker: Worker, index: number): boolean {
-	const isIdle = !worker.running && worker.listsEnd !== 'counts';
+	const isIdle = !worker.running && worker.listedExit !== 'counts';
 	return isIdle && !next.starts.some((start) => start.worker === index);
 }
 
 /** What is stored or composed for successors, once none will read it. */
-function dropUnread(next: DispatchState, guards: DispatchGuards): void {
-	const isRead = hasSuccessor(next);
-	if (!isRead) {
+function dropUnreadRecords(next: DispatchState, guards: DispatchGuards): void {
+	const willBeRead = hasSuccessor(next);
+	if (!willBeRead) {
 		next.stored.roster.fill('open');
 		next.stored.place = -1;
 	}
 	for (const owner of next.owners) {
 		const inForce = owner.epoch === next.stored.epoch || !guards.rosterEpoch;
-		if (isRead && inForce) continue;
-		owner.endsAt = 0;
+		if (willBeRead && inForce) continue;
+		owner.exitListingWorkers = 0;
 		owner.closings = 0;
-		owner.roster = owner.roster.map((entry) => (entry === 'lists' ? 'empty' : entry));
+		owner.knownRoster = owner.knownRoster.map((entry) => (entry === 'lists' ? 'empty' : entry));
 	}
 }
 
 /** Statements that can't be used any more. Of the versions it matters only whether they are the record's. */
-function dropVoid(next: DispatchState, guards: DispatchGuards): void {
-	const isRead = hasSuccessor(next);
-	next.statements = next.statements.filter(
-		(statement) => isRead && isUsable(next, statement, next.stored.epoch, guards),
+function dropVoidExpiryReports(next: DispatchState, guards: DispatchGuards): void {
+	const willBeRead = hasSuccessor(next);
+	next.reportedExpiries = next.reportedExpiries.filter(
+		(expiry) => willBeRead && isUsable(next, expiry, next.stored.epoch, guards),
 	);
-	if (next.statements.length === 0 || guards.sameRoster) {
+	if (next.reportedExpiries.length === 0 || guards.sameRoster) {
 		next.stored.version = 0;
-		for (const statement of next.statements) statement.version = 0;
+		for (const expiry of next.reportedExpiries) expiry.version = 0;
 	}
 	for (const owner of next.owners) {
 		const isInForce = owner.epoch === next.stored.epoch;
 		// It may write the roster at any time, and nobody will use what it stated.
-		if (isInForce && !isRead) Object.assign(owner, { withheld: 0, voided: 0, unheard: false });
-		if (!isInForce || !isRead) owner.statements = 0;
-		owner.leaseOver = owner.leaseOver.map((end) => (end < owner.confirmedAt ? longOver : end));
+		if (isInForce && !willBeRead)
+			Object.assign(owner, {
+				leaseWithheldWorkers: 0,
+				voidedReportWorkers: 0,
+				hasUnacknowledgedWrite: false,
+			});
+		if (!isInForce || !willBeRead) owner.expiryReports = 0;
+		owner.leaseEndByWorker = owner.leaseEndByWorker.map((leasesEndAt) =>
+			leasesEndAt < owner.confirmedAt ? leaseExpiryConfirmed : leasesEndAt,
+		);
 	}
 }
 
@@ -385,23 +395,23 @@
 }
 
 /** Workers to tell apart: as long as nothing ever happened at any, one stands for all. */
-function workersApart(state: DispatchState): Worker[] {
+function distinctWorkers(state: DispatchState): Worker[] {
 	const isUsed =
 		state.starts.length > 0 ||
-		state.statements.length > 0 ||
+		state.reportedExpiries.length > 0 ||
 		state.stored.place !== -1 ||
 		state.owners.some(
 			(owner) =>
 				owner.placed !== -1 ||
 				owner.place !== -1 ||
-				owner.inheritedPlace !== -1 ||
-				owner.endsAt !== 0 ||
-				owner.closing.worker !== -1 ||
-				owner.withheld !== 0 ||
-				owner.answered !== 0 ||
-				!isUniform(owner.leaseOver) ||
-				!isUniform(owner.roster) ||
-				!isUniform(owner.unsettled),
+				owner.inheritedPlacement !== -1 ||
+				owner.exitListingWorkers !== 0 ||
+				owner.closingWrite.worker !== -1 ||
+				owner.leaseWithheldWorkers !== 0 ||
+				owner.answeredWorkers !== 0 ||
+				!isUniform(owner.leaseEndByWorker) ||
+				!isUniform(owner.knownRoster) ||
+				!isUniform(owner.unreconciled),
 		) ||
 		!isUniform(state.stored.roster) ||
 		!isUniform(state.workers.map((worker) => JSON.stringify(worker)));
@@ -419,172 +429,178 @@
 		stored: { ...state.stored, roster: [...state.stored.roster] },
 		owners: state.owners.map((owner) => ({
 			...owner,
-			unsettled: [...owner.unsettled],
-			roster: [...owner.roster],
-			leaseOver: [...owner.leaseOver],
+			unreconciled: [...owner.unreconciled],
+			knownRoster: [...owner.knownRoster],
+			leaseEndByWorker: [...owner.leaseEndByWorker],
 		})),
 		workers: state.workers.map((worker) => ({ ...worker })),
 		starts: [...state.starts],
-		statements: state.statements.map((statement) => ({ ...statement })),
+		reportedExpiries: state.reportedExpiries.map((expiry) => ({ ...expiry })),
 	};
 }
 
 function ownerSteps(
 	state: DispatchState,
 	owner: Owner,
-	index: number,
+	ownerIndex: number,
 	opts: DispatchOptions,
 	step: AddStep,
 ): void {
 	if (owner.phase === 'new') {
 		// Owners take over in turn; the earlier one may go on, not knowing.
-		const isNext = state.owners.findIndex((one) => one.phase === 'new') === index;
+		const isNext = state.owners.findIndex((one) => one.phase === 'new') === ownerIndex;
 		if (isNext)
-			step(`owner ${index} takes over`, (next) => {
-				takeOver(next, index, opts);
+			step(`owner ${ownerIndex} takes over`, (next) => {
+				takeOver(next, ownerIndex, opts);
 			});
 		return;
 	}
 	if (owner.phase === 'over') return;
 	const inForce = state.stored.epoch === owner.epoch;
 	if (inForce && owner.confirmedAt < state.tick)
-		step(`owner ${index} confirms`, (next) => {
-			at(next.owners, index).confirmedAt = next.tick;
+		step(`owner ${ownerIndex} confirms`, (next) => {
+			at(next.owners, ownerIndex).confirmedAt = next.tick;
 		});
-	if (inForce && owner.sawEnd !== 'no' && state.stored.end === 'no')
-		step(`owner ${index} stores the end`, (next) => {
-			next.stored.end = owner.sawEnd;
-			at(next.owners, index).endsAt = 0;
+	if (inForce && owner.seenExit !== 'no' && state.stored.exit === 'no')
+		step(`owner ${ownerIndex} stores the end`, (next) => {
+			next.stored.exit = owner.seenExit;
+			at(next.owners, ownerIndex).exitListingWorkers = 0;
 		});
-	writeSteps(state, owner, index, opts, step);
-	workersApart(state).forEach((worker, where) => {
-		const acting = { state, owner, index, worker, where, opts };
-		reportSteps(acting, step);
+	writeSteps(state, owner, ownerIndex, opts, step);
+	distinctWorkers(state).forEach((worker, workerIndex) => {
+		const context = { state, owner, ownerIndex, worker, workerIndex, opts };
+		reportSteps(context, step);
 		if (owner.phase === 'barred') return;
-		proofSteps(acting, step);
-		rosterSteps(acting, step);
-		closingSteps(acting, step);
-		statementSteps(acting, step);
-		startSteps(acting, step);
+		timeoutSteps(context, step);
+		rosterSteps(context, step);
+		closingSteps(context, step);
+		expiryReportSteps(context, step);
+		startSteps(context, step);
 	});
 }
 
 /** An owner and a worker between which steps are sought. */
-interface Acting {
+interface StepContext {
 	state: DispatchState;
 	owner: Owner;
-	index: number;
+	ownerIndex: number;
 	worker: Worker;
-	where: number;
+	workerIndex: number;
 	opts: DispatchOptions;
 }
 
 /** Whether it may grant a lease there. */
-function mayGrant({ state, owner, where, opts }: Acting): boolean {
+function mayGrantLease({ state, owner, workerIndex, opts }: StepContext): boolean {
 	if (owner.phase === 'barred') return false;
-	if (opts.guards.withhold && (owner.withheld & (1 << where)) !== 0) return false;
+	if (opts.guards.withhold && (owner.leaseWithheldWorkers & (1 << workerIndex)) !== 0) return false;
 	return !opts.guards.horizon || state.tick - owner.confirmedAt <= horizonTicks;
 }
 
-function reportSteps(acting: Acting, step: AddStep): void {
-	const { state, owner, index, worker, where, opts } = acting;
-	const mayRenew = mayGrant(acting);
-	step(`owner ${index} asks worker ${where}`, (next) => {
-		ask(next, index, where, opts.guards, mayRenew);
+function reportSteps(context: StepContext, step: AddStep): void {
+	const { state, owner, ownerIndex, worker, workerIndex, opts } = context;
+	const mayRenew = mayGrantLease(context);
+	step(`owner ${ownerIndex} asks worker ${workerIndex}`, (next) => {
+		poll(next, ownerIndex, workerIndex, opts.guards, mayRenew);
 	});
-	const mayForget = state.stored.end !== 'no' || (owner.sawEnd !== 'no' && !opts.guards.storeFirst);
-	if (worker.listsEnd !== 'no' && mayForget && owner.epoch >= worker.epoch)
-		step(`owner ${index} lets worker ${where} forget the end`, (next) => {
-			const one = at(next.workers, where);
-			if (one.listsEnd === 'counts') next.forgotten = true;
-			one.listsEnd = 'no';
+	const mayAcknowledge = state.stored.exit !== 'no' || (owner.seenExit !== 'no' && !opts.guards.storeFirst);
+	if (worker.listedExit !== 'no' && mayAcknowledge && owner.epoch >= worker.epoch)
+		step(`owner ${ownerIndex} lets worker ${workerIndex} forget the end`, (next) => {
+			const one = at(next.workers, workerIndex);
+			if (one.listedExit === 'counts') next.isExitAcknowledged = true;
+			one.listedExit = 'no';
 		});
 }
 
 /** What an owner believes by time alone. A confirmed call shows that no successor renewed a lease meanwhile. */
-function proofSteps({ state, owner, index, where, opts }: Acting, step: AddStep): void {
+function timeoutSteps({ state, owner, ownerIndex, workerIndex, opts }: StepContext, step: AddStep): void {
 	const { guards } = opts;
-	const waitedUntil = owner.leaseOver[where] ?? inheritedUntil(owner);
-	const isWaited = state.tick > waitedUntil && (owner.confirmedAt > waitedUntil || !guards.confirmWaited);
-	if (owner.unsettled[where] !== 'none' && (isWaited || !guards.wait))
-		step(`owner ${index} takes worker ${where} for settled`, (next) => {
-			at(next.owners, index).unsettled[where] = 'none';
+	const waitUntil = owner.leaseEndByWorker[workerIndex] ?? inheritedLeasesEndAt(owner);
+	const isWaitOver = state.tick > waitUntil && (owner.confirmedAt > waitUntil || !guards.confirmWaited);
+	if (owner.unreconciled[workerIndex] !== 'none' && (isWaitOver || !guards.wait))
+		step(`owner ${ownerIndex} takes worker ${workerIndex} for settled`, (next) => {
+			at(next.owners, ownerIndex).unreconciled[workerIndex] = 'none';
 		});
-	const grantedUntil = owner.leaseOver[where] ?? owner.grantedUntil;
-	const isConfirmed = owner.confirmedAt > grantedUntil || !guards.confirmLost;
-	const isLost = state.tick > grantedUntil && isConfirmed;
-	if (owner.placed === where && (isLost || !guards.ownWait))
-		step(`owner ${index} takes its run at worker ${where} for lost`, (next) => {
-			at(next.owners, index).placed = -1;
+	const leaseGrantedUntil = owner.leaseEndByWorker[workerIndex] ?? owner.leaseGrantedUntil;
+	const isConfirmed = owner.confirmedAt > leaseGrantedUntil || !guards.confirmLost;
+	const mayPresumeLost = state.tick > leaseGrantedUntil && isConfirmed;
+	if (owner.placed === workerIndex && (mayPresumeLost || !guards.ownWait))
+		step(`owner ${ownerIndex} takes its run at worker ${workerIndex} for lost`, (next) => {
+			at(next.owners, ownerIndex).placed = -1;
 		});
 }
 
 /** By when the leases of earlier owners are over, whatever is known of them. */
-function inheritedUntil(owner: Owner): number {
-	return owner.tookAt + horizonTicks + leaseTicks;
+function inheritedLeasesEndAt(owner: Owner): number {
+	return owner.tookOverAt + horizonTicks + leaseTicks;
 }
 
 /** Opening takes effect as it is composed: it adds nothing that a later start depends on before it is in force. */
-function rosterSteps({ state, owner, index, where, opts: { guards } }: Acting, step: AddStep): void {
-	if (state.stored.epoch !== owner.epoch || owner.closing.worker !== -1 || owner.unheard) return;
-	if (owner.roster[where] !== 'open')
-		step(`owner ${index} opens worker ${where} on the roster`, (next) => {
-			openEntries(next, index, where, guards);
+function rosterSteps(
+	{ state, owner, ownerIndex, workerIndex, opts: { guards } }: StepContext,
+	step: AddStep,
+): void {
+	if (state.stored.epoch !== owner.epoch || owner.closingWrite.worker !== -1 || owner.hasUnacknowledgedWrite)
+		return;
+	if (owner.knownRoster[workerIndex] !== 'open')
+		step(`owner ${ownerIndex} opens worker ${workerIndex} on the roster`, (next) => {
+			openEntries(next, ownerIndex, workerIndex, guards);
 		});
 }
 
-function closingSteps({ state, owner, index, where, opts }: Acting, step: AddStep): void {
+function closingSteps({ state, owner, ownerIndex, workerIndex, opts }: StepContext, step: AddStep): void {
 	const { guards, bounds } = opts;
-	const { worker, entry } = owner.closing;
+	const { worker, entry } = owner.closingWrite;
 	const inForce = state.stored.epoch === owner.epoch;
-	if (worker === where && (inForce || !guards.rosterEpoch))
-		step(`owner ${index}'s write that closes worker ${where} takes effect`, (next) => {
-			at(next.owners, index).closing = noClosing;
-			at(next.owners, index).roster[where] = entry;
-			next.stored.roster[where] = entry;
-			noteWrite(next, index);
-			hearOfWrite(next, index, guards);
+	if (worker === workerIndex && (inForce || !guards.rosterEpoch))
+		step(`owner ${ownerIndex}'s write that closes worker ${workerIndex} takes effect`, (next) => {
+			at(next.owners, ownerIndex).closingWrite = noClosingWrite;
+			at(next.owners, ownerIndex).knownRoster[workerIndex] = entry;
+			next.stored.roster[workerIndex] = entry;
+			noteWrite(next, ownerIndex);
+			acknowledgeWrite(next, ownerIndex, guards);
 		});
-	const isKnown = owner.unsettled[where] === 'none' || !guards.closeKnown;
+	const isKnown = owner.unreconciled[workerIndex] === 'none' || !guards.closeKnown;
 	const mayClose =
 		inForce &&
 		isKnown &&
-		!owner.unheard &&
+		!owner.hasUnacknowledgedWrite &&
 		hasSuccessor(state) &&
-		owner.roster[where] !== 'none' &&
-		owner.closings < bounds.closings;
-	const closed = closedEntry(owner, where, guards);
-	if (worker === -1 && mayClose && owner.roster[where] !== closed)
-		step(`owner ${index} composes a write that closes worker ${where}: ${closed}`, (next) => {
-			const one = at(next.owners, index);
-			one.closing = { worker: where, entry: closed };
+		owner.knownRoster[workerIndex] !== 'none' &&
+		owner.closings < bounds.closingsPerOwner;
+	const closedEntry = entryWhenClosed(owner, workerIndex, guards);
+	if (worker === -1 && mayClose && owner.knownRoster[workerIndex] !== closedEntry)
+		step(`owner ${ownerIndex} composes a write that closes worker ${workerIndex}: ${closedEntry}`, (next) => {
+			const one = at(next.owners, ownerIndex);
+			one.closingWrite = { worker: workerIndex, entry: closedEntry };
 			one.closings += 1;
 		});
 }
 
-function closedEntry(owner: Owner, where: number, guards: DispatchGuards): Entry {
-	const isPlaced = owner.placed === where && guards.listPlaced;
-	const isEnded = (owner.endsAt & (1 << where)) !== 0 && guards.listEnds;
-	return isPlaced || isEnded ? 'lists' : 'empty';
+function entryWhenClosed(owner: Owner, workerIndex: number, guards: DispatchGuards): RosterEntry {
+	const isPlaced = owner.placed === workerIndex && guards.listPlaced;
+	const hasListedExit = (owner.exitListingWorkers & (1 << workerIndex)) !== 0 && guards.listEnds;
+	return isPlaced || hasListedExit ? 'lists' : 'empty';
 }
 
 /** A roster write that changes no entry, and moves the record's version on; the owner hears of it later. */
 function writeSteps(
 	state: DispatchState,
 	owner: Owner,
-	index: number,
+	ownerIndex: number,
 	{ guards, bounds }: DispatchOptions,
 	step: AddStep,
 ): void {
-	if (owner.unheard)
-		step(`owner ${index} hears that its roster write took effect`, (next) => {
-			hearOfWrite(next, index, guards);
+	if (owner.hasUnacknowledgedWrite)
+		step(`owner ${ownerIndex} hears that its roster write took effect`, (next) => {
+			acknowledgeWrite(next, ownerIndex, guards);
 		});
 	const inForce = state.stored.epoch === owner.epoch;
-	const isOfUse = hasSuccessor(state) && (owner.withheld !== 0 || owner.statements < bounds.statements);
-	if (inForce && isOfUse && !owner.unheard && owner.closing.worker === -1)
-		step(`owner ${index} writes the roster as it is`, (next) => {
-			noteWrite(next, index);
+	const isUseful =
+		hasSuccessor(state) &&
+		(owner.leaseWithheldWorkers !== 0 || owner.expiryReports < bounds.expiryReportsPerOwner);
+	if (inForce && isUseful && !owner.hasUnacknowledgedWrite && owner.closingWrite.worker === -1)
+		step(`owner ${ownerIndex} writes the roster as it is`, (next) => {
+			noteWrite(next, ownerIndex);
 		});
 }
 
@@ -592,183 +608,211 @@
  * It may state an end of any worker, as each may be silent for it. The version is the record's own, as if it had just
  * read it, also before it hears of its write. Once it is replaced nobody can use what it states.
  */
-function statementSteps({ state, owner, index, where, opts }: Acting, step: AddStep): void {
+function expiryReportSteps(
+	{ state, owner, ownerIndex, workerIndex, opts }: StepContext,
+	step: AddStep,
+): void {
 	const { guards, bounds } = opts;
-	const isRead = state.stored.epoch === owner.epoch && hasSuccessor(state);
-	if (!isRead || owner.statements >= bounds.statements || owner.roster[where] === 'none') return;
-	const end = statedEnd(owner, where, guards);
-	step(`owner ${index} states that leases at worker ${where} are over ${overText(end)}`, (next) => {
-		const { epoch } = owner;
-		const one = at(next.owners, index);
-		one.statements += 1;
-		one.withheld |= 1 << where;
-		one.voided &= ~(1 << where);
-		next.statements.push({ epoch, version: next.stored.version, worker: where, end });
-		next.statements.sort(
-			(a, b) => a.epoch - b.epoch || a.version - b.version || a.worker - b.worker || a.end - b.end,
-		);
-	});
+	const willBeRead = state.stored.epoch === owner.epoch && hasSuccessor(state);
+	if (
+		!willBeRead ||
+		owner.expiryReports >= bounds.expiryReportsPerOwner ||
+		owner.knownRoster[workerIndex] === 'none'
+	)
+		return;
+	const leasesEndAt = reportedLeaseEnd(owner, workerIndex, guards);
+	step(
+		`owner ${ownerIndex} states that leases at worker ${workerIndex} are over ${expiryText(leasesEndAt)}`,
+		(next) => {
+			const { epoch } = owner;
+			const one = at(next.owners, ownerIndex);
+			one.expiryReports += 1;
+			one.leaseWithheldWorkers |= 1 << workerIndex;
+			one.voidedReportWorkers &= ~(1 << workerIndex);
+			next.reportedExpiries.push({
+				epoch,
+				version: next.stored.version,
+				worker: workerIndex,
+				leasesEndAt,
+			});
+			next.reportedExpiries.sort(
+				(a, b) =>
+					a.epoch - b.epoch || a.version - b.version || a.worker - b.worker || a.leasesEndAt - b.leasesEndAt,
+			);
+		},
+	);
 }
 
-function overText(end: number): string {
-	return end === longOver ? 'already' : `after tick ${end}`;
+function expiryText(leasesEndAt: number): string {
+	return leasesEndAt === leaseExpiryConfirmed ? 'already' : `after tick ${leasesEndAt}`;
 }
 
-function statedEnd(owner: Owner, where: number, guards: DispatchGuards): number {
-	const end = at(owner.leaseOver, where);
-	if (!guards.statedInherited && owner.unsettled[where] !== 'none') return longOver;
-	return guards.statedGrants ? end : Math.max(longOver, end - leaseTicks);
+function reportedLeaseEnd(owner: Owner, workerIndex: number, guards: DispatchGuards): number {
+	const leasesEndAt = at(owner.leaseEndByWorker, workerIndex);
+	if (!guards.statedInherited && owner.unreconciled[workerIndex] !== 'none') return leaseExpiryConfirmed;
+	return guards.statedGrants ? leasesEndAt : Math.max(leaseExpiryConfirmed, leasesEndAt - leaseTicks);
 }
 
 /** Whether an owner that takes over after this epoch may use a statement. */
 function isUsable(
 	{ stored }: DispatchState,
-	{ epoch, version }: Statement,
-	after: number,
+	{ epoch, version }: ReportedExpiry,
+	previousEpoch: number,
 	guards: DispatchGuards,
 ): boolean {
-	return (epoch === after || !guards.directStatement) && (version === stored.version || !guards.sameRoster);
+	return (
+		(epoch === previousEpoch || !guards.directStatement) && (version === stored.version || !guards.sameRoster)
+	);
 }
 
-function startSteps(acting: Acting, step: AddStep): void {
-	const { state, owner, index, where, opts } = acting;
+function startSteps(context: StepContext, step: AddStep): void {
+	const { state, owner, ownerIndex, workerIndex, opts } = context;
 	const { guards, bounds, storesPlace } = opts;
-	if (owner.sawEnd !== 'no' || owner.run % runsPerEpoch >= bounds.runs) return;
-	const isFree = owner.placed === -1 && !isHeldBack(owner, opts);
-	const mayStore = storesPlace && state.stored.epoch === owner.epoch && owner.place !== where;
+	if (owner.seenExit !== 'no' || owner.run % runsPerEpoch >= bounds.runs) return;
+	const isFree = owner.placed === -1 && !mayRunElsewhere(owner, opts);
+	const mayStore = storesPlace && state.stored.epoch === owner.epoch && owner.place !== workerIndex;
 	if (mayStore && (isFree || !guards.placeOver))
-		step(`owner ${index} stores worker ${where} as the task's place`, (next) => {
-			next.stored.place = where;
-			at(next.owners, index).place = where;
+		step(`owner ${ownerIndex} stores worker ${workerIndex} as the task's place`, (next) => {
+			next.stored.place = workerIndex;
+			at(next.owners, ownerIndex).place = workerIndex;
 		});
-	const isStored = !storesPlace || owner.place === where || !guards.placeFirst;
-	const isOpen = isStored && mayStartAt(owner, where, guards);
-	if (isFree && isOpen && mayGrant(acting) && state.starts.length < mostMessages)
-		step(`owner ${index} sends a start to worker ${where}`, (next) => {
-			sendStart(next, index, where);
+	const isStored = !storesPlace || owner.place === workerIndex || !guards.placeFirst;
+	const isOpen = isStored && mayStartAt(owner, workerIndex, guards);
+	if (isFree && isOpen && mayGrantLease(context) && state.starts.length < maxMessagesInFlight)
+		step(`owner ${ownerIndex} sends a start to worker ${workerIndex}`, (next) => {
+			sendStart(next, ownerIndex, workerIndex);
 		});
 }
 
 /** Whether the task may still run for an earlier owner, at a worker that isn't settled. */
-function isHeldBack(owner: Owner, { guards, storesPlace }: DispatchOptions): boolean {
-	const mayBeAt = (entry: Entry | undefined): boolean => entry === 'open' || entry === 'lists';
-	if (storesPlace) return guards.placeWait && mayBeAt(owner.unsettled[owner.inheritedPlace]);
-	return guards.settle && owner.unsettled.some(mayBeAt);
-}
-
-function mayStartAt(owner: Owner, where: number, guards: DispatchGuards): boolean {
-	if (owner.closing.worker === where && guards.closeAtOnce) return false;
-	const isUnheard = owner.leaseOver.length > 0 && (owner.answered & (1 << where)) === 0;
-	if (isUnheard && guards.askFirst) return false;
-	const entry = at(owner.roster, where);
+function mayRunElsewhere(owner: Owner, { guards, storesPlace }: DispatchOptions): boolean {
+	const mayBeAt = (entry: RosterEntry | undefined): boolean => entry === 'open' || entry === 'lists';
+	if (storesPlace) return guards.placeWait && mayBeAt(owner.unreconciled[owner.inheritedPlacement]);
+	return guards.settle && owner.unreconciled.some(mayBeAt);
+}
+
+function mayStartAt(owner: Owner, workerIndex: number, guards: DispatchGuards): boolean {
+	if (owner.closingWrite.worker === workerIndex && guards.closeAtOnce) return false;
+	const hasNotAnswered =
+		owner.leaseEndByWorker.length > 0 && (owner.answeredWorkers & (1 << workerIndex)) === 0;
+	if (hasNotAnswered && guards.askFirst) return false;
+	const entry = at(owner.knownRoster, workerIndex);
 	if (entry === 'open') return true;
 	return entry === 'none' ? !guards.roster : !guards.reopen;
 }
 
-function takeOver(next: DispatchState, index: number, { guards, bounds }: DispatchOptions): void {
-	const usable = next.statements.filter((one) => isUsable(next, one, next.stored.epoch, guards));
+function takeOver(next: DispatchState, ownerIndex: number, { guards, bounds }: DispatchOptions): void {
+	const usable = next.reportedExpiries.filter((one) => isUsable(next, one, next.stored.epoch, guards));
 	next.stored.epoch += 1;
-	const owner = at(next.owners, index);
+	const owner = at(next.owners, ownerIndex);
 	owner.phase = 'on';
 	owner.epoch = next.stored.epoch;
 	owner.confirmedAt = next.tick;
-	owner.tookAt = next.tick;
-	owner.unsettled = [...next.stored.roster];
-	owner.roster = [...next.stored.roster];
+	owner.tookOverAt = next.tick;
+	owner.unreconciled = [...next.stored.roster];
+	owner.knownRoster = [...next.stored.roster];
 	owner.place = next.stored.place;
-	owner.inheritedPlace = next.stored.place;
+	owner.inheritedPlacement = next.stored.place;
 	owner.run = owner.epoch * runsPerEpoch;
-	owner.sawEnd = next.stored.end;
-	if (bounds.statements > 0)
-		owner.leaseOver = owner.unsettled.map((entry, where) => {
-			const ends = usable.filter((one) => one.worker === where).map((one) => one.end);
-			const isUsed = entry === 'open' || entry === 'lists';
-			return isUsed ? Math.min(inheritedUntil(owner), ...ends) : longOver;
+	owner.seenExit = next.stored.exit;
+	if (bounds.expiryReportsPerOwner > 0)
+		owner.leaseEndByWorker = owner.unreconciled.map((entry, workerIndex) => {
+			const ends = usable.filter((one) => one.worker === workerIndex).map((one) => one.leasesEndAt);
+			const mayHoldTask = entry === 'open' || entry === 'lists';
+			return mayHoldTask ? Math.min(inheritedLeasesEndAt(owner), ...ends) : leaseExpiryConfirmed;
 		});
 }
 
 /** The record moves on, so what was stated before is void. */
-function noteWrite(next: DispatchState, index: number): void {
-	const owner = at(next.owners, index);
+function noteWrite(next: DispatchState, ownerIndex: number): void {
+	const owner = at(next.owners, ownerIndex);
 	next.stored.version += 1;
-	owner.voided = owner.withheld;
-	owner.unheard = true;
+	owner.voidedReportWorkers = owner.leaseWithheldWorkers;
+	owner.hasUnacknowledgedWrite = true;
 }
 
-function hearOfWrite(next: DispatchState, index: number, guards: DispatchGuards): void {
-	const owner = at(next.owners, index);
-	owner.withheld &= guards.liftLater ? ~owner.voided : 0;
-	owner.voided = 0;
-	owner.unheard = false;
+function acknowledgeWrite(next: DispatchState, ownerIndex: number, guards: DispatchGuards): void {
+	const owner = at(next.owners, ownerIndex);
+	owner.leaseWithheldWorkers &= guards.liftLater ? ~owner.voidedReportWorkers : 0;
+	owner.voidedReportWorkers = 0;
+	owner.hasUnacknowledgedWrite = false;
 }
 
-function noteLease(owner: Owner, where: number, until: number): void {
-	if (owner.leaseOver.length > 0) owner.leaseOver[where] = Math.max(at(owner.leaseOver, where), until);
-	else owner.grantedUntil = Math.max(owner.grantedUntil, until);
+function noteLease(owner: Owner, workerIndex: number, until: number): void {
+	if (owner.leaseEndByWorker.length > 0)
+		owner.leaseEndByWorker[workerIndex] = Math.max(at(owner.leaseEndByWorker, workerIndex), until);
+	else owner.leaseGrantedUntil = Math.max(owner.leaseGrantedUntil, until);
 }
 
 /** A report: shows what runs and what ended there, fences earlier owners, and renews the lease. */
-function ask(
+function poll(
 	next: DispatchState,
-	index: number,
-	where: number,
+	ownerIndex: number,
+	workerIndex: number,
 	guards: DispatchGuards,
 	mayRenew: boolean,
 ): void {
-	const owner = at(next.owners, index);
-	const worker = at(next.workers, where);
+	const owner = at(next.owners, ownerIndex);
+	const worker = at(next.workers, workerIndex);
 	if (guards.fence && owner.epoch < worker.epoch) {
 		owner.phase = 'over';
 		return;
 	}
 	worker.epoch = Math.max(worker.epoch, owner.epoch);
-	if (owner.phase === 'on') owner.unsettled[where] = 'none';
-	if (owner.leaseOver.length > 0) owner.answered |= 1 << where;
-	if (worker.listsEnd !== 'no') {
-		owner.sawEnd = worker.listsEnd;
-		if (next.stored.end === 'no') owner.endsAt |= 1 << where;
+	if (owner.phase === 'on') owner.unreconciled[workerIndex] = 'none';
+	if (owner.leaseEndByWorker.length > 0) owner.answeredWorkers |= 1 << workerIndex;
+	if (worker.listedExit !== 'no') {
+		owner.seenExit = worker.listedExit;
+		if (next.stored.exit === 'no') owner.exitListingWorkers |= 1 << workerIndex;
 	}
 	if (worker.running) {
-		owner.placed = where;
+		owner.placed = workerIndex;
 		// An earlier owner may have renewed its lease up to its own horizon.
-		if (owner.leaseOver.length === 0) noteLease(owner, where, inheritedUntil(owner));
-	} else if (owner.placed === where && worker.listsEnd !== 'no') owner.placed = -1;
+		if (owner.leaseEndByWorker.length === 0) noteLease(owner, workerIndex, inheritedLeasesEndAt(owner));
+	} else if (owner.placed === workerIndex && worker.listedExit !== 'no') owner.placed = -1;
 	// Without statements, leases of idle workers are left out.
-	if (mayRenew && (worker.running || owner.leaseOver.length > 0)) {
+	if (mayRenew && (worker.running || owner.leaseEndByWorker.length > 0)) {
 		worker.leaseUntil = Math.max(worker.leaseUntil, next.tick + leaseTicks);
-		noteLease(owner, where, next.tick + leaseTicks);
+		noteLease(owner, workerIndex, next.tick + leaseTicks);
 	}
 }
 
 /** One write names all listed workers; each that is new to the roster is open. */
-function openEntries(next: DispatchState, index: number, where: number, guards: DispatchGuards): void {
-	const owner = at(next.owners, index);
-	owner.roster = owner.roster.map((entry, worker) => (worker === where || entry === 'none' ? 'open' : entry));
-	next.stored.roster = [...owner.roster];
-	noteWrite(next, index);
-	hearOfWrite(next, index, guards);
+function openEntries(
+	next: DispatchState,
+	ownerIndex: number,
+	workerIndex: number,
+	guards: DispatchGuards,
+): void {
+	const owner = at(next.owners, ownerIndex);
+	owner.knownRoster = owner.knownRoster.map((entry, worker) =>
+		worker === workerIndex || entry === 'none' ? 'open' : entry,
+	);
+	next.stored.roster = [...owner.knownRoster];
+	noteWrite(next, ownerIndex);
+	acknowledgeWrite(next, ownerIndex, guards);
 }
 
-function sendStart(next: DispatchState, index: number, where: number): void {
-	const owner = at(next.owners, index);
+function sendStart(next: DispatchState, ownerIndex: number, workerIndex: number): void {
+	const owner = at(next.owners, ownerIndex);
 	owner.run += 1;
-	owner.placed = where;
+	owner.placed = workerIndex;
 	const until = next.tick + leaseTicks;
-	noteLease(owner, where, until);
-	next.starts.push({ worker: where, epoch: owner.epoch, run: owner.run, until });
+	noteLease(owner, workerIndex, until);
+	next.starts.push({ worker: workerIndex, epoch: owner.epoch, run: owner.run, until });
 }
 
-function arrive(next: DispatchState, start: Start, guards: DispatchGuards): void {
+function deliverStart(next: DispatchState, start: Start, guards: DispatchGuards): void {
 	const worker = at(next.workers, start.worker);
 	if (guards.fence && start.epoch < worker.epoch) return;
 	worker.epoch = Math.max(worker.epoch, start.epoch);
 	if (guards.notAfter && start.until < next.tick) return;
-	if (start.run <= worker.highest) return;
+	if (start.run <= worker.highestRun) return;
 	if (worker.running) return;
-	if (next.stored.end === 'counts' || next.forgotten)
-		next.wrong = 'the task starts after its end was taken note of';
+	if (next.stored.exit === 'counts' || next.isExitAcknowledged)
+		next.violation = 'the task starts after its end was taken note of';
 	worker.running = true;
-	worker.highest = Math.max(worker.highest, start.run);
+	worker.highestRun = Math.max(worker.highestRun, start.run);
 	worker.leaseUntil = Math.max(worker.leaseUntil, guards.notAfter ? start.until : next.tick + leaseTicks);
 }
 
@@ -777,13 +821,13 @@
 	for (const worker of next.workers) {
 		if (worker.leaseUntil >= next.tick) continue;
 		worker.running = false;
-		if (worker.listsEnd === 'counts') worker.listsEnd = 'lapsed';
+		if (worker.listedExit === 'counts') worker.listedExit = 'lapsed';
 	}
 }
 
-function judge(next: DispatchState): void {
+function checkInvariants(next: DispatchState): void {
 	const running = next.workers.filter((worker) => worker.running);
-	if (running.length > 1) next.wrong = 'the task runs in two places';
+	if (running.length > 1) next.violation = 'the task runs in two places';
 }
 
 function at<T>(items: T[], index: number): T {
--- a/spec/evacuations.ts
+++ b/spec/evacuations.ts
@@ -30,34 +30,34 @@
 
 /** In ticks: the bound, how old a list may be at a start, and how long an order is on its way. */
 const boundTicks = 3;
-const freshTicks = 1;
-const orderTicks = 1;
+const maxListAgeTicks = 1;
+const startDeliveryTicks = 1;
 
 /** Ages beyond this are alike. */
-const mostTicks = boundTicks + 1;
+const maxAgeTicks = boundTicks + 1;
 
 /** Evacuations, changes of the owner and tries of one start, at most. */
-const mostEvacuations = 2;
-const mostTakeovers = 1;
-const mostTries = 2;
+const maxEvacuations = 2;
+const maxTakeovers = 1;
+const maxTries = 2;
 
 /** A list: whether it evacuates the zone, and how long ago it held. */
-interface List {
+interface EvacuationList {
 	evacuated: boolean;
-	age: number;
+	ageTicks: number;
 }
 
 /** A state of the model. */
 export interface EvacuationState {
 	/** Ticks since the evacuation in force was stored; null: there is none. */
-	evacuated: number | null;
+	ticksSinceEvacuation: number | null;
 	evacuations: number;
 	/** What the owner goes by; null: it has read nothing. */
-	known: List | null;
+	known: EvacuationList | null;
 	/** An answer on its way to the owner; null: none. */
-	answer: List | null;
+	answer: EvacuationList | null;
 	/** A start: on its way since so many ticks, or lost; null: there is none. */
-	order: number | 'lost' | null;
+	pendingStart: number | 'lost' | null;
 	tries: number;
 	takeovers: number;
 	/** A start was carried out too late. */
@@ -65,11 +65,11 @@
 }
 
 const initial: EvacuationState = {
-	evacuated: null,
+	ticksSinceEvacuation: null,
 	evacuations: 0,
 	known: null,
 	answer: null,
-	order: null,
+	pendingStart: null,
 	tries: 0,
 	takeovers: 0,
 	broken: false,
@@ -77,88 +77,93 @@
 
 /** The model with these guards. */
 export function evacuationModel(name: string, guards: EvacuationGuards): explore.Model<EvacuationState> {
-	const maySend = ({ known }: EvacuationState): boolean => {
+	const maySendStart = ({ known }: EvacuationState): boolean => {
 		if (known === null) return !guards.firstRead;
 		if (guards.obey && known.evacuated) return false;
-		return !guards.freshList || known.age <= freshTicks;
+		return !guards.freshList || known.ageTicks <= maxListAgeTicks;
 	};
 
-	const tick = (next: EvacuationState): void => {
-		const older = (age: number): number => Math.min(mostTicks, age + 1);
-		if (next.evacuated !== null) next.evacuated = older(next.evacuated);
-		if (next.known !== null) next.known.age = older(next.known.age);
-		if (next.answer !== null) next.answer.age = older(next.answer.age);
-		if (typeof next.order === 'number') next.order += 1;
+	const passTime = (next: EvacuationState): void => {
+		const incrementAge = (ticks: number): number => Math.min(maxAgeTicks, ticks + 1);
+		if (next.ticksSinceEvacuation !== null)
+			next.ticksSinceEvacuation = incrementAge(next.ticksSinceEvacuation);
+		if (next.known !== null) next.known.ageTicks = incrementAge(next.known.ageTicks);
+		if (next.answer !== null) next.answer.ageTicks = incrementAge(next.answer.ageTicks);
+		if (typeof next.pendingStart === 'number') next.pendingStart += 1;
 	};
 
-	const send = (next: EvacuationState): void => {
-		next.order = 0;
+	const sendStart = (next: EvacuationState): void => {
+		next.pendingStart = 0;
 		next.tries += 1;
 	};
 
-	const hear = (next: EvacuationState): void => {
-		if (next.answer !== null) next.known = guards.askedAt ? next.answer : { ...next.answer, age: 0 };
+	const receiveList = (next: EvacuationState): void => {
+		if (next.answer !== null) next.known = guards.askedAt ? next.answer : { ...next.answer, ageTicks: 0 };
 		next.answer = null;
 	};
 
-	const carryOut = (next: EvacuationState): void => {
-		next.broken = next.evacuated !== null && next.evacuated > boundTicks;
-		next.order = null;
+	const carryOutStart = (next: EvacuationState): void => {
+		next.broken = next.ticksSinceEvacuation !== null && next.ticksSinceEvacuation > boundTicks;
+		next.pendingStart = null;
 		next.tries = 0;
 	};
 
 	const steps = (state: EvacuationState): { name: string; next: EvacuationState }[] => {
-		const found: { name: string; next: EvacuationState }[] = [];
+		const possibleSteps: { name: string; next: EvacuationState }[] = [];
 		const step = (label: string, isPossible: boolean, act: (next: EvacuationState) => void): void => {
 			if (!isPossible) return;
 			const next = structuredClone(state);
 			act(next);
-			found.push({ name: label, next });
+			possibleSteps.push({ name: label, next });
 		};
-		const { evacuated, order } = state;
-		const isUnderWay = typeof order === 'number';
-		const mayEvacuate = evacuated === null && state.evacuations < mostEvacuations;
+		const { ticksSinceEvacuation, pendingStart } = state;
+		const isInFlight = typeof pendingStart === 'number';
+		const mayEvacuate = ticksSinceEvacuation === null && state.evacuations < maxEvacuations;
 		// An order that takes longer is given up, or counts as carried out late.
-		step('time passes', !isUnderWay || order < orderTicks, tick);
+		step('time passes', !isInFlight || pendingStart < startDeliveryTicks, passTime);
 		step('the operator evacuates the zone', mayEvacuate, (next) => {
-			next.evacuated = 0;
+			next.ticksSinceEvacuation = 0;
 			next.evacuations += 1;
 		});
-		step('the operator takes that back', evacuated !== null, (next) => {
-			next.evacuated = null;
+		step('the operator takes that back', ticksSinceEvacuation !== null, (next) => {
+			next.ticksSinceEvacuation = null;
 		});
 		step('the owner asks for the list', state.answer === null, (next) => {
-			next.answer = { evacuated: evacuated !== null, age: 0 };
+			next.answer = { evacuated: ticksSinceEvacuation !== null, ageTicks: 0 };
 		});
-		step('the owner hears of the list', state.answer !== null, hear);
+		step('the owner hears of the list', state.answer !== null, receiveList);
 		step('the answer is lost', state.answer !== null, (next) => {
 			next.answer = null;
 		});
-		step('the owner sends a start', order === null && maySend(state), send);
-		step('the start is carried out', isUnderWay, carryOut);
-		step('the start is lost', isUnderWay, (next) => {
-			next.order = next.tries < mostTries ? 'lost' : null;
-			if (next.order === null) next.tries = 0;
+		step('the owner sends a start', pendingStart === null && maySendStart(state), sendStart);
+		step('the start is carried out', isInFlight, carryOutStart);
+		step('the start is lost', isInFlight, (next) => {
+			next.pendingStart = next.tries < maxTries ? 'lost' : null;
+			if (next.pendingStart === null) next.tries = 0;
 		});
-		step('the owner sends it again', order === 'lost' && (!guards.recheck || maySend(state)), send);
-		step('the owner gives it up', order === 'lost', (next) => {
-			next.order = null;
+		step(
+			'the owner sends it again',
+			pendingStart === 'lost' && (!guards.recheck || maySendStart(state)),
+			sendStart,
+		);
+		step('the owner gives it up', pendingStart === 'lost', (next) => {
+			next.pendingStart = null;
 			next.tries = 0;
 		});
-		step('another owner takes over', state.takeovers < mostTakeovers, (next) => {
+		step('another owner takes over', state.takeovers < maxTakeovers, (next) => {
 			next.takeovers += 1;
 			next.known = null;
 			next.answer = null;
-			if (next.order === 'lost') next.order = null;
+			if (next.pendingStart === 'lost') next.pendingStart = null;
 		});
-		return found;
+		return possibleSteps;
 	};
 
 	return {
 		name,
-		bounds: `${String(mostEvacuations)} evacuations, ${String(mostTakeovers)} takeover, ${String(mostTries)} tries`,
+		bounds: `${String(maxEvacuations)} evacuations, ${String(maxTakeovers)} takeover, ${String(maxTries)} tries`,
 		initial,
 		steps,
-		wrong: (state) => (state.broken ? 'a start in a zone that has long been evacuated' : undefined),
+		violation: (state) => (state.broken ? 'a start in a zone that has long been evacuated' : undefined),
 	};
 }
--- a/spec/explore.ts
+++ b/spec/explore.ts
@@ -11,24 +11,24 @@
 	/** Steps possible in a state, each under a name that is unique there. */
 	steps: (state: S) => { name: string; next: S }[];
 	/** What is wrong with a state, if anything is. */
-	wrong: (state: S) => string | undefined;
+	violation: (state: S) => string | undefined;
 	/** Whether the state is an end that every state in time should be able to reach. */
-	goal?: (state: S) => boolean;
+	isGoal?: (state: S) => boolean;
 	/** States from which the goal need not be reachable any more, because the bounds cut them off. */
-	outOfBounds?: (state: S) => boolean;
+	isOutOfBounds?: (state: S) => boolean;
 }
 
 /** What exploring came to. */
 export type Verdict =
 	| { kind: 'holds'; states: number; steps: number; stuck: number }
-	| { kind: 'wrong'; states: number; what: string; trace: string[] };
+	| { kind: 'wrong'; states: number; violation: string; trace: string[] };
 
-class FoundWrong extends Error {
+class ViolationFound extends Error {
 	constructor(
 		readonly key: string,
-		readonly what: string,
+		readonly violation: string,
 	) {
-		super(what);
+		super(violation);
 	}
 }
 
@@ -47,34 +47,34 @@
  * (its queue would grow with the steps instead of the states); they are kept for the search of the ends.
  */
 export function explore<S>(model: Model<S>): Verdict {
-	const first = JSON.stringify(model.initial);
+	const initialKey = JSON.stringify(model.initial);
 	/** States seen, by their text, each under a number. */
-	const states = new Map<string, number>([[first, 0]]);
+	const states = new Map<string, number>([[initialKey, 0]]);
 	const parents = new Map<string, Parent>();
 	/** From which states each state is reached, by number. */
-	const before: number[][] = [[]];
+	const predecessors: number[][] = [[]];
 	let steps = 0;
 	const logic = xstate.fromTransition((_state: { key: string }, event: StepEvent) => ({ key: event.next }), {
-		key: first,
+		key: initialKey,
 	});
 	const stateOf = (key: string): S => JSON.parse(key) as S;
-	const freshSteps = (from: string): StepEvent[] => {
-		const fresh: StepEvent[] = [];
+	const stepsToNewStates = (from: string): StepEvent[] => {
+		const newSteps: StepEvent[] = [];
 		const number = states.get(from) ?? 0;
 		for (const step of model.steps(stateOf(from))) {
 			const next = JSON.stringify(step.next);
 			steps += 1;
-			const seen = states.get(next);
-			if (seen !== undefined) {
-				before[seen]?.push(number);
+			const seenNumber = states.get(next);
+			if (seenNumber !== undefined) {
+				predecessors[seenNumber]?.push(number);
 				continue;
 			}
-			before[states.size] = [number];
+			predecessors[states.size] = [number];
 			states.set(next, states.size);
 			parents.set(next, { from, step: step.name });
-			fresh.push({ type: step.name, next });
+			newSteps.push({ type: step.name, next });
 		}
-		return fresh;
+		return newSteps;
 	};
 	try {
 		graph.getAdjacencyMap(logic, {
@@ -83,40 +83,45 @@
 			serializeEvent: (event) => event.next,
 			stopWhen: (snapshot) => {
 				const { key } = snapshot.context;
-				const what = model.wrong(stateOf(key));
-				if (what !== undefined) throw new FoundWrong(key, what);
+				const violation = model.violation(stateOf(key));
+				if (violation !== undefined) throw new ViolationFound(key, violation);
 				return false;
 			},
-			events: (snapshot) => freshSteps(snapshot.context.key),
+			events: (snapshot) => stepsToNewStates(snapshot.context.key),
 		});
-		return { kind: 'holds', states: states.size, steps, stuck: countStuck(model, states, before) };
+		return {
+			kind: 'holds',
+			states: states.size,
+			steps,
+			stuck: countStuckStates(model, states, predecessors),
+		};
 	} catch (err) {
-		if (!(err instanceof FoundWrong)) throw err;
-		return { kind: 'wrong', states: states.size, what: err.what, trace: traceTo(parents, err.key) };
+		if (!(err instanceof ViolationFound)) throw err;
+		return { kind: 'wrong', states: states.size, violation: err.violation, trace: traceTo(parents, err.key) };
 	}
 }
 
 /** States within bounds from which no goal can be reached: work that could never end. */
-function countStuck<S>(model: Model<S>, states: Map<string, number>, before: number[][]): number {
-	const { goal } = model;
-	if (goal === undefined) return 0;
-	const cutOff = model.outOfBounds ?? (() => false);
-	const reached: number[] = [];
-	const within: number[] = [];
+function countStuckStates<S>(model: Model<S>, states: Map<string, number>, predecessors: number[][]): number {
+	const { isGoal } = model;
+	if (isGoal === undefined) return 0;
+	const isOutOfBounds = model.isOutOfBounds ?? (() => false);
+	const worklist: number[] = [];
+	const inBounds: number[] = [];
 	for (const [key, number] of states) {
 		const state = JSON.parse(key) as S;
-		if (goal(state)) reached.push(number);
-		else if (!cutOff(state)) within.push(number);
+		if (isGoal(state)) worklist.push(number);
+		else if (!isOutOfBounds(state)) inBounds.push(number);
 	}
-	const good = new Set(reached);
-	for (let number = reached.pop(); number !== undefined; number = reached.pop()) {
-		for (const from of before[number] ?? []) {
-			if (good.has(from)) continue;
-			good.add(from);
-			reached.push(from);
+	const canReachGoal = new Set(worklist);
+	for (let number = worklist.pop(); number !== undefined; number = worklist.pop()) {
+		for (const from of predecessors[number] ?? []) {
+			if (canReachGoal.has(from)) continue;
+			canReachGoal.add(from);
+			worklist.push(from);
 		}
 	}
-	return within.filter((number) => !good.has(number)).length;
+	return inBounds.filter((number) => !canReachGoal.has(number)).length;
 }
 
 function traceTo(parents: Map<string, Parent>, end: string): string[] {
--- a/spec/lease.ts
+++ b/spec/lease.ts
@@ -5,7 +5,7 @@
  * the margin and `clockRate` of the settings (docs/PROOFS.md). The wait before a silent worker's tasks are taken as
  * stopped is the program's own function.
  */
-import * as silence from '../src/core/scheduler/reachability.js';
+import * as reachability from '../src/core/scheduler/reachability.js';
 import * as types from '../src/core/scheduler/types.js';
 import type * as explore from './explore.js';
 
@@ -17,12 +17,12 @@
 	/** Attempts of each task. */
 	attempts: number;
 	/** Takeovers. */
-	epochs: number;
+	takeovers: number;
 	restarts: number;
 	/** Whose messages may come late or twice, beside the direct exchanges: nobody's, the first owner's, or any. */
 	late: 'none' | 'first' | 'any';
 	/** Whether tasks ever end; without ends no goal is asked for. */
-	ends: boolean;
+	tasksComplete: boolean;
 	/** Whether appends may go unanswered, with and without effect. */
 	lost: boolean;
 	guards: Guards;
@@ -67,22 +67,22 @@
 };
 
 /** Ticks of a lease and of the horizon. */
-const lease = 1;
-const horizon = 1;
+const leaseTicks = 1;
+const horizonTicks = 1;
 
-const waits: silence.TimingOptions = {
-	leaseMs: lease,
-	horizonMs: horizon,
+const timing: reachability.TimingOptions = {
+	leaseMs: leaseTicks,
+	horizonMs: horizonTicks,
 	marginMs: 0,
 	maxClockDrift: 0,
 	unreachableMs: 0,
 };
 
 type Change =
-	| { c: 'beat' }
-	| { c: 'place'; task: number; worker: number; boot: number }
-	| { c: 'free'; task: number }
-	| { c: 'done'; task: number };
+	| { type: 'beat' }
+	| { type: 'place'; task: number; worker: number; boot: number }
+	| { type: 'free'; task: number }
+	| { type: 'done'; task: number };
 
 interface Task {
 	state: 'pending' | 'placed' | 'done';
@@ -98,29 +98,29 @@
 	left: number;
 }
 
-interface View {
+interface WorkerView {
 	fenced: boolean;
 	boot: number;
 	/** Ticks since it last answered. */
-	age: number;
+	ticksSinceAnswer: number;
 	/** Ticks until every lease given has ended; negative: they have. */
-	left: number;
+	ticksUntilLeaseExpiry: number;
 	reports: (Omit<Attempt, 'left'> | null)[];
 }
 
 interface Owner {
 	epoch: number;
 	/** Whether it knows the whole log. */
-	current: boolean;
+	knowsWholeLog: boolean;
 	/** Tasks as it knows them. */
 	tasks: Task[];
 	/** Ticks since its takeover. */
-	takenAge: number;
+	ticksSinceTakeover: number;
 	/** Ticks since the send of its newest committed entry. */
-	sentAge: number;
-	views: View[];
+	ticksSinceSend: number;
+	views: WorkerView[];
 	/** An append without an answer; `stored` is what only the platform knows. */
-	pending: { change: Change; age: number; stored: boolean } | null;
+	pending: { change: Change; ticksSinceSend: number; stored: boolean } | null;
 }
 
 interface Worker {
@@ -129,7 +129,7 @@
 	attempts: (Attempt | null)[];
 }
 
-interface Ref {
+interface AttemptRef {
 	task: number;
 	attempt: number;
 }
@@ -138,12 +138,12 @@
 	epoch: number;
 	boot: number;
 	/** Ticks until its time is over. */
-	left: number;
-	starts: Ref[];
-	renews: Ref[];
-	forgets: Ref[];
+	ticksLeft: number;
+	starts: AttemptRef[];
+	renewals: AttemptRef[];
+	acknowledgements: AttemptRef[];
 	/** A message sent later was taken already. */
-	overtaken: boolean;
+	isOvertaken: boolean;
 }
 
 /** A state of the model. */
@@ -154,24 +154,24 @@
 	owners: (Owner | null)[];
 	workers: Worker[];
 	/** A message under way to each worker. */
-	net: (Message | null)[];
+	messagesInFlight: (Message | null)[];
 	/** Attempts ever started, by task. */
 	started: number[][];
 	restarts: number;
-	wrong: string;
+	violation: string;
 }
 
-type Add = (name: string, change: (next: LeaseState) => void) => void;
+type AddStep = (name: string, change: (next: LeaseState) => void) => void;
 
-const older = (age: number, cap: number): number => Math.min(cap, age + 1);
+const incrementAge = (ticks: number, cap: number): number => Math.min(cap, ticks + 1);
 
-const shorter = (left: number): number => Math.max(-1, left - 1);
+const decrementTicks = (ticks: number): number => Math.max(-1, ticks - 1);
 
-function applyTo(tasks: Task[], change: Change): void {
+function applyChange(tasks: Task[], change: Change): void {
 	if (!('task' in change)) return;
 	const task = tasks[change.task];
 	if (task === undefined) return;
-	if (change.c === 'place') {
+	if (change.type === 'place') {
 		Object.assign(task, {
 			state: 'placed',
 			attempt: task.attempt + 1,
@@ -180,30 +180,30 @@
 		});
 		return;
 	}
-	Object.assign(task, { state: change.c === 'done' ? 'done' : 'pending', worker: -1, boot: -1 });
+	Object.assign(task, { state: change.type === 'done' ? 'done' : 'pending', worker: -1, boot: -1 });
 }
 
 /** The model under the given bounds and guards. */
 export function leaseModel(opts: LeaseOptions): explore.Model<LeaseState> {
 	const { guards } = opts;
-	const none = <T>(): (T | null)[] => Array.from({ length: opts.tasks }, () => null);
+	const noAttempts = <T>(): (T | null)[] => Array.from({ length: opts.tasks }, () => null);
 	const initial: LeaseState = {
 		epoch: 0,
 		tasks: Array.from({ length: opts.tasks }, () => ({ state: 'pending', attempt: 0, worker: -1, boot: -1 })),
 		owners: [null, null],
-		workers: Array.from({ length: opts.workers }, () => ({ boot: 0, epoch: 0, attempts: none() })),
-		net: Array.from({ length: opts.workers }, () => null),
+		workers: Array.from({ length: opts.workers }, () => ({ boot: 0, epoch: 0, attempts: noAttempts() })),
+		messagesInFlight: Array.from({ length: opts.workers }, () => null),
 		started: Array.from({ length: opts.tasks }, () => []),
 		restarts: 0,
-		wrong: '',
+		violation: '',
 	};
 
 	/** What the owner may decide next. */
-	const decisions = (state: LeaseState, owner: Owner): Change[] => {
-		const changes: Change[] = [{ c: 'beat' }];
+	const possibleChanges = (state: LeaseState, owner: Owner): Change[] => {
+		const changes: Change[] = [{ type: 'beat' }];
 		for (const [task, known] of owner.tasks.entries()) {
 			if (known.state === 'pending') changes.push(...placements(state, owner, task, known));
-			if (known.state === 'placed') changes.push(...endings(owner, task, known));
+			if (known.state === 'placed') changes.push(...releases(owner, task, known));
 		}
 		return changes;
 	};
@@ -214,55 +214,70 @@
 		for (const [worker, view] of owner.views.entries()) {
 			// Workers are alike: the first placement of all goes to the first one.
 			if (worker > 0 && state.tasks.every((one) => one.attempt === 0)) continue;
-			const full = owner.tasks.some((one) => one.state === 'placed' && one.worker === worker);
-			if (view.fenced && !(full && guards.reserve))
-				changes.push({ c: 'place', task, worker, boot: view.boot });
+			const isFull = owner.tasks.some((one) => one.state === 'placed' && one.worker === worker);
+			if (view.fenced && !(isFull && guards.reserve))
+				changes.push({ type: 'place', task, worker, boot: view.boot });
 		}
 		return changes;
 	};
 
-	const endings = (owner: Owner, task: number, known: Task): Change[] => {
+	const releases = (owner: Owner, task: number, known: Task): Change[] => {
 		const view = owner.views[known.worker];
 		if (view === undefined) return [];
 		const report = view.reports[task];
-		if (view.fenced && view.boot !== known.boot) return [{ c: 'free', task }];
+		if (view.fenced && view.boot !== known.boot) return [{ type: 'free', task }];
 		if (view.fenced && report?.attempt === known.attempt) {
-			if (report.state === 'ended') return [{ c: 'done', task }];
-			if (report.state === 'stopped') return [{ c: 'free', task }];
+			if (report.state === 'ended') return [{ type: 'done', task }];
+			if (report.state === 'stopped') return [{ type: 'free', task }];
 		}
-		const seen = { ...types.newWorkerView(unlisted), fenced: view.fenced, leaseEndsBy: view.left };
-		const provedAt = silence.provenStoppedAt(seen, { at: -owner.takenAge, released: false }, waits);
-		return (guards.wait ? 0 > provedAt : view.left < 0) ? [{ c: 'free', task }] : [];
+		const fullView = {
+			...types.newWorkerView(emptyListing),
+			fenced: view.fenced,
+			leaseEndsBy: view.ticksUntilLeaseExpiry,
+		};
+		const provenStoppedAt = reachability.provenStoppedAt(
+			fullView,
+			{ at: -owner.ticksSinceTakeover, released: false },
+			timing,
+		);
+		return (guards.wait ? 0 > provenStoppedAt : view.ticksUntilLeaseExpiry < 0)
+			? [{ type: 'free', task }]
+			: [];
 	};
 
 	/** What the owner would tell the worker now. */
-	const compose = (owner: Owner, worker: number): Message => {
+	const composeMessage = (owner: Owner, worker: number): Message => {
 		const view = owner.views[worker];
 		const message: Message = {
-			...{ epoch: owner.epoch, boot: view?.fenced === true ? view.boot : -1, left: lease - (view?.age ?? 0) },
-			...{ starts: [], renews: [], forgets: [], overtaken: false },
+			...{
+				epoch: owner.epoch,
+				boot: view?.fenced === true ? view.boot : -1,
+				ticksLeft: leaseTicks - (view?.ticksSinceAnswer ?? 0),
+			},
+			...{ starts: [], renewals: [], acknowledgements: [], isOvertaken: false },
 		};
 		if (view?.fenced !== true) return message;
-		const may = !guards.horizon || owner.sentAge <= horizon;
+		const mayRenew = !guards.horizon || owner.ticksSinceSend <= horizonTicks;
 		for (const [task, known] of owner.tasks.entries()) {
-			const open = owner.pending?.change;
-			if (open !== undefined && 'task' in open && open.task === task) continue;
+			const unansweredChange = owner.pending?.change;
+			if (unansweredChange !== undefined && 'task' in unansweredChange && unansweredChange.task === task)
+				continue;
 			const ref = { task, attempt: known.attempt };
-			const here = known.state === 'placed' && known.worker === worker && known.boot === view.boot;
+			const isPlacedHere = known.state === 'placed' && known.worker === worker && known.boot === view.boot;
 			const report = view.reports[task];
-			const reported = report?.attempt === known.attempt;
-			if (here && may && !reported) message.starts.push(ref);
-			if (here && may && reported && report.state === 'running') message.renews.push(ref);
-			const ended = reported && report.state === 'ended';
-			if (ended && (known.state === 'done' || !guards.commitFirst)) message.forgets.push(ref);
+			const isReported = report?.attempt === known.attempt;
+			if (isPlacedHere && mayRenew && !isReported) message.starts.push(ref);
+			if (isPlacedHere && mayRenew && isReported && report.state === 'running') message.renewals.push(ref);
+			const hasEnded = isReported && report.state === 'ended';
+			if (hasEnded && (known.state === 'done' || !guards.commitFirst)) message.acknowledgements.push(ref);
 		}
 		return message;
 	};
 
 	const noteSent = (owner: Owner, worker: number, message: Message): void => {
 		const view = owner.views[worker];
-		if (view === undefined || message.starts.length + message.renews.length === 0) return;
-		view.left = Math.max(view.left, message.left);
+		if (view === undefined || message.starts.length + message.renewals.length === 0) return;
+		view.ticksUntilLeaseExpiry = Math.max(view.ticksUntilLeaseExpiry, message.ticksLeft);
 	};
 
 	/** The worker's side; false if it refused. */
@@ -270,105 +285,105 @@
 		const worker = state.workers[index];
 		if (worker === undefined) return false;
 		if (guards.epoch && message.epoch < worker.epoch) return false;
-		if (guards.order && message.overtaken && message.epoch === worker.epoch) return false;
+		if (guards.order && message.isOvertaken && message.epoch === worker.epoch) return false;
 		if (guards.incarnation && message.boot !== -1 && message.boot !== worker.boot) return false;
 		worker.epoch = Math.max(worker.epoch, message.epoch);
-		const under = state.net[index];
-		if (under && under !== message && under.epoch === message.epoch) under.overtaken = true;
-		for (const ref of message.renews) {
+		const inFlight = state.messagesInFlight[index];
+		if (inFlight && inFlight !== message && inFlight.epoch === message.epoch) inFlight.isOvertaken = true;
+		for (const ref of message.renewals) {
 			const attempt = worker.attempts[ref.task];
 			if (attempt?.attempt === ref.attempt && attempt.state === 'running') {
-				attempt.left = Math.max(attempt.left, message.left);
+				attempt.left = Math.max(attempt.left, message.ticksLeft);
 			}
 		}
-		for (const ref of message.starts) start(state, worker, ref, message.left);
-		for (const ref of message.forgets) {
+		for (const ref of message.starts) start(state, worker, ref, message.ticksLeft);
+		for (const ref of message.acknowledgements) {
 			const attempt = worker.attempts[ref.task];
 			if (attempt?.attempt === ref.attempt && attempt.state !== 'running') worker.attempts[ref.task] = null;
 		}
 		return true;
 	};
 
-	const start = (state: LeaseState, worker: Worker, ref: Ref, left: number): void => {
+	const start = (state: LeaseState, worker: Worker, ref: AttemptRef, left: number): void => {
 		const known = worker.attempts[ref.task];
 		if (known && known.attempt >= ref.attempt) return;
 		if (guards.notAfter && left <= 0) return;
 		const started = state.started[ref.task] ?? [];
 		if (started.includes(ref.attempt))
-			state.wrong = `attempt ${ref.attempt} of task ${ref.task} started twice`;
+			state.violation = `attempt ${ref.attempt} of task ${ref.task} started twice`;
 		started.push(ref.attempt);
 		started.sort();
-		worker.attempts[ref.task] = { attempt: ref.attempt, state: 'running', left: Math.max(left, lease) };
+		worker.attempts[ref.task] = { attempt: ref.attempt, state: 'running', left: Math.max(left, leaseTicks) };
 		if (guards.notAfter) worker.attempts[ref.task] = { attempt: ref.attempt, state: 'running', left };
-		judge(state);
+		checkInvariants(state);
 	};
 
 	/** Nothing in two places, no worker over its one place. */
-	const judge = (state: LeaseState): void => {
+	const checkInvariants = (state: LeaseState): void => {
 		for (let task = 0; task < opts.tasks; task += 1) {
-			const places = state.workers.filter((worker) => worker.attempts[task]?.state === 'running');
-			if (places.length > 1) state.wrong = `task ${task} runs in two places`;
+			const workersRunning = state.workers.filter((worker) => worker.attempts[task]?.state === 'running');
+			if (workersRunning.length > 1) state.violation = `task ${task} runs in two places`;
 		}
 		for (const worker of state.workers) {
 			const running = worker.attempts.filter((attempt) => attempt?.state === 'running');
-			if (running.length > 1) state.wrong = 'a worker holds more than it has room for';
+			if (running.length > 1) state.violation = 'a worker holds more than it has room for';
 		}
 	};
 
-	const answer = (owner: Owner, box: Worker, worker: number): void => {
+	const applyAnswer = (owner: Owner, workerState: Worker, worker: number): void => {
 		const view = owner.views[worker];
 		if (view === undefined) return;
-		if (!view.fenced) view.left = Math.max(view.left, lease);
+		if (!view.fenced) view.ticksUntilLeaseExpiry = Math.max(view.ticksUntilLeaseExpiry, leaseTicks);
 		view.fenced = true;
-		view.boot = box.boot;
-		view.age = 0;
-		view.reports = box.attempts.map((one) => one && { attempt: one.attempt, state: one.state });
+		view.boot = workerState.boot;
+		view.ticksSinceAnswer = 0;
+		view.reports = workerState.attempts.map((one) => one && { attempt: one.attempt, state: one.state });
 	};
 
 	const steps = (state: LeaseState): { name: string; next: LeaseState }[] => {
 		const out: { name: string; next: LeaseState }[] = [];
-		if (state.wrong !== '') return out;
+		if (state.violation !== '') return out;
 		const from = JSON.stringify(state);
-		const add: Add = (name, change) => {
+		const add: AddStep = (name, change) => {
 			const next = JSON.parse(from) as LeaseState;
 			change(next);
 			for (const [index, owner] of next.owners.entries()) {
-				if (owner && spent(owner)) next.owners[index] = null;
-				else if (owner) forget(owner);
+				if (owner && isPowerless(owner)) next.owners[index] = null;
+				else if (owner) dropIrrelevant(owner);
 			}
 			out.push({ name, next });
 		};
-		add('a tick passes', tick);
+		add('a tick passes', passTime);
 		for (const index of [0, 1]) ownerSteps(state, index, add);
 		for (let worker = 0; worker < opts.workers; worker += 1) workerSteps(state, worker, add);
 		return out;
 	};
 
 	/** Superseded and past its horizon: whatever it sends starts and renews nothing, and no append goes through. */
-	const spent = (owner: Owner): boolean =>
-		!owner.current &&
+	const isPowerless = (owner: Owner): boolean =>
+		!owner.knowsWholeLog &&
 		guards.horizon &&
 		guards.compareAndSwap &&
-		owner.sentAge > horizon &&
+		owner.ticksSinceSend > horizonTicks &&
 		!owner.pending?.stored;
 
 	/** Drops what can't matter any more, so that states that differ only in it are one. */
-	const forget = (owner: Owner): void => {
+	const dropIrrelevant = (owner: Owner): void => {
 		for (const view of owner.views) {
 			view.reports = view.reports.map((one, task) =>
 				one && one.attempt < (owner.tasks[task]?.attempt ?? 0) ? null : one,
 			);
 		}
 		const allFenced = owner.views.every((view) => view.fenced);
-		if (allFenced) owner.takenAge = horizon + lease + 1;
-		if (owner.current || !guards.compareAndSwap) return;
+		if (allFenced) owner.ticksSinceTakeover = horizonTicks + leaseTicks + 1;
+		if (owner.knowsWholeLog || !guards.compareAndSwap) return;
 		// It decides nothing that would be stored, so what it would base decisions on is dropped.
-		owner.takenAge = horizon + lease + 1;
-		for (const view of owner.views) view.left = -1;
+		owner.ticksSinceTakeover = horizonTicks + leaseTicks + 1;
+		for (const view of owner.views) view.ticksUntilLeaseExpiry = -1;
 		if (owner.pending && !owner.pending.stored) owner.pending = null;
 	};
 
-	const tick = (next: LeaseState): void => {
+	const passTime = (next: LeaseState): void => {
 		for (const worker of next.workers) {
 			for (const attempt of worker.attempts) {
 				if (attempt?.state !== 'running') continue;
@@ -377,193 +392,204 @@
 			}
 		}
 		for (const owner of next.owners) if (owner) ageOwner(owner);
-		for (const message of next.net) if (message) message.left = shorter(message.left);
+		for (const message of next.messagesInFlight)
+			if (message) message.ticksLeft = decrementTicks(message.ticksLeft);
 	};
 
 	const ageOwner = (owner: Owner): void => {
-		owner.takenAge = older(owner.takenAge, horizon + lease + 1);
-		owner.sentAge = older(owner.sentAge, horizon + 1);
-		if (owner.pending) owner.pending.age = older(owner.pending.age, horizon + 1);
+		owner.ticksSinceTakeover = incrementAge(owner.ticksSinceTakeover, horizonTicks + leaseTicks + 1);
+		owner.ticksSinceSend = incrementAge(owner.ticksSinceSend, horizonTicks + 1);
+		if (owner.pending)
+			owner.pending.ticksSinceSend = incrementAge(owner.pending.ticksSinceSend, horizonTicks + 1);
 		for (const view of owner.views) {
-			view.age = older(view.age, lease);
-			view.left = shorter(view.left);
+			view.ticksSinceAnswer = incrementAge(view.ticksSinceAnswer, leaseTicks);
+			view.ticksUntilLeaseExpiry = decrementTicks(view.ticksUntilLeaseExpiry);
 		}
 	};
 
-	const ownerSteps = (state: LeaseState, index: number, add: Add): void => {
+	const ownerSteps = (state: LeaseState, index: number, add: AddStep): void => {
 		const owner = state.owners[index];
 		// Owners are alike: the first to take the shard is the first one. A new start after a death is a takeover too.
-		if (!owner?.current && state.epoch < opts.epochs && (index === 0 || state.epoch > 0)) {
+		if (!owner?.knowsWholeLog && state.epoch < opts.takeovers && (index === 0 || state.epoch > 0)) {
 			add(`owner ${index} takes the shard`, (next) => {
-				take(next, index);
+				takeOver(next, index);
 			});
 		}
 		if (!owner) return;
 		if (owner.pending !== null) {
 			add(`owner ${index} settles its append`, (next) => {
-				settle(next, index);
+				resolveAppend(next, index);
 			});
-		} else if (owner.current || !guards.compareAndSwap) {
-			for (const change of decisions(state, owner)) appendSteps(index, change, add);
+		} else if (owner.knowsWholeLog || !guards.compareAndSwap) {
+			for (const change of possibleChanges(state, owner)) appendSteps(index, change, add);
 		}
 		for (let worker = 0; worker < opts.workers; worker += 1) exchangeSteps(state, index, worker, add);
 	};
 
-	const take = (next: LeaseState, index: number): void => {
+	const takeOver = (next: LeaseState, index: number): void => {
 		next.epoch += 1;
-		for (const other of next.owners) if (other) other.current = false;
+		for (const other of next.owners) if (other) other.knowsWholeLog = false;
 		const views = next.workers.map(() => ({
 			fenced: false,
 			boot: -1,
-			age: lease,
-			left: -1,
-			reports: none<Attempt>(),
+			ticksSinceAnswer: leaseTicks,
+			ticksUntilLeaseExpiry: -1,
+			reports: noAttempts<Attempt>(),
 		}));
 		const tasks = structuredClone(next.tasks);
 		next.owners[index] = {
-			...{ epoch: next.epoch, current: true, tasks, takenAge: 0, sentAge: 0, views, pending: null },
+			...{
+				epoch: next.epoch,
+				knowsWholeLog: true,
+				tasks,
+				ticksSinceTakeover: 0,
+				ticksSinceSend: 0,
+				views,
+				pending: null,
+			},
 		};
 	};
 
-	const appendSteps = (index: number, change: Change, add: Add): void => {
-		const where = change.c === 'place' ? ` on worker ${change.worker}` : '';
-		const what = `${change.c}${'task' in change ? ` task ${change.task}` : ''}${where}`;
+	const appendSteps = (index: number, change: Change, add: AddStep): void => {
+		const where = change.type === 'place' ? ` on worker ${change.worker}` : '';
+		const what = `${change.type}${'task' in change ? ` task ${change.task}` : ''}${where}`;
 		add(`owner ${index} commits ${what}`, (next) => {
 			commit(next, index, change, 0);
 		});
-		if (change.c === 'beat' || !opts.lost) return;
+		if (change.type === 'beat' || !opts.lost) return;
 		add(`owner ${index} stores ${what}, the answer is lost`, (next) => {
 			const owner = next.owners[index];
 			if (!owner) return;
-			const stored = owner.current || !guards.compareAndSwap;
-			if (stored) applyTo(next.tasks, change);
-			unanswered(owner, change, stored);
+			const isStored = owner.knowsWholeLog || !guards.compareAndSwap;
+			if (isStored) applyChange(next.tasks, change);
+			noteUnanswered(owner, change, isStored);
 		});
 		add(`owner ${index} sends ${what}, the request is lost`, (next) => {
 			const owner = next.owners[index];
-			if (owner) unanswered(owner, change, false);
+			if (owner) noteUnanswered(owner, change, false);
 		});
 	};
 
-	const unanswered = (owner: Owner, change: Change, stored: boolean): void => {
+	const noteUnanswered = (owner: Owner, change: Change, stored: boolean): void => {
 		if (guards.readBack) {
-			owner.pending = { change, age: 0, stored };
+			owner.pending = { change, ticksSinceSend: 0, stored };
 			return;
 		}
 		// Without the guard the owner takes silence for success.
-		applyTo(owner.tasks, change);
-		owner.sentAge = 0;
+		applyChange(owner.tasks, change);
+		owner.ticksSinceSend = 0;
 	};
 
-	const commit = (next: LeaseState, index: number, change: Change, sentAge: number): void => {
+	const commit = (next: LeaseState, index: number, change: Change, ticksSinceSend: number): void => {
 		const owner = next.owners[index];
 		if (!owner) return;
-		if (!owner.current && guards.compareAndSwap) {
+		if (!owner.knowsWholeLog && guards.compareAndSwap) {
 			next.owners[index] = null;
 			return;
 		}
-		applyTo(next.tasks, change);
-		for (const other of next.owners) if (other && other !== owner) other.current = false;
-		applyTo(owner.tasks, change);
-		owner.sentAge = sentAge;
+		applyChange(next.tasks, change);
+		for (const other of next.owners) if (other && other !== owner) other.knowsWholeLog = false;
+		applyChange(owner.tasks, change);
+		owner.ticksSinceSend = ticksSinceSend;
 		owner.pending = null;
 	};
 
-	const settle = (next: LeaseState, index: number): void => {
+	const resolveAppend = (next: LeaseState, index: number): void => {
 		const owner = next.owners[index];
 		if (!owner?.pending) return;
-		const { change, age, stored } = owner.pending;
+		const { change, ticksSinceSend, stored } = owner.pending;
 		if (!stored) {
-			commit(next, index, change, age);
+			commit(next, index, change, ticksSinceSend);
 			return;
 		}
-		applyTo(owner.tasks, change);
-		owner.sentAge = age;
+		applyChange(owner.tasks, change);
+		owner.ticksSinceSend = ticksSinceSend;
 		owner.pending = null;
 	};
 
-	const exchangeSteps = (state: LeaseState, index: number, worker: number, add: Add): void => {
+	const exchangeSteps = (state: LeaseState, index: number, worker: number, add: AddStep): void => {
 		add(`owner ${index} and worker ${worker} exchange`, (next) => {
 			const owner = next.owners[index];
-			const box = next.workers[worker];
-			if (!owner || box === undefined) return;
-			const message = compose(owner, worker);
+			const workerState = next.workers[worker];
+			if (!owner || workerState === undefined) return;
+			const message = composeMessage(owner, worker);
 			noteSent(owner, worker, message);
-			if (receive(next, worker, message)) answer(owner, box, worker);
-			else refused(owner, box, worker);
+			if (receive(next, worker, message)) applyAnswer(owner, workerState, worker);
+			else applyRefusal(owner, workerState, worker);
 		});
 		const owner = state.owners[index];
 		if (opts.late === 'none' || (opts.late === 'first' && index > 0)) return;
-		if (state.net[worker] || !owner) return;
-		const posted = compose(owner, worker);
-		const useless = guards.notAfter && posted.left <= 0;
-		if (useless || posted.starts.length + posted.renews.length === 0) return;
+		if (state.messagesInFlight[worker] || !owner) return;
+		const composed = composeMessage(owner, worker);
+		const isUseless = guards.notAfter && composed.ticksLeft <= 0;
+		if (isUseless || composed.starts.length + composed.renewals.length === 0) return;
 		add(`owner ${index} sends worker ${worker} a message that comes late`, (next) => {
 			const sender = next.owners[index];
 			if (!sender) return;
-			next.net[worker] = compose(sender, worker);
-			noteSent(sender, worker, posted);
+			next.messagesInFlight[worker] = composeMessage(sender, worker);
+			noteSent(sender, worker, composed);
 		});
 	};
 
-	const refused = (owner: Owner, box: Worker, worker: number): void => {
+	const applyRefusal = (owner: Owner, workerState: Worker, worker: number): void => {
 		const view = owner.views[worker];
-		if (view !== undefined && box.epoch <= owner.epoch) view.fenced = false;
+		if (view !== undefined && workerState.epoch <= owner.epoch) view.fenced = false;
 	};
 
-	const workerSteps = (state: LeaseState, worker: number, add: Add): void => {
-		if (state.net[worker]) {
+	const workerSteps = (state: LeaseState, worker: number, add: AddStep): void => {
+		if (state.messagesInFlight[worker]) {
 			add(`worker ${worker} gets the late message`, (next) => {
-				const late = next.net[worker];
-				if (late) receive(next, worker, late);
-				next.net[worker] = null;
+				const lateMessage = next.messagesInFlight[worker];
+				if (lateMessage) receive(next, worker, lateMessage);
+				next.messagesInFlight[worker] = null;
 			});
 			add(`worker ${worker} gets the late message, and will again`, (next) => {
-				const late = next.net[worker];
-				if (late) receive(next, worker, late);
+				const lateMessage = next.messagesInFlight[worker];
+				if (lateMessage) receive(next, worker, lateMessage);
 			});
 		}
-		const box = state.workers[worker];
-		for (const [task, attempt] of (box?.attempts ?? []).entries()) {
-			if (!opts.ends || attempt?.state !== 'running') continue;
+		const workerState = state.workers[worker];
+		for (const [task, attempt] of (workerState?.attempts ?? []).entries()) {
+			if (!opts.tasksComplete || attempt?.state !== 'running') continue;
 			add(`task ${task} ends on worker ${worker}`, (next) => {
-				const ended = next.workers[worker]?.attempts[task];
-				if (ended) Object.assign(ended, { state: 'ended', left: 0 });
+				const endedAttempt = next.workers[worker]?.attempts[task];
+				if (endedAttempt) Object.assign(endedAttempt, { state: 'ended', left: 0 });
 			});
 		}
 		// A restart matters where something is placed or was started.
-		const used =
-			state.tasks.some((task) => task.worker === worker) || (box?.attempts ?? []).some((one) => one !== null);
-		if (used && state.restarts < opts.restarts) {
+		const isUsed =
+			state.tasks.some((task) => task.worker === worker) ||
+			(workerState?.attempts ?? []).some((one) => one !== null);
+		if (isUsed && state.restarts < opts.restarts) {
 			add(`worker ${worker} restarts`, (next) => {
 				next.restarts += 1;
-				next.workers[worker] = { boot: (box?.boot ?? 0) + 1, epoch: 0, attempts: none() };
+				next.workers[worker] = { boot: (workerState?.boot ?? 0) + 1, epoch: 0, attempts: noAttempts() };
 			});
 		}
 	};
 
-	const late = {
+	const lateText = {
 		none: '',
 		first: ", the first owner's messages late or doubled",
 		any: ', messages late or doubled',
 	}[opts.late];
-	const lost = opts.lost ? ', answers and requests lost' : '';
+	const lostText = opts.lost ? ', answers and requests lost' : '';
 	return {
 		name: opts.name,
-		bounds: `2 owners, ${opts.workers} workers, ${opts.tasks} tasks, ${opts.attempts} attempts, ${opts.epochs} takeovers, ${opts.restarts} restarts${late}${lost}${opts.ends ? '' : ', tasks without end'}`,
+		bounds: `2 owners, ${opts.workers} workers, ${opts.tasks} tasks, ${opts.attempts} attempts, ${opts.takeovers} takeovers, ${opts.restarts} restarts${lateText}${lostText}${opts.tasksComplete ? '' : ', tasks without end'}`,
 		initial,
 		steps,
-		wrong: (state) => (state.wrong === '' ? undefined : state.wrong),
-		goal: opts.ends ? (state) => state.tasks.every((task) => task.state === 'done') : undefined,
+		violation: (state) => (state.violation === '' ? undefined : state.violation),
+		isGoal: opts.tasksComplete ? (state) => state.tasks.every((task) => task.state === 'done') : undefined,
 		// The last attempt may have been lost, and the last owner may have been superseded: the bounds end there.
-		outOfBounds: (state) =>
-			state.epoch >= opts.epochs ||
+		isOutOfBounds: (state) =>
+			state.epoch >= opts.takeovers ||
 			state.tasks.some((task) => task.state !== 'done' && task.attempt >= opts.attempts),
 	};
 }
 
 /** A worker's listing, of which the wait uses nothing. */
-const unlisted: types.ListedWorker = {
+const emptyListing: types.ListedWorker = {
 	id: '',
 	address: '',
 	rack: '',
--- a/spec/lives/alike.ts
+++ b/spec/lives/alike.ts
@@ -1,5 +1,5 @@
 /** Makes states alike that can't differ in what follows: fewer states, none lost. */
-import * as moves from './moves.js';
+import * as transitions from './moves.js';
 import * as types from './types.js';
 
 /** An owner that has not taken over. */
@@ -7,104 +7,117 @@
 	return {
 		phase: 'new',
 		epoch: 0,
-		age: 0,
-		sessions: moves.names.map(() => null),
+		ticksSinceConfirmation: 0,
+		sessions: transitions.incarnationNames.map(() => null),
 		placed: -1,
 		run: 0,
 		confirmed: false,
-		doubts: moves.names.map(() => 0),
+		unconfirmedRuns: transitions.incarnationNames.map(() => 0),
 	};
 }
 
 /** By hand: a general clone takes most of the exploration's time. */
-export function copy(state: types.LivesState): types.LivesState {
+export function copyState(state: types.IncarnationState): types.IncarnationState {
 	return {
 		...state,
 		owners: state.owners.map((owner) => ({
 			...owner,
 			sessions: owner.sessions.map((session) => session && { ...session }),
-			doubts: [...owner.doubts],
+			unconfirmedRuns: [...owner.unconfirmedRuns],
 		})),
-		lives: state.lives.map((life) => ({ ...life })),
+		incarnations: state.incarnations.map((incarnation) => ({ ...incarnation })),
 		messages: state.messages.map((message) => ({ ...message })),
 	};
 }
 
 /** The state without what nothing rests on any more. */
-export function reduce(
-	next: types.LivesState,
-	bounds: types.LivesBounds,
-	faults: types.LivesFaults,
-): types.LivesState {
+export function canonicalize(
+	next: types.IncarnationState,
+	bounds: types.IncarnationBounds,
+	faults: types.IncarnationFaults,
+): types.IncarnationState {
 	// Only whether it has finished counts then.
-	if (next.done) Object.assign(next, { owners: [], lives: [], messages: [], epoch: 0, roster: 0 });
+	if (next.done) Object.assign(next, { owners: [], incarnations: [], messages: [], epoch: 0, roster: 0 });
 	next.owners.forEach((owner) => {
-		reduceOwner(next, owner, bounds);
+		canonicalizeOwner(next, owner, bounds);
 	});
-	reduceRoster(next);
-	next.messages = next.messages.filter((message) => isOfUse(next, message, faults));
-	next.messages.sort((a, b) => orderOf(a) - orderOf(b));
-	next.lives.forEach((life, where) => {
-		reduceLife(next, life, where);
+	canonicalizeRoster(next);
+	next.messages = next.messages.filter((message) => isRelevant(next, message, faults));
+	next.messages.sort((a, b) => sortKeyOf(a) - sortKeyOf(b));
+	next.incarnations.forEach((incarnation, incarnationIndex) => {
+		canonicalizeIncarnation(next, incarnation, incarnationIndex);
 	});
 	return next;
 }
 
-function orderOf({ kind, life, epoch, run, left }: types.Message): number {
-	return (((kind === 'hold' ? 100 : run) * 10 + epoch) * 10 + life) * 10 + left;
+function sortKeyOf({ kind, incarnation, epoch, run, leaseTicksLeft }: types.Message): number {
+	return (((kind === 'hold' ? 100 : run) * 10 + epoch) * 10 + incarnation) * 10 + leaseTicksLeft;
 }
 
-function reduceOwner(next: types.LivesState, owner: types.Owner, { starts }: types.LivesBounds): void {
+function canonicalizeOwner(
+	next: types.IncarnationState,
+	owner: types.Owner,
+	{ starts }: types.IncarnationBounds,
+): void {
 	const isReplaced = owner.phase === 'on' && owner.epoch < next.epoch;
 	// It can only ask, and what it believes moves nothing any more.
-	if (isReplaced && !moves.isWithinHorizon(owner)) owner.phase = 'stopped';
-	if (isReplaced && moves.startsOf(owner) >= starts) reduceReplaced(owner);
+	if (isReplaced && !transitions.isWithinHorizon(owner)) owner.phase = 'stopped';
+	if (isReplaced && transitions.startCount(owner) >= starts) canonicalizeReplacedOwner(owner);
 	if (owner.phase === 'stopped') Object.assign(owner, newOwner(), { phase: 'stopped' });
 	if (owner.phase !== 'on') return;
 	if (owner.placed === -1) owner.confirmed = false;
-	owner.doubts = owner.doubts.map((run, where) => (next.lives[where]?.phase === 'over' ? 0 : run));
-	owner.sessions.forEach((session, where) => {
+	owner.unconfirmedRuns = owner.unconfirmedRuns.map((run, incarnationIndex) =>
+		next.incarnations[incarnationIndex]?.phase === 'over' ? 0 : run,
+	);
+	owner.sessions.forEach((session, incarnationIndex) => {
 		if (session === null) return;
 		// A later start brings a lease that ends no earlier than any granted before.
-		if (session.state !== 'asked' && owner.placed !== where) session.left = types.believed;
+		if (session.state !== 'asked' && owner.placed !== incarnationIndex)
+			session.ticksUntilLeaseExpiry = types.leaseExpiryConfirmed;
 		// It can't store the life any more, so it never starts anything there.
-		if (isReplaced && isForgettable(next, owner, session, where)) owner.sessions[where] = null;
+		if (isReplaced && isSessionIrrelevant(next, owner, session, incarnationIndex))
+			owner.sessions[incarnationIndex] = null;
 	});
-	if (!hasSuccessor(next) && !isReplaced) reduceLast(owner);
+	if (!hasSuccessor(next) && !isReplaced) canonicalizeLastOwner(owner);
 }
 
 /** It starts nothing any more: all that it can still do is to renew the lease of its own run. */
-function reduceReplaced(owner: types.Owner): void {
+function canonicalizeReplacedOwner(owner: types.Owner): void {
 	if (owner.placed === -1) owner.phase = 'stopped';
-	owner.doubts.fill(0);
-	owner.sessions = owner.sessions.map((session, where) =>
-		session !== null && owner.placed === where
-			? { state: 'heard', rostered: true, left: types.believed }
+	owner.unconfirmedRuns.fill(0);
+	owner.sessions = owner.sessions.map((session, incarnationIndex) =>
+		session !== null && owner.placed === incarnationIndex
+			? { state: 'heard', isOnStoredRoster: true, ticksUntilLeaseExpiry: types.leaseExpiryConfirmed }
 			: null,
 	);
 }
 
-function isForgettable(
-	next: types.LivesState,
+function isSessionIrrelevant(
+	next: types.IncarnationState,
 	owner: types.Owner,
 	session: types.Session,
-	where: number,
+	incarnationIndex: number,
 ): boolean {
-	return !session.rostered && owner.placed !== where && next.messages.every(({ life }) => life !== where);
+	return (
+		!session.isOnStoredRoster &&
+		owner.placed !== incarnationIndex &&
+		next.messages.every(({ incarnation }) => incarnation !== incarnationIndex)
+	);
 }
 
 /** Nobody will replace it, so it can confirm its epoch and write the roster at any time, and nobody reads that. */
-function reduceLast(owner: types.Owner): void {
-	owner.age = 0;
+function canonicalizeLastOwner(owner: types.Owner): void {
+	owner.ticksSinceConfirmation = 0;
 	for (const session of owner.sessions) {
 		if (session === null) continue;
-		session.rostered = true;
-		if (session.left === types.over) session.left = types.believed;
+		session.isOnStoredRoster = true;
+		if (session.ticksUntilLeaseExpiry === types.leasesExpired)
+			session.ticksUntilLeaseExpiry = types.leaseExpiryConfirmed;
 	}
 }
 
 /** Whether another owner may take over, which alone reads the roster. */
-function hasSuccessor(state: types.LivesState): boolean {
+function hasSuccessor(state: types.IncarnationState): boolean {
 	return state.owners.some((owner) => owner.phase === 'new');
 }
 
@@ -112,31 +125,43 @@
  * A life is taken off the roster as soon as its session ends: with more lives there, a successor would only wait for
  * more.
  */
-function reduceRoster(next: types.LivesState): void {
+function canonicalizeRoster(next: types.IncarnationState): void {
 	if (!hasSuccessor(next)) next.roster = 0;
 	const owner = next.owners.find((one) => one.phase === 'on' && one.epoch === next.epoch);
 	if (!hasSuccessor(next) || owner === undefined) return;
 	next.roster = owner.sessions.reduce(
-		(lives, session, where) => (session?.rostered === true ? lives | (1 << where) : lives),
+		(rosterBits, session, incarnationIndex) =>
+			session?.isOnStoredRoster === true ? rosterBits | (1 << incarnationIndex) : rosterBits,
 		0,
 	);
 }
 
 /** A lease that is over changes nothing; nor does an order that is refused, if nobody hears of that. */
-function isOfUse(next: types.LivesState, message: types.Message, faults: types.LivesFaults): boolean {
-	const life = next.lives[message.life];
-	const isHeard = next.owners.some((one) => one.phase === 'on' && one.epoch === message.epoch);
-	const isFenced = life !== undefined && life.epoch > message.epoch && !faults.fenceless;
-	const isLost = (life?.phase === 'over' && !faults.anyLifeObeys) || isFenced;
-	if (message.kind === 'hold') return message.left >= 0 && !isLost;
-	return isHeard || !isLost;
+function isRelevant(
+	next: types.IncarnationState,
+	message: types.Message,
+	faults: types.IncarnationFaults,
+): boolean {
+	const incarnation = next.incarnations[message.incarnation];
+	const isSenderActive = next.owners.some((one) => one.phase === 'on' && one.epoch === message.epoch);
+	const isFenced = incarnation !== undefined && incarnation.epoch > message.epoch && !faults.fenceless;
+	const isIneffective = (incarnation?.phase === 'over' && !faults.anyLifeObeys) || isFenced;
+	if (message.kind === 'hold') return message.leaseTicksLeft >= 0 && !isIneffective;
+	return isSenderActive || !isIneffective;
 }
 
 /** What was seen and granted counts only as long as an order can come that it is compared with. */
-function reduceLife(next: types.LivesState, life: types.Life, where: number): void {
-	const starts = next.messages.filter((message) => message.kind === 'start' && message.life === where);
-	const isFenced = next.owners.some((owner) => owner.phase === 'on' && owner.epoch < life.epoch);
-	if (!isFenced && next.messages.every((message) => message.epoch >= life.epoch)) life.epoch = 0;
-	if (starts.every((start) => start.run > life.highest)) life.highest = 0;
-	if (life.running === 0 && starts.length === 0) life.left = types.over;
+function canonicalizeIncarnation(
+	next: types.IncarnationState,
+	incarnation: types.Incarnation,
+	incarnationIndex: number,
+): void {
+	const starts = next.messages.filter(
+		(message) => message.kind === 'start' && message.incarnation === incarnationIndex,
+	);
+	const isFenced = next.owners.some((owner) => owner.phase === 'on' && owner.epoch < incarnation.epoch);
+	if (!isFenced && next.messages.every((message) => message.epoch >= incarnation.epoch))
+		incarnation.epoch = 0;
+	if (starts.every((start) => start.run > incarnation.highestExitedRun)) incarnation.highestExitedRun = 0;
+	if (incarnation.running === 0 && starts.length === 0) incarnation.leaseTicksLeft = types.leasesExpired;
 }
--- a/spec/lives/index.ts
+++ b/spec/lives/index.ts
@@ -9,236 +9,270 @@
  * number of ticks has no bound. An owner that dies takes no more steps. What becomes of a noted end is in `spec/dispatch.ts`; here a task that finishes is the
  * end of the exploration.
  */
-import * as alike from './alike.js';
-import * as moves from './moves.js';
+import * as canonical from './alike.js';
+import * as transitions from './moves.js';
 import * as types from './types.js';
 import type * as explore from '../explore.js';
 
 export * from './types.js';
 
 /** What an exploration is made of. */
-export interface LivesOptions {
+export interface IncarnationOptions {
 	name: string;
-	bounds: types.LivesBounds;
-	faults: types.LivesFaults;
+	bounds: types.IncarnationBounds;
+	faults: types.IncarnationFaults;
 }
 
-type AddStep = (name: string, change: (next: types.LivesState) => void) => void;
+type AddStep = (name: string, change: (next: types.IncarnationState) => void) => void;
 
 /** An owner and a life between which steps are sought. */
-interface Acting {
-	state: types.LivesState;
+interface StepContext {
+	state: types.IncarnationState;
 	owner: types.Owner;
 	/** The owner's. */
-	index: number;
+	ownerIndex: number;
 	/** The life's. */
-	where: number;
-	life: string;
-	opts: LivesOptions;
+	incarnationIndex: number;
+	incarnationName: string;
+	opts: IncarnationOptions;
 }
 
 /** The model with some fault or none, within some bounds. */
-export function livesModel(opts: LivesOptions): explore.Model<types.LivesState> {
-	const { owners, starts, reborn, messages, lateHolds, plannedStops } = opts.bounds;
-	const lives = reborn ? '2 lives at an address and 1 at another' : '2 lives that last';
-	const kinds = lateHolds ? 'starts and questions' : 'starts';
-	const replaced = plannedStops ? 'replaced by planned stops' : 'replaced at any time';
-	const who = owners === 1 ? '1 owner' : `${owners} owners, ${replaced}`;
+export function incarnationModel(opts: IncarnationOptions): explore.Model<types.IncarnationState> {
+	const { owners, starts, reusesAddress, maxMessagesInFlight, lateReportRequests, plannedStops } =
+		opts.bounds;
+	const incarnationsText = reusesAddress ? '2 lives at an address and 1 at another' : '2 lives that last';
+	const lateKinds = lateReportRequests ? 'starts and questions' : 'starts';
+	const replacementText = plannedStops ? 'replaced by planned stops' : 'replaced at any time';
+	const ownersText = owners === 1 ? '1 owner' : `${owners} owners, ${replacementText}`;
 	return {
 		name: opts.name,
-		bounds: `${who}, ${lives}, ${starts} starts each, ${messages} late ${kinds}, any number of ticks`,
+		bounds: `${ownersText}, ${incarnationsText}, ${starts} starts each, ${maxMessagesInFlight} late ${lateKinds}, any number of ticks`,
 		initial: initialState(opts.bounds),
 		steps: (state) => stepsOf(state, opts),
-		wrong: (state) => (state.wrong === '' ? undefined : state.wrong),
-		goal: (state) => state.done,
-		outOfBounds: (state) => isUsedUp(state, opts.bounds),
+		violation: (state) => (state.violation === '' ? undefined : state.violation),
+		isGoal: (state) => state.done,
+		isOutOfBounds: (state) => isOutOfStarts(state, opts.bounds),
 	};
 }
 
-function initialState({ owners }: types.LivesBounds): types.LivesState {
+function initialState({ owners }: types.IncarnationBounds): types.IncarnationState {
 	return {
 		epoch: 0,
 		roster: 0,
-		owners: Array.from({ length: owners }, alike.newOwner),
-		lives: moves.names.map((_name, where) => ({
-			phase: where === 1 ? 'before' : 'alive',
+		owners: Array.from({ length: owners }, canonical.newOwner),
+		incarnations: transitions.incarnationNames.map((_name, incarnationIndex) => ({
+			phase: incarnationIndex === 1 ? 'before' : 'alive',
 			epoch: 0,
 			running: 0,
-			highest: 0,
-			left: types.over,
+			highestExitedRun: 0,
+			leaseTicksLeft: types.leasesExpired,
 		})),
 		messages: [],
 		done: false,
-		wrong: '',
+		violation: '',
 	};
 }
 
 /** No owner has a start left. */
-function isUsedUp(state: types.LivesState, { starts }: types.LivesBounds): boolean {
+function isOutOfStarts(state: types.IncarnationState, { starts }: types.IncarnationBounds): boolean {
 	const newest = state.owners.at(-1);
-	return newest !== undefined && newest.phase !== 'new' && moves.startsOf(newest) >= starts;
+	return newest !== undefined && newest.phase !== 'new' && transitions.startCount(newest) >= starts;
 }
 
-function stepsOf(state: types.LivesState, opts: LivesOptions): { name: string; next: types.LivesState }[] {
-	const steps: { name: string; next: types.LivesState }[] = [];
-	if (state.done || state.wrong !== '') return steps;
+function stepsOf(
+	state: types.IncarnationState,
+	opts: IncarnationOptions,
+): { name: string; next: types.IncarnationState }[] {
+	const steps: { name: string; next: types.IncarnationState }[] = [];
+	if (state.done || state.violation !== '') return steps;
 	const step: AddStep = (name, change) => {
-		const next = alike.copy(state);
+		const next = canonical.copyState(state);
 		change(next);
-		if (next.lives.filter((life) => life.running !== 0).length > 1)
-			next.wrong = 'the task runs in two places';
-		steps.push({ name, next: alike.reduce(next, opts.bounds, opts.faults) });
+		if (next.incarnations.filter((incarnation) => incarnation.running !== 0).length > 1)
+			next.violation = 'the task runs in two places';
+		steps.push({ name, next: canonical.canonicalize(next, opts.bounds, opts.faults) });
 	};
-	lifeSteps(state, opts, step);
+	incarnationSteps(state, opts, step);
 	messageSteps(state, opts, step);
-	state.owners.forEach((owner, index) => {
-		if (owner.phase === 'new') takeoverSteps(state, index, opts, step);
+	state.owners.forEach((owner, ownerIndex) => {
+		if (owner.phase === 'new') takeoverSteps(state, ownerIndex, opts, step);
 		if (owner.phase !== 'on') return;
-		storeSteps(state, owner, index, opts, step);
-		moves.names.forEach((life, where) => {
-			const acting = { state, owner, index, where, life, opts };
-			listSteps(acting, step);
-			askSteps(acting, step);
-			orderSteps(acting, step);
+		storeSteps(state, owner, ownerIndex, opts, step);
+		transitions.incarnationNames.forEach((incarnationName, incarnationIndex) => {
+			const context = {
+				state,
+				owner,
+				ownerIndex,
+				incarnationIndex,
+				incarnationName,
+				opts,
+			};
+			listSteps(context, step);
+			pollSteps(context, step);
+			commandSteps(context, step);
 		});
 	});
-	step('time passes', moves.passTime);
+	step('time passes', transitions.passTime);
 	return steps;
 }
 
-function lifeSteps(state: types.LivesState, { bounds }: LivesOptions, step: AddStep): void {
-	state.lives.forEach((life, where) => {
-		const name = moves.names[where] ?? '';
-		if (life.phase === 'before' && moves.answering(state, where) === -1)
+function incarnationSteps(
+	state: types.IncarnationState,
+	{ bounds }: IncarnationOptions,
+	step: AddStep,
+): void {
+	state.incarnations.forEach((incarnation, incarnationIndex) => {
+		const name = transitions.incarnationNames[incarnationIndex] ?? '';
+		if (incarnation.phase === 'before' && transitions.answeringIncarnation(state, incarnationIndex) === -1)
 			step(`life ${name} begins`, (next) => {
-				moves.at(next.lives, where).phase = 'alive';
+				transitions.at(next.incarnations, incarnationIndex).phase = 'alive';
 			});
-		if (where === 0 && life.phase === 'alive' && bounds.reborn)
+		if (incarnationIndex === 0 && incarnation.phase === 'alive' && bounds.reusesAddress)
 			step(`life ${name} crashes`, (next) => {
-				moves.crash(next, where);
+				transitions.crash(next, incarnationIndex);
 			});
-		if (life.running !== 0)
+		if (incarnation.running !== 0)
 			step(`the task finishes at ${name}`, (next) => {
 				next.done = true;
 			});
 	});
 }
 
-function messageSteps(state: types.LivesState, { faults }: LivesOptions, step: AddStep): void {
+function messageSteps(state: types.IncarnationState, { faults }: IncarnationOptions, step: AddStep): void {
 	state.messages.forEach((message, index) => {
 		const { kind, run } = message;
 		const what = kind === 'start' ? `the start of run ${run}` : `a question under epoch ${message.epoch}`;
-		const arrives = `${what} arrives for ${moves.names[message.life]}`;
-		const take = (next: types.LivesState, answered: boolean): void => {
+		const arrives = `${what} arrives for ${transitions.incarnationNames[message.incarnation]}`;
+		const deliverMessage = (next: types.IncarnationState, answered: boolean): void => {
 			next.messages.splice(index, 1);
-			moves.arrive(next, message, answered, faults);
+			transitions.deliver(next, message, answered, faults);
 		};
 		step(arrives, (next) => {
-			take(next, true);
+			deliverMessage(next, true);
 		});
 		if (kind === 'start')
 			step(`${arrives}, the answer is lost`, (next) => {
-				take(next, false);
+				deliverMessage(next, false);
 			});
 	});
 }
 
 function takeoverSteps(
-	state: types.LivesState,
-	index: number,
-	{ bounds, faults }: LivesOptions,
+	state: types.IncarnationState,
+	ownerIndex: number,
+	{ bounds, faults }: IncarnationOptions,
 	step: AddStep,
 ): void {
-	if (state.owners.findIndex((one) => one.phase === 'new') !== index) return;
+	if (state.owners.findIndex((one) => one.phase === 'new') !== ownerIndex) return;
 	// One that stopped as planned has given its name back, so nothing is waited for.
-	const isFree = state.owners.every((one) => one.phase !== 'on');
-	if (bounds.plannedStops && !isFree) return;
-	step(`owner ${index} takes over`, (next) => {
-		moves.takeOver(next, index, faults.stopSettles);
+	const areOwnersStopped = state.owners.every((one) => one.phase !== 'on');
+	if (bounds.plannedStops && !areOwnersStopped) return;
+	step(`owner ${ownerIndex} takes over`, (next) => {
+		transitions.takeOver(next, ownerIndex, faults.stopSettles);
 	});
 }
 
 function storeSteps(
-	state: types.LivesState,
+	state: types.IncarnationState,
 	owner: types.Owner,
-	index: number,
-	{ bounds }: LivesOptions,
+	ownerIndex: number,
+	{ bounds }: IncarnationOptions,
 	step: AddStep,
 ): void {
-	const isLast = index === state.owners.length - 1;
+	const isLast = ownerIndex === state.owners.length - 1;
 	if (bounds.plannedStops && !isLast)
-		step(`owner ${index} stops as planned`, (next) => {
-			moves.at(next.owners, index).phase = 'stopped';
+		step(`owner ${ownerIndex} stops as planned`, (next) => {
+			transitions.at(next.owners, ownerIndex).phase = 'stopped';
 		});
 	if (owner.epoch !== state.epoch) return;
-	if (owner.age > 0 || owner.sessions.some((session) => session?.left === types.over))
-		step(`owner ${index} confirms`, (next) => {
-			moves.confirm(moves.at(next.owners, index));
+	if (
+		owner.ticksSinceConfirmation > 0 ||
+		owner.sessions.some((session) => session?.ticksUntilLeaseExpiry === types.leasesExpired)
+	)
+		step(`owner ${ownerIndex} confirms`, (next) => {
+			transitions.confirmEpoch(transitions.at(next.owners, ownerIndex));
 		});
-	if (owner.sessions.some((session) => session?.rostered === false))
-		step(`owner ${index} writes the roster`, (next) => {
-			moves.writeRoster(moves.at(next.owners, index));
+	if (owner.sessions.some((session) => session?.isOnStoredRoster === false))
+		step(`owner ${ownerIndex} writes the roster`, (next) => {
+			transitions.writeRoster(transitions.at(next.owners, ownerIndex));
 		});
 }
 
-function listSteps({ state, owner, index, where, life, opts }: Acting, step: AddStep): void {
+function listSteps(
+	{ state, owner, ownerIndex, incarnationIndex, incarnationName, opts }: StepContext,
+	step: AddStep,
+): void {
 	const { faults } = opts;
-	const session = owner.sessions[where];
+	const session = owner.sessions[incarnationIndex];
 	if (!session) {
-		if (moves.at(state.lives, where).phase === 'before') return;
-		step(`owner ${index} reads an entry for ${life}`, (next) => {
-			moves.list(moves.at(next.owners, index), where, faults);
+		if (transitions.at(state.incarnations, incarnationIndex).phase === 'before') return;
+		step(`owner ${ownerIndex} reads an entry for ${incarnationName}`, (next) => {
+			transitions.applyListEntry(transitions.at(next.owners, ownerIndex), incarnationIndex, faults);
 		});
 		return;
 	}
-	const holdsNothing = session.state !== 'asked' && owner.placed !== where;
+	const holdsNothing = session.state !== 'asked' && owner.placed !== incarnationIndex;
 	if (holdsNothing || faults.goneWhileAlive)
-		step(`owner ${index} reads a list without ${life}: it left and holds nothing`, (next) => {
-			moves.leave(moves.at(next.owners, index), where, faults);
+		step(`owner ${ownerIndex} reads a list without ${incarnationName}: it left and holds nothing`, (next) => {
+			transitions.applyDeparture(transitions.at(next.owners, ownerIndex), incarnationIndex, faults);
 		});
 }
 
-function askSteps({ state, owner, index, where, life, opts }: Acting, step: AddStep): void {
+function pollSteps(
+	{ state, owner, ownerIndex, incarnationIndex, incarnationName, opts }: StepContext,
+	step: AddStep,
+): void {
 	const { faults } = opts;
-	const session = owner.sessions[where];
+	const session = owner.sessions[incarnationIndex];
 	if (!session) return;
-	const there = moves.answering(state, where);
-	const isDoubted = moves.at(owner.doubts, where) !== 0;
-	if (there !== -1 && there !== where)
-		step(`owner ${index} asks for ${life}: other life`, (next) => {
-			moves.endLife(moves.at(next.owners, index), where);
-		});
-	if (there === where)
-		step(`owner ${index} asks ${life}`, (next) => {
-			const grants = moves.isWithinHorizon(owner) && (!isDoubted || faults.doubtLeased);
-			moves.report(next, index, where, grants, faults);
+	const answeringIndex = transitions.answeringIncarnation(state, incarnationIndex);
+	const hasUnconfirmedRun = transitions.at(owner.unconfirmedRuns, incarnationIndex) !== 0;
+	if (answeringIndex !== -1 && answeringIndex !== incarnationIndex)
+		step(`owner ${ownerIndex} asks for ${incarnationName}: other life`, (next) => {
+			transitions.endIncarnation(transitions.at(next.owners, ownerIndex), incarnationIndex);
 		});
-	const uncertain = moves.uncertainRun(owner, where);
-	if (there === where && uncertain !== 0)
-		step(`owner ${index} stops run ${uncertain} at ${life}, which may not be there yet`, (next) => {
-			moves.stop(next, index, where, faults);
+	if (answeringIndex === incarnationIndex)
+		step(`owner ${ownerIndex} asks ${incarnationName}`, (next) => {
+			const grantsLease = transitions.isWithinHorizon(owner) && (!hasUnconfirmedRun || faults.doubtLeased);
+			transitions.poll(next, ownerIndex, incarnationIndex, grantsLease, faults);
 		});
-	const isOwed = session.state === 'asked' || owner.placed === where;
-	const isLeaseOver = session.left === types.believed || (session.left === types.over && faults.unconfirmed);
-	if (isOwed && isLeaseOver)
-		step(`owner ${index} takes all at ${life} for over: its lease has run out`, (next) => {
-			moves.loseAll(moves.at(next.owners, index), where);
+	const unconfirmedRun = transitions.unconfirmedRunAt(owner, incarnationIndex);
+	if (answeringIndex === incarnationIndex && unconfirmedRun !== 0)
+		step(
+			`owner ${ownerIndex} stops run ${unconfirmedRun} at ${incarnationName}, which may not be there yet`,
+			(next) => {
+				transitions.stopRun(next, ownerIndex, incarnationIndex, faults);
+			},
+		);
+	const mayHoldRun = session.state === 'asked' || owner.placed === incarnationIndex;
+	const isLeaseExpired =
+		session.ticksUntilLeaseExpiry === types.leaseExpiryConfirmed ||
+		(session.ticksUntilLeaseExpiry === types.leasesExpired && faults.unconfirmed);
+	if (mayHoldRun && isLeaseExpired)
+		step(`owner ${ownerIndex} takes all at ${incarnationName} for over: its lease has run out`, (next) => {
+			transitions.presumeAllLost(transitions.at(next.owners, ownerIndex), incarnationIndex);
 		});
 }
 
-function orderSteps({ state, owner, index, where, life, opts }: Acting, step: AddStep): void {
+function commandSteps(
+	{ state, owner, ownerIndex, incarnationIndex, incarnationName, opts }: StepContext,
+	step: AddStep,
+): void {
 	const { bounds, faults } = opts;
-	const session = owner.sessions[where];
-	const isDoubted = moves.at(owner.doubts, where) !== 0;
-	if (!session || !moves.isWithinHorizon(owner) || state.messages.length >= bounds.messages) return;
-	if (bounds.lateHolds && (!isDoubted || faults.doubtLeased))
-		step(`owner ${index} sends ${life} a question with a lease`, (next) => {
-			moves.sendHold(next, moves.at(next.owners, index), where);
+	const session = owner.sessions[incarnationIndex];
+	const hasUnconfirmedRun = transitions.at(owner.unconfirmedRuns, incarnationIndex) !== 0;
+	if (!session || !transitions.isWithinHorizon(owner) || state.messages.length >= bounds.maxMessagesInFlight)
+		return;
+	if (bounds.lateReportRequests && (!hasUnconfirmedRun || faults.doubtLeased))
+		step(`owner ${ownerIndex} sends ${incarnationName} a question with a lease`, (next) => {
+			transitions.sendReportRequest(next, transitions.at(next.owners, ownerIndex), incarnationIndex);
 		});
-	const isFree = owner.placed === -1 && owner.sessions.every((one) => one?.state !== 'asked');
-	const isOpen = session.state === 'heard' && !isDoubted && (session.rostered || faults.unknownIsEmpty);
-	if (isFree && isOpen && moves.startsOf(owner) < bounds.starts)
-		step(`owner ${index} sends a start to ${life}`, (next) => {
-			moves.sendStart(next, moves.at(next.owners, index), where);
+	const isTaskFree = owner.placed === -1 && owner.sessions.every((one) => one?.state !== 'asked');
+	const mayStartHere =
+		session.state === 'heard' && !hasUnconfirmedRun && (session.isOnStoredRoster || faults.unknownIsEmpty);
+	if (isTaskFree && mayStartHere && transitions.startCount(owner) < bounds.starts)
+		step(`owner ${ownerIndex} sends a start to ${incarnationName}`, (next) => {
+			transitions.sendStart(next, transitions.at(next.owners, ownerIndex), incarnationIndex);
 		});
 }
--- a/spec/lives/moves.ts
+++ b/spec/lives/moves.ts
@@ -11,7 +11,7 @@
 export const addresses = [0, 0, 1];
 
 /** Names of the lives. */
-export const names = ['a1', 'a2', 'b1'];
+export const incarnationNames = ['a1', 'a2', 'b1'];
 
 /** The item, which is there. */
 export function at<T>(items: T[], index: number): T {
@@ -21,222 +21,287 @@
 }
 
 /** Whether a set of lives has one. */
-function has(lives: number, where: number): boolean {
-	return (lives & (1 << where)) !== 0;
+function hasBit(bits: number, incarnationIndex: number): boolean {
+	return (bits & (1 << incarnationIndex)) !== 0;
 }
 
 /** The life that answers at another's address; -1: nobody does. */
-export function answering(state: types.LivesState, where: number): number {
-	return state.lives.findIndex((life, one) => life.phase === 'alive' && addresses[one] === addresses[where]);
+export function answeringIncarnation(state: types.IncarnationState, incarnationIndex: number): number {
+	return state.incarnations.findIndex(
+		(incarnation, one) => incarnation.phase === 'alive' && addresses[one] === addresses[incarnationIndex],
+	);
 }
 
 /** Whether an owner may grant a lease, as far as the store goes. */
 export function isWithinHorizon(owner: types.Owner): boolean {
-	return owner.age <= horizonTicks;
+	return owner.ticksSinceConfirmation <= horizonTicks;
 }
 
 /** How many starts an owner has sent. */
-export function startsOf(owner: types.Owner): number {
+export function startCount(owner: types.Owner): number {
 	return owner.run % runsPerEpoch;
 }
 
 /** A life crashes; all that runs there ends at once. */
-export function crash(next: types.LivesState, where: number): void {
-	Object.assign(at(next.lives, where), { phase: 'over', epoch: 0, running: 0, highest: 0, left: types.over });
+export function crash(next: types.IncarnationState, incarnationIndex: number): void {
+	Object.assign(at(next.incarnations, incarnationIndex), {
+		phase: 'over',
+		epoch: 0,
+		running: 0,
+		highestExitedRun: 0,
+		leaseTicksLeft: types.leasesExpired,
+	});
 }
 
 /** A tick, on every clock. */
-export function passTime(next: types.LivesState): void {
-	for (const life of next.lives) {
-		life.left = shorter(life.left);
-		if (life.left < 0) endRun(life);
+export function passTime(next: types.IncarnationState): void {
+	for (const incarnation of next.incarnations) {
+		incarnation.leaseTicksLeft = decrementTicks(incarnation.leaseTicksLeft);
+		if (incarnation.leaseTicksLeft < 0) endRun(incarnation);
 	}
-	for (const message of next.messages) message.left = shorter(message.left);
+	for (const message of next.messages) message.leaseTicksLeft = decrementTicks(message.leaseTicksLeft);
 	for (const owner of next.owners) {
 		if (owner.phase !== 'on') continue;
-		owner.age = Math.min(owner.age + 1, horizonTicks + 1);
-		for (const session of owner.sessions) if (session !== null) session.left = shorter(session.left);
+		owner.ticksSinceConfirmation = Math.min(owner.ticksSinceConfirmation + 1, horizonTicks + 1);
+		for (const session of owner.sessions)
+			if (session !== null) session.ticksUntilLeaseExpiry = decrementTicks(session.ticksUntilLeaseExpiry);
 	}
 }
 
-function shorter(left: number): number {
-	return left < 0 ? left : left - 1;
+function decrementTicks(ticksLeft: number): number {
+	return ticksLeft < 0 ? ticksLeft : ticksLeft - 1;
 }
 
-function endRun(life: types.Life): void {
-	life.highest = Math.max(life.highest, life.running);
-	life.running = 0;
+function endRun(incarnation: types.Incarnation): void {
+	incarnation.highestExitedRun = Math.max(incarnation.highestExitedRun, incarnation.running);
+	incarnation.running = 0;
 }
 
 /** An owner counts the epoch up and reads the roster; all that it knows is who stands there. */
-export function takeOver(next: types.LivesState, index: number, isSettled: boolean): void {
+export function takeOver(next: types.IncarnationState, ownerIndex: number, isReconciled: boolean): void {
 	next.epoch += 1;
-	const owner = at(next.owners, index);
+	const owner = at(next.owners, ownerIndex);
 	owner.phase = 'on';
 	owner.epoch = next.epoch;
 	owner.run = next.epoch * runsPerEpoch;
-	owner.sessions = next.lives.map((_life, where) =>
-		has(next.roster, where)
-			? { state: isSettled ? 'heard' : 'asked', rostered: true, left: horizonTicks + leaseTicks }
+	owner.sessions = next.incarnations.map((_life, incarnationIndex) =>
+		hasBit(next.roster, incarnationIndex)
+			? {
+					state: isReconciled ? 'heard' : 'asked',
+					isOnStoredRoster: true,
+					ticksUntilLeaseExpiry: horizonTicks + leaseTicks,
+				}
 			: null,
 	);
 }
 
 /** A call to the store shows its epoch to be in force. */
-export function confirm(owner: types.Owner): void {
-	owner.age = 0;
-	for (const session of owner.sessions) if (session?.left === types.over) session.left = types.believed;
+export function confirmEpoch(owner: types.Owner): void {
+	owner.ticksSinceConfirmation = 0;
+	for (const session of owner.sessions)
+		if (session?.ticksUntilLeaseExpiry === types.leasesExpired)
+			session.ticksUntilLeaseExpiry = types.leaseExpiryConfirmed;
 }
 
 /** An owner reads an entry of the list. */
-export function list(owner: types.Owner, where: number, faults: types.LivesFaults): void {
-	owner.sessions[where] = { state: 'empty', rostered: false, left: types.believed };
+export function applyListEntry(
+	owner: types.Owner,
+	incarnationIndex: number,
+	faults: types.IncarnationFaults,
+): void {
+	owner.sessions[incarnationIndex] = {
+		state: 'empty',
+		isOnStoredRoster: false,
+		ticksUntilLeaseExpiry: types.leaseExpiryConfirmed,
+	};
 	if (!faults.listProves) return;
 	for (const [other, address] of addresses.entries())
-		if (other !== where && address === addresses[where]) endSession(owner, other);
+		if (other !== incarnationIndex && address === addresses[incarnationIndex]) endSession(owner, other);
 }
 
 /** A session ends, with everything there taken for over. */
-export function endSession(owner: types.Owner, where: number): void {
-	owner.sessions[where] = null;
-	if (owner.placed === where) owner.placed = -1;
+export function endSession(owner: types.Owner, incarnationIndex: number): void {
+	owner.sessions[incarnationIndex] = null;
+	if (owner.placed === incarnationIndex) owner.placed = -1;
 }
 
 /** The life is proved over, and with it every order that was under way to it. */
-export function endLife(owner: types.Owner, where: number): void {
-	endSession(owner, where);
-	owner.doubts[where] = 0;
+export function endIncarnation(owner: types.Owner, incarnationIndex: number): void {
+	endSession(owner, incarnationIndex);
+	owner.unconfirmedRuns[incarnationIndex] = 0;
 }
 
 /** A session's life has left the list and holds nothing, as the owner sees it. */
-export function leave(owner: types.Owner, where: number, faults: types.LivesFaults): void {
-	endSession(owner, where);
-	if (faults.doubtForgotten) owner.doubts[where] = 0;
+export function applyDeparture(
+	owner: types.Owner,
+	incarnationIndex: number,
+	faults: types.IncarnationFaults,
+): void {
+	endSession(owner, incarnationIndex);
+	if (faults.doubtForgotten) owner.unconfirmedRuns[incarnationIndex] = 0;
 }
 
 /** Every lease there is over, so whatever was there is. */
-export function loseAll(owner: types.Owner, where: number): void {
-	const session = owner.sessions[where];
+export function presumeAllLost(owner: types.Owner, incarnationIndex: number): void {
+	const session = owner.sessions[incarnationIndex];
 	if (session) session.state = 'empty';
-	if (owner.placed !== where) return;
-	if (!owner.confirmed) owner.doubts[where] = owner.run;
+	if (owner.placed !== incarnationIndex) return;
+	if (!owner.confirmed) owner.unconfirmedRuns[incarnationIndex] = owner.run;
 	owner.placed = -1;
 }
 
 /** Stores the lives that the owner knows. */
 export function writeRoster(owner: types.Owner): void {
-	for (const session of owner.sessions) if (session !== null) session.rostered = true;
+	for (const session of owner.sessions) if (session !== null) session.isOnStoredRoster = true;
 }
 
 /** The life answers a question, which brings a lease if one may be granted. */
-export function report(
-	next: types.LivesState,
-	index: number,
-	where: number,
-	grants: boolean,
-	faults: types.LivesFaults,
+export function poll(
+	next: types.IncarnationState,
+	ownerIndex: number,
+	incarnationIndex: number,
+	grantsLease: boolean,
+	faults: types.IncarnationFaults,
 ): void {
-	const owner = at(next.owners, index);
-	const life = at(next.lives, where);
-	const session = owner.sessions[where];
-	if (!session || !heeds(life, owner.epoch, faults)) {
+	const owner = at(next.owners, ownerIndex);
+	const incarnation = at(next.incarnations, incarnationIndex);
+	const session = owner.sessions[incarnationIndex];
+	if (!session || !acceptsEpoch(incarnation, owner.epoch, faults)) {
 		owner.phase = 'stopped';
 		return;
 	}
-	if (grants) life.left = Math.max(life.left, leaseTicks);
-	if (grants) noteLease(session);
+	if (grantsLease) incarnation.leaseTicksLeft = Math.max(incarnation.leaseTicksLeft, leaseTicks);
+	if (grantsLease) noteLease(session);
 	session.state = 'heard';
-	if (life.running !== 0) takeRunning(owner, life, where);
-	else if (owner.placed === where && (owner.confirmed || faults.absenceProves)) owner.placed = -1;
+	if (incarnation.running !== 0) applyReportedRun(owner, incarnation, incarnationIndex);
+	else if (owner.placed === incarnationIndex && (owner.confirmed || faults.absenceProves)) owner.placed = -1;
 }
 
-function takeRunning(owner: types.Owner, life: types.Life, where: number): void {
-	if (owner.placed === -1) Object.assign(owner, { placed: where, confirmed: true });
-	else if (owner.placed !== where) endRun(life);
-	else if (life.running === owner.run) owner.confirmed = true;
+function applyReportedRun(
+	owner: types.Owner,
+	incarnation: types.Incarnation,
+	incarnationIndex: number,
+): void {
+	if (owner.placed === -1) Object.assign(owner, { placed: incarnationIndex, confirmed: true });
+	else if (owner.placed !== incarnationIndex) endRun(incarnation);
+	else if (incarnation.running === owner.run) owner.confirmed = true;
 }
 
 function noteLease(session: types.Session): void {
-	session.left = Math.max(session.left, leaseTicks);
+	session.ticksUntilLeaseExpiry = Math.max(session.ticksUntilLeaseExpiry, leaseTicks);
 }
 
 /** Whether a life takes an order of this epoch. */
-function heeds(life: types.Life, epoch: number, faults: types.LivesFaults): boolean {
-	if (epoch < life.epoch && !faults.fenceless) return false;
-	life.epoch = Math.max(life.epoch, epoch);
+function acceptsEpoch(
+	incarnation: types.Incarnation,
+	epoch: number,
+	faults: types.IncarnationFaults,
+): boolean {
+	if (epoch < incarnation.epoch && !faults.fenceless) return false;
+	incarnation.epoch = Math.max(incarnation.epoch, epoch);
 	return true;
 }
 
 /** The newest run at a life whose start may still be under way, as an owner sees it; 0: there is none. */
-export function uncertainRun(owner: types.Owner, where: number): number {
-	if (owner.placed === where && !owner.confirmed) return owner.run;
-	return at(owner.doubts, where);
+export function unconfirmedRunAt(owner: types.Owner, incarnationIndex: number): number {
+	if (owner.placed === incarnationIndex && !owner.confirmed) return owner.run;
+	return at(owner.unconfirmedRuns, incarnationIndex);
 }
 
 /** A life acknowledges the stop of a run whose start may still come, which it refuses from then on. */
-export function stop(next: types.LivesState, index: number, where: number, faults: types.LivesFaults): void {
-	const owner = at(next.owners, index);
-	const life = at(next.lives, where);
-	const run = uncertainRun(owner, where);
-	if (!heeds(life, owner.epoch, faults)) {
+export function stopRun(
+	next: types.IncarnationState,
+	ownerIndex: number,
+	incarnationIndex: number,
+	faults: types.IncarnationFaults,
+): void {
+	const owner = at(next.owners, ownerIndex);
+	const incarnation = at(next.incarnations, incarnationIndex);
+	const run = unconfirmedRunAt(owner, incarnationIndex);
+	if (!acceptsEpoch(incarnation, owner.epoch, faults)) {
 		owner.phase = 'stopped';
 		return;
 	}
-	if (life.running === run) endRun(life);
-	if (!faults.stopUnnoted) life.highest = Math.max(life.highest, run);
-	owner.doubts[where] = 0;
-	if (owner.placed === where) owner.placed = -1;
+	if (incarnation.running === run) endRun(incarnation);
+	if (!faults.stopUnnoted) incarnation.highestExitedRun = Math.max(incarnation.highestExitedRun, run);
+	owner.unconfirmedRuns[incarnationIndex] = 0;
+	if (owner.placed === incarnationIndex) owner.placed = -1;
 }
 
 /** A start leaves, with a lease. */
-export function sendStart(next: types.LivesState, owner: types.Owner, where: number): void {
-	const session = owner.sessions[where];
+export function sendStart(next: types.IncarnationState, owner: types.Owner, incarnationIndex: number): void {
+	const session = owner.sessions[incarnationIndex];
 	if (!session) return;
 	owner.run += 1;
-	owner.placed = where;
+	owner.placed = incarnationIndex;
 	owner.confirmed = false;
 	noteLease(session);
-	next.messages.push({ kind: 'start', life: where, epoch: owner.epoch, run: owner.run, left: leaseTicks });
+	next.messages.push({
+		kind: 'start',
+		incarnation: incarnationIndex,
+		epoch: owner.epoch,
+		run: owner.run,
+		leaseTicksLeft: leaseTicks,
+	});
 }
 
 /** A question leaves that brings a lease, and is answered to nobody. */
-export function sendHold(next: types.LivesState, owner: types.Owner, where: number): void {
-	const session = owner.sessions[where];
+export function sendReportRequest(
+	next: types.IncarnationState,
+	owner: types.Owner,
+	incarnationIndex: number,
+): void {
+	const session = owner.sessions[incarnationIndex];
 	if (!session) return;
 	noteLease(session);
-	next.messages.push({ kind: 'hold', life: where, epoch: owner.epoch, run: 0, left: leaseTicks });
+	next.messages.push({
+		kind: 'hold',
+		incarnation: incarnationIndex,
+		epoch: owner.epoch,
+		run: 0,
+		leaseTicksLeft: leaseTicks,
+	});
 }
 
 /** An order arrives at the address of the life that it is meant for; its answer may be lost. */
-export function arrive(
-	next: types.LivesState,
+export function deliver(
+	next: types.IncarnationState,
 	message: types.Message,
 	answered: boolean,
-	faults: types.LivesFaults,
+	faults: types.IncarnationFaults,
 ): void {
-	const there = answering(next, message.life);
+	const answeringIndex = answeringIncarnation(next, message.incarnation);
 	const sender = next.owners.find((one) => one.phase === 'on' && one.epoch === message.epoch);
-	const isMeant = there === message.life || faults.anyLifeObeys;
-	if (there !== -1 && isMeant) obey(next, message, there, answered ? sender : undefined, faults);
-	else if (there !== -1 && answered && sender !== undefined) endLife(sender, message.life);
+	const isAddressee = answeringIndex === message.incarnation || faults.anyLifeObeys;
+	if (answeringIndex !== -1 && isAddressee)
+		carryOut(next, message, answeringIndex, answered ? sender : undefined, faults);
+	else if (answeringIndex !== -1 && answered && sender !== undefined)
+		endIncarnation(sender, message.incarnation);
 }
 
-function obey(
-	next: types.LivesState,
+function carryOut(
+	next: types.IncarnationState,
 	message: types.Message,
-	there: number,
-	asker: types.Owner | undefined,
-	faults: types.LivesFaults,
+	answeringIndex: number,
+	answeredOwner: types.Owner | undefined,
+	faults: types.IncarnationFaults,
 ): void {
-	const life = at(next.lives, there);
-	const isHeeded = heeds(life, message.epoch, faults);
+	const incarnation = at(next.incarnations, answeringIndex);
+	const isAccepted = acceptsEpoch(incarnation, message.epoch, faults);
 	// The lease of a start is taken also if the start is refused.
-	if (isHeeded) life.left = Math.max(life.left, message.left);
+	if (isAccepted) incarnation.leaseTicksLeft = Math.max(incarnation.leaseTicksLeft, message.leaseTicksLeft);
 	if (message.kind === 'hold') return;
-	const isStarted = isHeeded && life.left >= 0 && life.running === 0 && message.run > life.highest;
-	if (isStarted) life.running = message.run;
-	const isPlaced = asker?.placed === message.life && asker.run === message.run && !asker.confirmed;
-	if (asker === undefined || !isPlaced) return;
-	if (life.running === message.run) asker.confirmed = true;
-	else asker.placed = -1;
+	const isStarted =
+		isAccepted &&
+		incarnation.leaseTicksLeft >= 0 &&
+		incarnation.running === 0 &&
+		message.run > incarnation.highestExitedRun;
+	if (isStarted) incarnation.running = message.run;
+	const isAwaited =
+		answeredOwner?.placed === message.incarnation &&
+		answeredOwner.run === message.run &&
+		!answeredOwner.confirmed;
+	if (answeredOwner === undefined || !isAwaited) return;
+	if (incarnation.running === message.run) answeredOwner.confirmed = true;
+	else answeredOwner.placed = -1;
 }
--- a/spec/lives/types.ts
+++ b/spec/lives/types.ts
@@ -1,7 +1,7 @@
 /** What the model of workers' lives is made of. */
 
 /** Single faults of the protocol; it has none of them, each mutant has one. */
-export interface LivesFaults {
+export interface IncarnationFaults {
 	/** An entry for another life at the address ends a session. */
 	listProves: boolean;
 	/** Starts go to a life that is not on the stored roster yet, so a successor takes it for empty. */
@@ -27,7 +27,7 @@
 }
 
 /** The protocol as it should be. */
-export const noLivesFaults: LivesFaults = {
+export const noIncarnationFaults: IncarnationFaults = {
 	listProves: false,
 	unknownIsEmpty: false,
 	goneWhileAlive: false,
@@ -42,31 +42,31 @@
 };
 
 /** Bounds of an exploration. */
-export interface LivesBounds {
+export interface IncarnationBounds {
 	owners: number;
 	/** Starts by each owner. */
 	starts: number;
 	/** The first life may crash, and another begin at its address. */
-	reborn: boolean;
+	reusesAddress: boolean;
 	/** Messages under way at a time. */
-	messages: number;
+	maxMessagesInFlight: number;
 	/** Questions with a lease come late too, not only starts. */
-	lateHolds: boolean;
+	lateReportRequests: boolean;
 	/** Owners are replaced only by their planned stop: their messages are still under way, they do nothing more. */
 	plannedStops: boolean;
 }
 
 /** One life of a worker. */
-export interface Life {
+export interface Incarnation {
 	phase: 'before' | 'alive' | 'over';
 	/** The highest epoch it has seen. */
 	epoch: number;
 	/** The run there; 0: none. */
 	running: number;
 	/** The highest run that ended or was stopped there. */
-	highest: number;
+	highestExitedRun: number;
 	/** Ticks left of its lease; negative: over. */
-	left: number;
+	leaseTicksLeft: number;
 }
 
 /** What an owner knows of a life. */
@@ -77,16 +77,16 @@
 	 */
 	state: 'asked' | 'empty' | 'heard';
 	/** The life stands on the stored roster. */
-	rostered: boolean;
+	isOnStoredRoster: boolean;
 	/** Ticks until every lease there is over; `over` or `believed` after that. */
-	left: number;
+	ticksUntilLeaseExpiry: number;
 }
 
 /** Every lease there is over. */
-export const over = -1;
+export const leasesExpired = -1;
 
 /** The epoch was confirmed after that. */
-export const believed = -2;
+export const leaseExpiryConfirmed = -2;
 
 /** An owner of the task. */
 export interface Owner {
@@ -94,7 +94,7 @@
 	phase: 'new' | 'on' | 'stopped';
 	epoch: number;
 	/** Ticks since its last confirmed call to the store. */
-	age: number;
+	ticksSinceConfirmation: number;
 	/** By life; null: it knows none. */
 	sessions: (Session | null)[];
 	/** The life at which it believes the task to be; -1: none. */
@@ -104,29 +104,29 @@
 	/** The run placed is known to have begun. */
 	confirmed: boolean;
 	/** By life, the newest run that was taken for lost while its start might still be under way; 0: none. */
-	doubts: number[];
+	unconfirmedRuns: number[];
 }
 
 /** An order under way. */
 export interface Message {
 	kind: 'start' | 'hold';
-	life: number;
+	incarnation: number;
 	epoch: number;
 	/** 0 with a hold. */
 	run: number;
 	/** Ticks left of the lease that it brings; negative: over. */
-	left: number;
+	leaseTicksLeft: number;
 }
 
 /** A state of the model. */
-export interface LivesState {
+export interface IncarnationState {
 	epoch: number;
 	/** Lives on the stored roster: bits. */
 	roster: number;
 	owners: Owner[];
-	lives: Life[];
+	incarnations: Incarnation[];
 	messages: Message[];
 	/** The task has finished. */
 	done: boolean;
-	wrong: string;
+	violation: string;
 }
--- a/spec/restarts.ts
+++ b/spec/restarts.ts
@@ -31,31 +31,31 @@
 	listProves: false,
 };
 
-const lifeNumbers = [1, 2];
+const incarnationNumbers = [1, 2];
 
 /** The worker that stays up. */
-const other = 0;
+const otherWorker = 0;
 
 /** Ends of other tasks that were read from the first life before. */
-const endsBefore = 1;
+const initialExits = 1;
 
 /** Starts of the task, and tokens, at most. */
-const mostStarts = 3;
-const mostTokens = 6;
+const maxStarts = 3;
+const maxTokens = 6;
 
 /** The life that has the name now. */
 interface Worker {
-	life: number;
+	incarnation: number;
 	alive: boolean;
 	/** The highest token it has seen. */
 	token: number;
 	/** The run there; 0: none. */
 	running: number;
 	/** The highest run that ended there. */
-	highest: number;
+	highestExitedRun: number;
 	/** Number of the newest end, and the run whose end is listed; 0: none. */
-	ends: number;
-	listed: number;
+	newestExit: number;
+	listedRun: number;
 }
 
 /** What the owner knows of one life. */
@@ -63,21 +63,21 @@
 	state: 'none' | 'open' | 'superseded' | 'gone';
 	token: number;
 	/** A report of it was taken. */
-	heard: boolean;
+	hasReported: boolean;
 	/** No call failed since its newest report, and that is fresh. */
-	fresh: boolean;
+	hasFreshReport: boolean;
 	/** Ends up to here are stored. */
-	read: number;
+	newestStoredExit: number;
 }
 
 /** A state of the model. */
 export interface RestartState {
 	worker: Worker;
 	/** The run on the other worker; 0: none. */
-	beside: number;
+	runOnOtherWorker: number;
 	sessions: Session[];
 	/** Newest token. */
-	tokens: number;
+	newestToken: number;
 	/** Newest run. */
 	runs: number;
 	/** Where the owner believes the task to be: a life, or `other`; null: nowhere. */
@@ -85,223 +85,246 @@
 	/** Its end is stored. */
 	done: boolean;
 	/** An end of it was forgotten. */
-	noted: boolean;
+	isExitAcknowledged: boolean;
 	/** Starts under way to the name. */
 	starts: { token: number; run: number }[];
-	wrong: string;
+	violation: string;
 }
 
 const initial: RestartState = {
-	worker: { life: 1, alive: true, token: 1, running: 0, highest: 0, ends: endsBefore, listed: 0 },
-	beside: 0,
+	worker: {
+		incarnation: 1,
+		alive: true,
+		token: 1,
+		running: 0,
+		highestExitedRun: 0,
+		newestExit: initialExits,
+		listedRun: 0,
+	},
+	runOnOtherWorker: 0,
 	sessions: [
-		{ state: 'open', token: 1, heard: true, fresh: true, read: endsBefore },
-		{ state: 'none', token: 0, heard: false, fresh: false, read: 0 },
+		{ state: 'open', token: 1, hasReported: true, hasFreshReport: true, newestStoredExit: initialExits },
+		{ state: 'none', token: 0, hasReported: false, hasFreshReport: false, newestStoredExit: 0 },
 	],
-	tokens: 1,
+	newestToken: 1,
 	runs: 0,
 	placed: null,
 	done: false,
-	noted: false,
+	isExitAcknowledged: false,
 	starts: [],
-	wrong: '',
+	violation: '',
 };
 
-function sessionOf(state: RestartState, life: number): Session {
-	const session = state.sessions[life - 1];
-	if (session === undefined) throw new Error(`no life ${String(life)}`);
+function sessionOf(state: RestartState, incarnation: number): Session {
+	const session = state.sessions[incarnation - 1];
+	if (session === undefined) throw new Error(`no life ${String(incarnation)}`);
 	return session;
 }
 
-function open(next: RestartState, life: number, faults: RestartFaults): void {
-	const token = faults.oneToken ? next.tokens : (next.tokens += 1);
-	Object.assign(sessionOf(next, life), { state: 'open', token, heard: false, fresh: false, read: 0 });
+function openSession(next: RestartState, incarnation: number, faults: RestartFaults): void {
+	const token = faults.oneToken ? next.newestToken : (next.newestToken += 1);
+	Object.assign(sessionOf(next, incarnation), {
+		state: 'open',
+		token,
+		hasReported: false,
+		hasFreshReport: false,
+		newestStoredExit: 0,
+	});
 }
 
 /** A run begins. */
-function begin(next: RestartState, where: 'worker' | 'beside', run: number): void {
-	const isElsewhere = where === 'worker' ? next.beside !== 0 : next.worker.running !== 0;
-	if (isElsewhere) next.wrong = 'two runs at once';
-	if (next.noted) next.wrong = 'started after an end that was forgotten';
+function beginRun(next: RestartState, where: 'worker' | 'beside', run: number): void {
+	const isElsewhere = where === 'worker' ? next.runOnOtherWorker !== 0 : next.worker.running !== 0;
+	if (isElsewhere) next.violation = 'two runs at once';
+	if (next.isExitAcknowledged) next.violation = 'started after an end that was forgotten';
 	if (where === 'worker') next.worker.running = run;
-	else next.beside = run;
+	else next.runOnOtherWorker = run;
 }
 
 /** A life ends with all that was believed to be there, but for what a later one has of it. */
-function bury(next: RestartState, life: number, heir: number): void {
-	const session = sessionOf(next, life);
+function endIncarnation(next: RestartState, incarnation: number, successor: number): void {
+	const session = sessionOf(next, incarnation);
 	if (session.state === 'none' || session.state === 'gone') return;
 	session.state = 'gone';
 	const { placed, worker } = next;
-	if (placed?.at !== life) return;
-	if (worker.running === placed.run) next.placed = { at: heir, run: placed.run, confirmed: true };
+	if (placed?.at !== incarnation) return;
+	if (worker.running === placed.run) next.placed = { at: successor, run: placed.run, confirmed: true };
 	else next.placed = null;
 }
 
 /** A question to a life is carried out by the one that has the name; false: that has seen a higher token. */
-function carryOut(next: RestartState, session: Session, faults: RestartFaults): boolean {
+function carryOutPoll(next: RestartState, session: Session, faults: RestartFaults): boolean {
 	const { worker } = next;
 	if (session.token < worker.token) return false;
 	worker.token = session.token;
-	const isNamed = session.fresh || faults.endsNamed;
-	if (isNamed && worker.listed !== 0 && worker.ends <= session.read) {
-		worker.listed = 0;
-		next.noted = true;
+	const namesExits = session.hasFreshReport || faults.endsNamed;
+	if (namesExits && worker.listedRun !== 0 && worker.newestExit <= session.newestStoredExit) {
+		worker.listedRun = 0;
+		next.isExitAcknowledged = true;
 	}
 	return true;
 }
 
 /** A question to a life is carried out and answered. */
-function ask(next: RestartState, life: number, faults: RestartFaults): void {
-	const session = sessionOf(next, life);
+function poll(next: RestartState, incarnation: number, faults: RestartFaults): void {
+	const session = sessionOf(next, incarnation);
 	const { worker } = next;
-	if (!carryOut(next, session, faults)) {
-		session.token = next.tokens += 1;
-		if (!faults.renewedUnheard) session.heard = false;
+	if (!carryOutPoll(next, session, faults)) {
+		session.token = next.newestToken += 1;
+		if (!faults.renewedUnheard) session.hasReported = false;
 		return;
 	}
-	if (worker.life !== life && !faults.nameOnly) {
+	if (worker.incarnation !== incarnation && !faults.nameOnly) {
 		session.state = 'superseded';
-		if (faults.freeFirst && next.placed?.at === life) next.placed = null;
-		const later = sessionOf(next, worker.life);
-		if (later.state === 'none') open(next, worker.life, faults);
-		else if (later.token < session.token) later.token = next.tokens += 1;
+		if (faults.freeFirst && next.placed?.at === incarnation) next.placed = null;
+		const laterSession = sessionOf(next, worker.incarnation);
+		if (laterSession.state === 'none') openSession(next, worker.incarnation, faults);
+		else if (laterSession.token < session.token) laterSession.token = next.newestToken += 1;
 		return;
 	}
-	takeReport(next, life);
+	applyReport(next, incarnation);
 }
 
-function takeReport(next: RestartState, life: number): void {
-	const session = sessionOf(next, life);
+function applyReport(next: RestartState, incarnation: number): void {
+	const session = sessionOf(next, incarnation);
 	const { worker } = next;
-	Object.assign(session, { heard: true, fresh: true });
-	for (const one of lifeNumbers) if (one !== life) bury(next, one, life);
-	if (worker.listed !== 0 && worker.ends > session.read) {
+	Object.assign(session, { hasReported: true, hasFreshReport: true });
+	for (const one of incarnationNumbers) if (one !== incarnation) endIncarnation(next, one, incarnation);
+	if (worker.listedRun !== 0 && worker.newestExit > session.newestStoredExit) {
 		next.done = true;
 		next.placed = null;
-		session.read = worker.ends;
+		session.newestStoredExit = worker.newestExit;
 	}
 	const { placed } = next;
 	if (worker.running !== 0 && next.done) worker.running = 0;
 	else if (worker.running !== 0 && placed === null)
-		next.placed = { at: life, run: worker.running, confirmed: true };
-	else if (worker.running === 0 && placed?.at === life && placed.confirmed) next.placed = null;
-	else if (placed?.at === life && worker.running === placed.run) placed.confirmed = true;
+		next.placed = { at: incarnation, run: worker.running, confirmed: true };
+	else if (worker.running === 0 && placed?.at === incarnation && placed.confirmed) next.placed = null;
+	else if (placed?.at === incarnation && worker.running === placed.run) placed.confirmed = true;
 }
 
 /** A start is carried out by whoever has the name; `answered`: the owner hears what came of it. */
-function arrive(next: RestartState, index: number, answered: boolean): void {
+function deliverStart(next: RestartState, index: number, answered: boolean): void {
 	const [start] = next.starts.splice(index, 1);
 	if (start === undefined) return;
 	const { worker, placed } = next;
-	const isTaken = start.token >= worker.token && worker.running === 0 && start.run > worker.highest;
+	const isAccepted =
+		start.token >= worker.token && worker.running === 0 && start.run > worker.highestExitedRun;
 	worker.token = Math.max(worker.token, start.token);
-	if (isTaken) begin(next, 'worker', start.run);
+	if (isAccepted) beginRun(next, 'worker', start.run);
 	if (!answered || placed?.run !== start.run) return;
-	if (isTaken) placed.confirmed = true;
+	if (isAccepted) placed.confirmed = true;
 	else next.placed = null;
 }
 
 /** A stop of the run that was placed is answered: its start is refused from then on, so a report tells whether it is there. */
-function stop(next: RestartState, session: Session): void {
+function stopRun(next: RestartState, session: Session): void {
 	const { worker, placed } = next;
 	if (placed === null || session.token < worker.token) return;
 	worker.token = session.token;
 	if (worker.running === placed.run) worker.running = 0;
-	worker.highest = Math.max(worker.highest, placed.run);
+	worker.highestExitedRun = Math.max(worker.highestExitedRun, placed.run);
 	placed.confirmed = true;
 	// Assumed: a start that was stopped does not come after a restart.
 	next.starts = next.starts.filter(({ run }) => run !== placed.run);
 }
 
 function restart(worker: Worker): void {
-	Object.assign(worker, { life: 2, alive: true, token: 0, running: 0, highest: 0, ends: 0, listed: 0 });
+	Object.assign(worker, {
+		incarnation: 2,
+		alive: true,
+		token: 0,
+		running: 0,
+		highestExitedRun: 0,
+		newestExit: 0,
+		listedRun: 0,
+	});
 }
 
-function finish(next: RestartState): void {
+function finishRun(next: RestartState): void {
 	const { worker } = next;
-	worker.listed = worker.running;
-	worker.highest = worker.running;
+	worker.listedRun = worker.running;
+	worker.highestExitedRun = worker.running;
 	worker.running = 0;
-	worker.ends += 1;
+	worker.newestExit += 1;
 }
 
 function stepsOf(state: RestartState, faults: RestartFaults): { name: string; next: RestartState }[] {
-	const found: { name: string; next: RestartState }[] = [];
+	const possibleSteps: { name: string; next: RestartState }[] = [];
 	const step = (name: string, isPossible: boolean, act: (next: RestartState) => void): void => {
 		if (!isPossible) return;
 		const next = structuredClone(state);
 		act(next);
-		found.push({ name, next });
+		possibleSteps.push({ name, next });
 	};
 	const { worker, placed } = state;
-	step('the worker crashes', worker.alive && worker.life === 1, (next) => {
-		Object.assign(next.worker, { alive: false, running: 0, listed: 0 });
+	step('the worker crashes', worker.alive && worker.incarnation === 1, (next) => {
+		Object.assign(next.worker, { alive: false, running: 0, listedRun: 0 });
 		// Another life takes longer to come and to end a run than an answer stays fresh.
-		sessionOf(next, 1).fresh = false;
+		sessionOf(next, 1).hasFreshReport = false;
 	});
 	step('the worker starts again', !worker.alive, (next) => {
 		restart(next.worker);
 	});
-	step('the run ends', worker.running !== 0, finish);
-	step('the run on the other worker ends', state.beside !== 0, (next) => {
-		next.beside = 0;
+	step('the run ends', worker.running !== 0, finishRun);
+	step('the run on the other worker ends', state.runOnOtherWorker !== 0, (next) => {
+		next.runOnOtherWorker = 0;
 		next.done = true;
-		next.noted = true;
-		if (next.placed?.at === other) next.placed = null;
+		next.isExitAcknowledged = true;
+		if (next.placed?.at === otherWorker) next.placed = null;
 	});
-	const mayPlace = !state.done && placed === null && state.runs < mostStarts;
+	const mayPlace = !state.done && placed === null && state.runs < maxStarts;
 	step('the owner starts the task on the other worker', mayPlace, (next) => {
 		next.runs += 1;
-		next.placed = { at: other, run: next.runs, confirmed: true };
-		begin(next, 'beside', next.runs);
+		next.placed = { at: otherWorker, run: next.runs, confirmed: true };
+		beginRun(next, 'beside', next.runs);
 	});
 	for (const [index, { run }] of state.starts.entries())
 		for (const answered of [true, false])
 			step(`start ${String(run)} arrives${answered ? '' : ', without an answer'}`, worker.alive, (next) => {
-				arrive(next, index, answered);
+				deliverStart(next, index, answered);
 			});
-	for (const life of lifeNumbers) {
-		const session = sessionOf(state, life);
+	for (const incarnation of incarnationNumbers) {
+		const session = sessionOf(state, incarnation);
 		const isOpen = session.state === 'open';
-		const name = `life ${String(life)}`;
-		const isListable = session.state === 'none' && life <= worker.life;
+		const name = `life ${String(incarnation)}`;
+		const isListable = session.state === 'none' && incarnation <= worker.incarnation;
 		step(`the list names ${name}`, isListable, (next) => {
-			if (faults.listProves) bury(next, 1, life);
-			open(next, life, faults);
+			if (faults.listProves) endIncarnation(next, 1, incarnation);
+			openSession(next, incarnation, faults);
 		});
-		step(`a start is sent to ${name}`, isOpen && session.heard && mayPlace, (next) => {
+		step(`a start is sent to ${name}`, isOpen && session.hasReported && mayPlace, (next) => {
 			next.runs += 1;
-			next.placed = { at: life, run: next.runs, confirmed: false };
+			next.placed = { at: incarnation, run: next.runs, confirmed: false };
 			next.starts.push({ token: session.token, run: next.runs });
 		});
-		const isDoubtful = placed?.at === life && !placed.confirmed;
-		step(`the owner stops the run at ${name}`, isOpen && isDoubtful && worker.alive, (next) => {
-			stop(next, sessionOf(next, life));
+		const isUnconfirmed = placed?.at === incarnation && !placed.confirmed;
+		step(`the owner stops the run at ${name}`, isOpen && isUnconfirmed && worker.alive, (next) => {
+			stopRun(next, sessionOf(next, incarnation));
 		});
-		step(`a question to ${name} fails`, isOpen && session.fresh, (next) => {
-			sessionOf(next, life).fresh = false;
+		step(`a question to ${name} fails`, isOpen && session.hasFreshReport, (next) => {
+			sessionOf(next, incarnation).hasFreshReport = false;
 		});
 		step(`a question to ${name} is carried out, without an answer`, isOpen && worker.alive, (next) => {
-			carryOut(next, sessionOf(next, life), faults);
-			sessionOf(next, life).fresh = false;
+			carryOutPoll(next, sessionOf(next, incarnation), faults);
+			sessionOf(next, incarnation).hasFreshReport = false;
 		});
 		step(`a question to ${name} is answered`, isOpen && worker.alive, (next) => {
-			ask(next, life, faults);
+			poll(next, incarnation, faults);
 		});
 	}
-	return found;
+	return possibleSteps;
 }
 
 /** The model with these faults. */
 export function restartModel(name: string, faults: RestartFaults): explore.Model<RestartState> {
 	return {
 		name,
-		bounds: `one restart, ${String(mostStarts)} starts, late ones but for those that were stopped, ${String(mostTokens)} tokens; questions that name ends are not late`,
+		bounds: `one restart, ${String(maxStarts)} starts, late ones but for those that were stopped, ${String(maxTokens)} tokens; questions that name ends are not late`,
 		initial,
-		steps: (state) => (state.wrong === '' && state.tokens < mostTokens ? stepsOf(state, faults) : []),
-		wrong: ({ wrong }) => (wrong === '' ? undefined : wrong),
-		goal: ({ done }) => done,
-		outOfBounds: ({ runs, tokens }) => runs >= mostStarts || tokens >= mostTokens - 1,
+		steps: (state) => (state.violation === '' && state.newestToken < maxTokens ? stepsOf(state, faults) : []),
+		violation: ({ violation }) => (violation === '' ? undefined : violation),
+		isGoal: ({ done }) => done,
+		isOutOfBounds: ({ runs, newestToken }) => runs >= maxStarts || newestToken >= maxTokens - 1,
 	};
 }
--- a/spec/run.ts
+++ b/spec/run.ts
@@ -7,9 +7,9 @@
 import * as threads from 'node:worker_threads';
 import * as url from 'node:url';
 import * as assets from '../src/core/assets.js';
-import * as catalogue from './checks.js';
+import * as modelChecks from './checks.js';
 import * as explore from './explore.js';
-import * as workingOff from '../dev/for-each-concurrently.js';
+import * as concurrency from '../dev/for-each-concurrently.js';
 
 /** Memory that one exploration may take, in MiB. */
 const heapMb = 3_000;
@@ -19,7 +19,7 @@
 
 const expectedFile = assets.assetPath('spec/expected.json');
 
-interface Counted {
+interface ExpectedResult {
 	name: string;
 	kind: explore.Verdict['kind'];
 	states: number;
@@ -28,7 +28,7 @@
 	trace?: string[];
 }
 
-function explored(index: number): Promise<{ verdict: explore.Verdict; ms: number }> {
+function exploreInThread(index: number): Promise<{ verdict: explore.Verdict; ms: number }> {
 	const startedAt = performance.now();
 	return new Promise((resolve, reject) => {
 		const thread = new threads.Worker(url.fileURLToPath(import.meta.url), {
@@ -42,41 +42,49 @@
 	});
 }
 
-function count(name: string, verdict: explore.Verdict): Counted {
+function toExpectedResult(name: string, verdict: explore.Verdict): ExpectedResult {
 	if (verdict.kind === 'wrong')
 		return { name, kind: verdict.kind, states: verdict.states, trace: verdict.trace };
 	return { name, kind: verdict.kind, states: verdict.states, steps: verdict.steps, stuck: verdict.stuck };
 }
 
-function print(check: catalogue.Check, verdict: explore.Verdict, ms: number, fine: boolean): void {
-	const mark = fine ? 'ok  ' : 'FAIL';
-	const took = `${(ms / 1000).toFixed(1)} s`;
+function printResult(
+	check: modelChecks.Check,
+	verdict: explore.Verdict,
+	ms: number,
+	isPassed: boolean,
+): void {
+	const status = isPassed ? 'ok  ' : 'FAIL';
+	const duration = `${(ms / 1000).toFixed(1)} s`;
 	if (verdict.kind === 'holds') {
 		const counts = `${verdict.states} states, ${verdict.steps} steps, ${verdict.stuck} without an end`;
-		console.log(`${mark} ${check.name}: holds; ${counts} (${check.bounds}; ${took})`);
+		console.log(`${status} ${check.name}: holds; ${counts} (${check.bounds}; ${duration})`);
 		return;
 	}
-	console.log(`${mark} ${check.name}: wrong after ${verdict.states} states: ${verdict.what} (${took})`);
+	console.log(
+		`${status} ${check.name}: wrong after ${verdict.states} states: ${verdict.violation} (${duration})`,
+	);
 	for (const step of verdict.trace) console.log(`         ${step}`);
 }
 
 async function main(): Promise<void> {
 	const update = process.argv.includes('--update');
-	const expected = update ? [] : (JSON.parse(fs.readFileSync(expectedFile, 'utf8')) as Counted[]);
-	const results: Counted[] = [];
-	const queue = catalogue.checks.map((check, index) => ({ check, index }));
+	const expected = update ? [] : (JSON.parse(fs.readFileSync(expectedFile, 'utf8')) as ExpectedResult[]);
+	const results: ExpectedResult[] = [];
+	const queue = modelChecks.checks.map((check, index) => ({ check, index }));
 	// The longest first: the last one to begin would otherwise run alone for minutes.
 	queue.sort((a, b) => (expected[b.index]?.states ?? 0) - (expected[a.index]?.states ?? 0));
 	let failed = 0;
-	const atOnce = Math.min(maxThreads, os.availableParallelism());
-	await workingOff.forEachConcurrently(queue, atOnce, async ({ check, index }) => {
-		const { verdict, ms } = await explored(index);
-		const counted = count(check.name, verdict);
-		results[index] = counted;
-		const right = verdict.kind === check.expect && (verdict.kind === 'wrong' || verdict.stuck === 0);
-		const same = update || JSON.stringify(expected[index]) === JSON.stringify(counted);
-		if (!right || !same) failed += 1;
-		print(check, verdict, ms, right && same);
+	const threadCount = Math.min(maxThreads, os.availableParallelism());
+	await concurrency.forEachConcurrently(queue, threadCount, async ({ check, index }) => {
+		const { verdict, ms } = await exploreInThread(index);
+		const result = toExpectedResult(check.name, verdict);
+		results[index] = result;
+		const isExpectedVerdict =
+			verdict.kind === check.expect && (verdict.kind === 'wrong' || verdict.stuck === 0);
+		const isUnchanged = update || JSON.stringify(expected[index]) === JSON.stringify(result);
+		if (!isExpectedVerdict || !isUnchanged) failed += 1;
+		printResult(check, verdict, ms, isExpectedVerdict && isUnchanged);
 	});
 	if (update) fs.writeFileSync(expectedFile, `${JSON.stringify(results, null, '\t')}\n`);
 	console.log(`${results.length - failed} checks passed, ${failed} failed`);
@@ -86,6 +94,6 @@
 if (threads.isMainThread) {
 	await main();
 } else {
-	const check = catalogue.checks[threads.workerData as number];
+	const check = modelChecks.checks[threads.workerData as number];
 	if (check !== undefined) threads.parentPort?.postMessage(check.run(explore.explore));
 }
