--- a/spec/checks.ts
+++ b/spec/checks.ts
@@ -5,7 +5,7 @@
 import * as dispatch from './dispatch.js';
 import * as evacuations from './evacuations.js';
 import * as lease from './lease.js';
-import * as incarnations from './lives/index.js';
+import * as incarnations from './incarnations/index.js';
 import * as restarts from './restarts.js';
 import type * as explore from './explore.js';
 
--- a/spec/lives/alike.ts
+++ b/spec/incarnations/canonical-state.ts
@@ -1,5 +1,5 @@
 /** Makes states alike that can't differ in what follows: fewer states, none lost. */
-import * as transitions from './moves.js';
+import * as transitions from './transitions.js';
 import * as types from './types.js';
 
 /** An owner that has not taken over. */
--- a/spec/lives/index.ts
+++ b/spec/incarnations/index.ts
@@ -9,8 +9,8 @@
  * number of ticks has no bound. An owner that dies takes no more steps. What becomes of a noted end is in `spec/dispatch.ts`; here a task that finishes is the
  * end of the exploration.
  */
-import * as canonical from './alike.js';
-import * as transitions from './moves.js';
+import * as canonical from './canonical-state.js';
+import * as transitions from './transitions.js';
 import * as types from './types.js';
 import type * as explore from '../explore.js';
 
