--- a/spec/checks.ts
+++ b/spec/checks.ts
@@ -1,4 +1,7 @@
-/** Every check that CI runs: the protocols within bounds, and each guard's mutant, which must be found wrong. */
+/**
+ * Every model check that CI runs: each protocol within bounds, and a mutant for each guard or fault, in which a violation
+ * must be found.
+ */
 import * as claim from './claim.js';
 import * as config from './config.js';
 import * as crashes from './crashes.js';
@@ -9,10 +12,10 @@
 import * as restarts from './restarts.js';
 import type * as explore from './explore.js';
 
-/** One check. */
+/** A model and the verdict that is expected. */
 export interface Check {
 	expect: 'holds' | 'wrong';
-	/** Explores the model; states differ in type from model to model. */
+	/** Explores the model. The explorer is generic, as each model has its own type of state. */
 	run: (explorer: <S>(model: explore.Model<S>) => explore.Verdict) => explore.Verdict;
 	name: string;
 	bounds: string;
@@ -35,7 +38,7 @@
 	lost: false,
 };
 
-/** The lease model's bounds: each failure with two workers where the states allow, combined with one worker. */
+/** Bounds of the lease model: single failures with two workers where the number of states allows, combined ones with one. */
 const leaseBounds = {
 	'late messages': { ...base, late: 'first', ends: false },
 	'lost answers': { ...base, lost: true },
@@ -45,7 +48,7 @@
 	'two tasks, lost answers': { ...base, workers: 1, tasks: 2, attempts: 1, lost: true },
 } satisfies Record<string, Bounds>;
 
-/** For each guard, bounds within which leaving it out goes wrong. */
+/** For each guard, bounds within which its removal leads to a violation. */
 const leaseMutants: Record<keyof lease.Guards, keyof typeof leaseBounds> = {
 	epoch: 'restart and late messages',
 	order: 'restart and late messages',
@@ -108,7 +111,7 @@
 	return { bounds: { owners, ticks, runs, closings, statements }, storesPlace };
 }
 
-/** The dispatch model's variants: owners, ticks, starts, closed entries and statements of each owner. */
+/** Variants of the dispatch model: owners, ticks, and the starts, closed entries and reported expiries of each owner. */
 const dispatchVariants = {
 	dispatch: dispatchVariant([2, 3, 2, 0]),
 	'dispatch: three owners': dispatchVariant([3, 3, 1, 0]),
@@ -121,7 +124,7 @@
 	'dispatch: statements, three owners': dispatchVariant([3, 0, 1, 0, 1]),
 } satisfies Record<string, DispatchVariant>;
 
-/** Variants in which leaving out a guard goes wrong, where it doesn't in the first one. */
+/** The variant in which the removal of a guard leads to a violation; guards not listed use the first variant. */
 const dispatchMutants: Partial<Record<keyof dispatch.DispatchGuards, keyof typeof dispatchVariants>> = {
 	confirmWaited: 'dispatch: three owners',
 	rosterEpoch: 'dispatch: closed entries, three owners',
@@ -170,7 +173,10 @@
 	plannedStops: false,
 };
 
-/** The bounds of the model of lives: a life that is followed by another, and planned stops, with fewer starts. */
+/**
+ * Bounds of the model of worker incarnations, which the names of checks call lives. With two owners, a reused address is
+ * explored with one start each.
+ */
 const livesVariants = {
 	'lives: an address used again': { ...livesBase, starts: 1, reborn: true },
 	'lives: two starts': livesBase,
@@ -192,7 +198,7 @@
 	},
 } satisfies Record<string, lives.LivesBounds>;
 
-/** For each fault, variants in which it goes wrong. */
+/** For each fault, the variants in which it leads to a violation. */
 const livesMutants: Record<keyof lives.LivesFaults, (keyof typeof livesVariants)[]> = {
 	listProves: ['lives: an address used again', 'lives: one owner, an address used again'],
 	unknownIsEmpty: ['lives: two starts', 'lives: planned stop'],
@@ -226,7 +232,7 @@
 	return [...holds, ...mutants];
 }
 
-/** Owners that die, in the model of crashes. */
+/** Owners that die in the crash model, at most. */
 const crashDeaths = 4;
 
 function crashChecks(): Check[] {
--- a/spec/claim.ts
+++ b/spec/claim.ts
@@ -1,23 +1,23 @@
 /**
- * Model of keyed requests: a caller sends the same request several times through different entry boxes; boxes die,
- * messages are lost, late or doubled. The claim's own rules are the program's (`decideRequest`); that the log behind
- * them is one log is what the lease model shows.
+ * Model of keyed requests: a caller sends the same request several times through different boxes; boxes die, and messages
+ * are lost, late or duplicated. The rules of claims are the program's own (`decideRequest`). The lease model shows that the
+ * log behind them is a single log.
  */
 import * as requests from '../src/core/scheduler/requests.js';
 import * as shards from '../src/core/shard/index.js';
 import type * as explore from './explore.js';
 
-/** The guards, all on in the protocol. */
+/** The guards of the protocol, which has them all; each mutant leaves one out. `spec/expected.json` contains these names. */
 export interface ClaimGuards {
 	/** A request is sent only once its claim is granted. */
 	claimFirst: boolean;
-	/** A claim that still runs is never granted to another, even if its holder is gone. */
+	/** A running claim is never granted to another, even if its holder is gone. */
 	neverRegrant: boolean;
-	/** Silence after the send counts as "may have run". */
+	/** A request that gets no answer after it was sent counts as "may have run". */
 	silenceMayHaveRun: boolean;
-	/** Only the holder's word ends a claim. */
+	/** Only the holder of a claim can end it. */
 	holderEnds: boolean;
-	/** An owner whose grant was not heard does not take the claim back by itself: its asker may be repeating the call. */
+	/** An owner whose grant got lost does not take the claim back by itself: the requester may be repeating the call. */
 	askerGivesBack: boolean;
 }
 
@@ -34,7 +34,7 @@
 
 interface Try {
 	phase: Phase;
-	/** What the caller was told. */
+	/** What was reported to the caller; empty: nothing yet. */
 	told: '' | 'answer' | 'not-run' | 'may-have-run';
 	ran: boolean;
 	boxDead: boolean;
@@ -51,7 +51,7 @@
 export interface ClaimState {
 	claim: { holder: number; outcome: shards.ClaimOutcome } | null;
 	tries: Try[];
-	/** Ends of claims under way; one may arrive twice. */
+	/** Ends of claims in flight; each may arrive more than once. */
 	ends: LateEnd[];
 	wrong: string;
 }
@@ -159,7 +159,7 @@
 	type Add = (name: string, change: (next: ClaimState) => void) => void;
 
 	const trySteps = (state: ClaimState, index: number, one: Try, add: Add): void => {
-		// The caller tries again only after the try before has ended for it.
+		// The caller tries again only after its previous try has ended.
 		const before = state.tries[index - 1];
 		if (one.phase === 'new' && before !== undefined && before.phase !== 'over') return;
 		if (one.phase === 'new') {
--- a/spec/config.ts
+++ b/spec/config.ts
@@ -1,22 +1,22 @@
 /**
- * Model of the configuration record: operators race with changes by compare-and-swap, answers are lost, processes
- * learn versions from the platform and from each other, late pushes arrive, and a process starts anew in an outage.
- * A version counts as settled once it has been in force everywhere, which the promise allows seconds for; before that
- * a process that starts anew in an outage may learn an older one from a peer that has not heard yet.
+ * Model of the configuration record: operators race with changes by compare-and-swap, answers are lost, processes learn
+ * versions from the platform and from each other, late pushes arrive, and a process restarts in an outage. Once a version
+ * has been in force everywhere, which the guarantee allows seconds for, no process may serve an older one. Before that, a
+ * process that restarts in an outage may learn an older version from a peer that has not learned the newest one yet.
  */
 import type * as explore from './explore.js';
 
-/** The guards, all on in the protocol. */
+/** The guards of the protocol, which has them all; each mutant leaves one out. `spec/expected.json` contains these names. */
 export interface ConfigGuards {
 	/** A write goes through only on the version it was made from. */
 	compareAndSwap: boolean;
-	/** An unanswered write is settled by looking for its nonce. */
+	/** An unanswered write is resolved by looking for its nonce. */
 	readBack: boolean;
 	/** A process only moves to a higher version. */
 	onlyHigher: boolean;
-	/** A push, which may be late, does not count as knowing for a process that has just started. */
+	/** A process that has just started does not learn its version from a push, which may be late. */
 	pushProvesNothing: boolean;
-	/** A process that has learnt no version serves nothing. */
+	/** A process that has learned no version serves nothing. */
 	knowBeforeServing: boolean;
 }
 
@@ -30,7 +30,7 @@
 };
 
 interface Operator {
-	/** The changes by nonce that the record had when it was read; null before. */
+	/** Nonces of the changes that the record had when it was read; null: not read since the last write. */
 	read: number[] | null;
 	phase: 'idle' | 'unanswered' | 'accepted' | 'refused' | 'unknown';
 }
@@ -48,7 +48,7 @@
 	record: number[];
 	operators: Operator[];
 	processes: Process[];
-	/** A push under way to the first process. */
+	/** A push in flight to the first process; null: none. */
 	push: number[] | null;
 	restarts: number;
 	/** Highest version that has been in force everywhere. */
--- a/spec/crashes.ts
+++ b/spec/crashes.ts
@@ -1,22 +1,22 @@
 /**
- * Model of one task that crashes each worker that starts it, under owners that die at any moment. Its history is the
- * program's own (`CrashHistory`); what the model adds is when that history is stored, and what a successor makes of it.
- * Once, a worker hangs before the crash is known, so that the run may have ended unheard as far as the owner can tell.
- * The promise: once three workers have crashed under the task, it is started twice more at most.
+ * Model of one task that crashes each worker that starts it, under owners that die at any moment. Its crash history is the
+ * program's own (`CrashHistory`); the model adds when that history is stored, and what a successor concludes from it. Once,
+ * a worker hangs before the crash is known, so that for all the owner knows the run may have exited without a report. The
+ * guarantee: once three workers have crashed under the task, it is started at most twice more.
  */
 import * as crashing from '../dev/soak/crashing.js';
 import * as jobs from '../src/core/jobs/index.js';
 import type * as explore from './explore.js';
 
-/** The guards, all on in the protocol. */
+/** The guards of the protocol, which has them all; each mutant leaves one out. `spec/expected.json` contains these names. */
 export interface CrashGuards {
-	/** A task with a history is stored before each further start. */
+	/** The crash history of a task is stored before each further start. */
 	storeFirst: boolean;
-	/** A successor takes a stored start that it finds nowhere for a crash. */
+	/** A successor presumes that a stored start which it finds nowhere was a crash. */
 	settleTries: boolean;
-	/** A worker that died before it had answered a successor may have died under any task that may have been there. */
+	/** A worker that died before it answered a successor may have died under any task that may have been there. */
 	countUnseen: boolean;
-	/** A worker that died is forgotten by the roster only once what went down with it is stored. */
+	/** A dead worker is removed from the roster only once the crash of the task on it is stored. */
 	forgetLast: boolean;
 }
 
@@ -28,29 +28,28 @@
 	forgetLast: true,
 };
 
-/** Crashes of workers that hung before. */
+/** Crashes of workers that hung before, at most. */
 const mostHangs = 1;
 
-/** More starts than any run within the bounds comes to. */
+/** More starts than any trace within the bounds has. */
 const mostStarts = 9;
 
 /**
- * `waiting`: to be started. `storing`: its history is being stored. `sending`: the start is on its way. `running`,
- * `down`: its worker lives, or does not and nobody has noticed. `given-up`: by the owner of the moment.
+ * `waiting`: to be started. `storing`: its history is being stored. `sending`: its start is in flight. `running`: its worker
+ * is up. `down`: its worker has crashed, and the owner has not noticed. `given-up`: abandoned by the current owner.
  */
 type Phase = 'waiting' | 'storing' | 'sending' | 'running' | 'down' | 'given-up';
 
 /** A state of the model. */
 export interface CrashState {
 	phase: Phase;
-	/** As the owner knows it, and as it is stored; null: none. */
+	/** The crash history as the owner knows it, and as it is stored; null: none. */
 	known: jobs.StoredCrashes | null;
 	stored: jobs.StoredCrashes | null;
-	/** The roster names a worker that has died. */
 	rostered: boolean;
-	/** The owner has taken over and not heard of that worker. */
+	/** The owner has taken over, and the dead worker on the roster has not reported to it. */
 	unheard: boolean;
-	/** Number of the newest run; what really happened: workers crashed, and starts after the third of them. */
+	/** Number of the newest run; then what really happened: workers crashed, and starts after the third crash. */
 	run: number;
 	crashes: number;
 	late: number;
@@ -72,22 +71,22 @@
 	hangs: 0,
 };
 
-/** Does something to the owner's history. */
+/** Applies a change to the history that the owner knows. */
 function change(state: CrashState, fn: (history: jobs.CrashHistory) => void): void {
 	const history = jobs.CrashHistory.create(state.known ?? undefined);
 	fn(history);
 	state.known = history.isEmpty ? null : history.toStored();
 }
 
-/** The model for so many deaths of owners. */
+/** Returns the model with the given number of owners that die. */
 export function crashModel(name: string, deaths: number, guards: CrashGuards): explore.Model<CrashState> {
 	const begin = (next: CrashState): void => {
-		// The worker of before answers as another life, and nothing was heard of the task.
+		// The earlier worker answers as another incarnation, and nothing was reported of the task.
 		if (next.unheard && next.known === null && guards.countUnseen)
 			change(next, (history) => {
 				history.noteCrash(0, false);
 			});
-		// Once there is a history, no dead worker but that of the newest stored start is on the roster.
+		// Once there is a history, the only dead worker on the roster is that of the newest stored start.
 		const fate = next.unheard ? 'crashed' : 'not-started';
 		next.unheard = false;
 		if (guards.settleTries)
@@ -125,7 +124,7 @@
 
 	const store = (next: CrashState): void => {
 		next.stored = next.known;
-		// What went down with the dead worker is stored: it may be forgotten.
+		// The crash on the dead worker is stored, so the roster may drop the worker.
 		if (next.phase !== 'down') next.rostered = false;
 		if (next.phase === 'storing') next.phase = 'sending';
 	};
@@ -133,7 +132,7 @@
 	const takeOver = (next: CrashState): void => {
 		next.deaths += 1;
 		next.known = next.stored;
-		// A start on its way is fenced, or carried out first; a run is found, or its end is listed.
+		// A start in flight is fenced or carried out first; a run is found, or its exit is listed.
 		if (next.phase !== 'running') next.phase = 'waiting';
 		next.unheard = next.rostered;
 	};
--- a/spec/dispatch.ts
+++ b/spec/dispatch.ts
@@ -1,63 +1,65 @@
 /**
- * Model of dispatching without stored starts: one task, two workers, owners that follow one another. Only the epoch,
- * the roster and the task's end are stored; in a variant, for tasks that last, also the task's place before its start.
- * An entry of the roster may be closed: a successor then waits for that worker only if the entry lists the task.
- * In another variant an owner states to the next one when every lease at a silent worker is over.
- * Starts may arrive any time later, owners may sleep, workers may be out of reach of any owner. What must hold: the
- * task never runs twice at once, and never starts after its end was stored or forgotten by the worker that listed it,
- * unless that worker's lease had lapsed before.
+ * Model of dispatching without stored starts: one task, two workers, and owners that follow one another. Only the epoch, the
+ * roster and the task's exit are stored; in a variant, for long-running tasks, also the task's placement before its start. A
+ * roster entry may be closed: a successor then waits for that worker only if the entry lists the task. In another variant an
+ * owner reports to the next one when every lease at an unresponsive worker has expired; names of guards and steps call that
+ * report a statement. Starts may arrive at any later time, owners may be suspended, and workers may be unreachable for any
+ * owner. Invariants: the task never runs twice at once, and never starts after its exit was stored, or acknowledged to the
+ * worker that listed it, unless that worker's lease had expired before.
  */
 import type * as explore from './explore.js';
 
-/** The guards, all on in the protocol. */
+/** The guards of the protocol, which has them all; each mutant leaves one out. `spec/expected.json` contains these names. */
 export interface DispatchGuards {
-	/** A worker does nothing for an epoch below the highest it has seen. */
+	/** A worker does nothing for an epoch below the highest that it has seen. */
 	fence: boolean;
-	/** A worker does nothing for a start whose lease is over. */
+	/** A worker does nothing for a start whose lease has expired. */
 	notAfter: boolean;
 	/** An owner grants leases only within the horizon of its last confirmed call to the store. */
 	horizon: boolean;
-	/** A successor starts nothing before every worker of the roster is settled. */
+	/** A successor starts nothing before every worker of the roster is reconciled. */
 	settle: boolean;
-	/** A silent worker is settled only after horizon and longest lease. */
+	/** An unresponsive worker is reconciled only after the horizon and the longest lease have passed. */
 	wait: boolean;
 	/** A worker is on the stored roster before the first start there. */
 	roster: boolean;
-	/** A worker may forget an end only once it is stored. */
+	/** An exit is acknowledged to the worker only once it is stored. */
 	storeFirst: boolean;
-	/** An owner starts its own task again elsewhere only when the lease that it granted is over. */
+	/** An owner restarts its own task elsewhere only after the lease that it granted has expired. */
 	ownWait: boolean;
-	/** It believes that end of a lease only after a confirmed call to the store that it sent after the end. */
+	/** It presumes that lease expired only after a confirmed call to the store that it sent after the expiry. */
 	confirmLost: boolean;
-	/** Likewise for a silent worker that was waited out. */
+	/** The same holds for an unresponsive worker that is reconciled by waiting. */
 	confirmWaited: boolean;
 	/** A roster write takes effect only under its epoch. */
 	rosterEpoch: boolean;
-	/** An owner starts nothing on a worker whose entry is closed before it has opened it again. */
+	/** An owner starts nothing on a worker whose entry is closed before it has reopened the entry. */
 	reopen: boolean;
-	/** Nor from composing the write on that closes it. */
+	/** It starts nothing there from the moment that it composes the write that closes the entry. */
 	closeAtOnce: boolean;
-	/** A closed entry lists the task if it is placed there, orders under way included. */
+	/** A closed entry lists the task if the task is placed there, even if its start is still in flight. */
 	listPlaced: boolean;
-	/** It lists the task also if it ended there, until the end is stored. */
+	/** It lists the task also if the task exited there, until the exit is stored. */
 	listEnds: boolean;
-	/** An owner closes no worker of the roster it read before that worker is settled. */
+	/** An owner closes no worker of the roster that it read before that worker is reconciled. */
 	closeKnown: boolean;
-	/** An owner stores where the task is to be before it sends the start. */
+	/** An owner stores the task's placement before it sends the start. */
 	placeFirst: boolean;
-	/** It replaces a stored place only when the run there is proved over. */
+	/** It replaces a stored placement only when the run there is proven to have ended. */
 	placeOver: boolean;
-	/** A successor starts the task only when the worker of the stored place is settled. */
+	/** A successor starts the task only when the worker of the stored placement is reconciled. */
 	placeWait: boolean;
-	/** An owner that stated an end for a worker grants no lease there until it knows of a roster write. */
+	/**
+	 * An owner that reported an expiry for a worker grants no lease there until it learns that a roster write took effect.
+	 */
 	withhold: boolean;
-	/** That write has to have moved the record on from the stated version. */
+	/** That write must have moved the record on from the version in the report. */
 	liftLater: boolean;
-	/** A statement counts only if the roster record, as read under the new epoch, has the stated version. */
+	/** A reported expiry counts only if the roster record, as read under the new epoch, has the version in the report. */
 	sameRoster: boolean;
-	/** A statement counts only for the owner that follows directly. */
+	/** A reported expiry counts only for the owner that follows directly. */
 	directStatement: boolean;
-	/** A stated end covers the latest lease that the owner granted there. */
+	/** A reported expiry covers the latest lease that the owner granted there. */
 	statedGrants: boolean;
 	/** It covers the leases that earlier owners may have granted there. */
 	statedInherited: boolean;
@@ -107,77 +109,82 @@
 export interface DispatchBounds {
 	owners: number;
 	ticks: number;
-	/** Starts by each owner. */
+	/** Starts that each owner may send. */
 	runs: number;
-	/** Closing roster writes by each owner. */
+	/** Roster writes by each owner that close an entry. */
 	closings: number;
-	/** Statements by each owner, of one worker each; 0: the protocol has none. */
+	/** Expiries that each owner may report, each of one worker; 0: the protocol has no such reports. */
 	statements: number;
 }
 
-/** What a model is made of. */
+/** Configuration of a model. */
 export interface DispatchOptions {
 	name: string;
 	guards: DispatchGuards;
 	bounds: DispatchBounds;
-	/** The task's place is stored before its start, so a successor waits for that worker alone. */
+	/** The task's placement is stored before its start, so a successor waits for that worker alone. */
 	storesPlace: boolean;
 }
 
 interface Owner {
-	/** `barred`: replaced and past its horizon, so it can only ask, and let workers forget. */
+	/**
+	 * `barred`: replaced and past its horizon, so it can only poll and acknowledge exits. `over`: a worker has refused its
+	 * epoch.
+	 */
 	phase: 'new' | 'on' | 'barred' | 'over';
 	epoch: number;
 	confirmedAt: number;
 	tookAt: number;
-	/** The roster as read at the takeover, without the workers settled since. */
+	/** The roster as read at the takeover; the entry of a worker becomes `none` once the worker is reconciled. */
 	unsettled: Entry[];
-	/** The stored roster as it knows it, by its own read or write. */
+	/** The stored roster as the owner knows it, by its own read or write. */
 	roster: Entry[];
-	/** The roster write under way that closes an entry. */
+	/** The roster write in flight that closes an entry. */
 	closing: Closing;
 	closings: number;
-	/** The stored place as it knows it, by its own read or write, and as it read it at the takeover; -1: none. */
+	/** The stored placement as the owner knows it, by its own read or write, and as it read it at the takeover; -1: none. */
 	place: number;
 	inheritedPlace: number;
-	/** Where it believes the task to be; -1: nowhere. */
+	/** The worker at which it believes the task to be; -1: none. */
 	placed: number;
 	run: number;
-	/** End of the latest lease that it granted there. */
+	/** Expiry of the latest lease that it granted there. */
 	grantedUntil: number;
 	sawEnd: EndListing;
-	/** Workers that showed it an end of the task, as long as no end is stored: bits. */
+	/** Workers that reported an exit of the task, as long as no exit is stored, as bits. */
 	endsAt: number;
-	/** By worker, the end of every lease there, as the owner reckons; kept only where statements are made. */
+	/**
+	 * By worker, when every lease there has expired, as the owner computes; kept only in variants with reported expiries.
+	 */
 	leaseOver: number[];
-	/** Workers that answered it, kept only there: bits. */
+	/** Workers that answered it, as bits; kept only in those variants. */
 	answered: number;
 	statements: number;
-	/** Workers of which it stated an end, so that it grants no lease there: bits. */
+	/** Workers for which it reported an expiry, so that it grants no lease there, as bits. */
 	withheld: number;
-	/** Those of them whose statement is void by a write that it has not heard of. */
+	/** Those of them whose report is void because of a write of which the owner doesn't know yet that it took effect. */
 	voided: number;
-	/** A roster write of its own took effect and it has not heard of that. */
+	/** A roster write of its own took effect, and it doesn't know yet. */
 	unheard: boolean;
 }
 
-/** What an owner told all that may follow it; anybody may have got it, or not. */
+/** An expiry that an owner reported to all that may follow it; each of them may have received the report or not. */
 interface Statement {
 	epoch: number;
-	/** Of the roster record. */
+	/** Version of the roster record. */
 	version: number;
 	worker: number;
-	/** By then every lease there is over. */
+	/** After this tick every lease there has expired. */
 	end: number;
 }
 
 /**
- * What the stored roster says of a worker. `open`: the task may be there. Closed: `lists` the task, which may be there,
- * or is `empty`.
+ * A worker's entry on the stored roster. `none`: it has none. `open`: the task may be there. The other two are closed:
+ * `lists` names the task, which may be there; `empty` doesn't.
  */
 type Entry = 'none' | 'open' | 'lists' | 'empty';
 
-/** Composed, and not in force yet; worker -1: nothing is under way. */
+/** A write that is composed and not in force yet; worker -1: none is in flight. */
 interface Closing {
 	worker: number;
 	entry: Entry;
@@ -192,7 +199,10 @@
 	running: boolean;
 	highest: number;
 	leaseUntil: number;
-	/** Whether it lists the task's end; one whose lease lapsed before anybody heard of it does not count. */
+	/**
+	 * Whether the worker lists the task's exit. `lapsed`: its lease expired before anybody learned of the exit, which then
+	 * does not count.
+	 */
 	listsEnd: EndListing;
 }
 
@@ -207,7 +217,7 @@
 export interface DispatchState {
 	tick: number;
 	stored: { epoch: number; roster: Entry[]; version: number; place: number; end: EndListing };
-	/** An end that counts was forgotten by its worker. */
+	/** An exit that counts was acknowledged to its worker, which no longer lists it. */
 	forgotten: boolean;
 	owners: Owner[];
 	workers: Worker[];
@@ -245,7 +255,7 @@
 	unheard: false,
 };
 
-/** Every lease of a worker is over, and the epoch was confirmed after. */
+/** Every lease at a worker has expired, and the epoch was confirmed after that. */
 const longOver = -1;
 
 const newWorker: Worker = { epoch: 0, running: false, highest: 0, leaseUntil: 0, listsEnd: 'no' };
@@ -269,7 +279,7 @@
 	};
 }
 
-/** The model under some guards, within some bounds. */
+/** Returns the model with the given guards and bounds. */
 export function dispatchModel(opts: DispatchOptions): explore.Model<DispatchState> {
 	const { owners, ticks, runs, closings, statements } = opts.bounds;
 	const told = statements === 0 ? '' : `, ${statements} statements each`;
@@ -315,7 +325,7 @@
 	return steps;
 }
 
-/** Makes alike what can't differ in what follows: fewer states, none lost. */
+/** Makes states equal that can't differ in what follows: this leaves fewer states and loses none. */
 function dropIrrelevant(next: DispatchState, { guards, bounds: { statements } }: DispatchOptions): void {
 	for (const owner of next.owners) {
 		if (owner.placed === -1) owner.grantedUntil = 0;
@@ -338,13 +348,13 @@
 	});
 }
 
-/** Nothing at the worker rests on its lease, and later starts bring their own. */
+/** Whether nothing at the worker depends on its lease; later starts grant their own. */
 function isLeaseUnused(next: DispatchState, worker: Worker, index: number): boolean {
 	const isIdle = !worker.running && worker.listsEnd !== 'counts';
 	return isIdle && !next.starts.some((start) => start.worker === index);
 }
 
-/** What is stored or composed for successors, once none will read it. */
+/** Drops what is stored or composed for successors, once none will read it. */
 function dropUnread(next: DispatchState, guards: DispatchGuards): void {
 	const isRead = hasSuccessor(next);
 	if (!isRead) {
@@ -360,7 +370,7 @@
 	}
 }
 
-/** Statements that can't be used any more. Of the versions it matters only whether they are the record's. */
+/** Drops reported expiries that can't be used any more. Of the versions only whether they equal the record's matters. */
 function dropVoid(next: DispatchState, guards: DispatchGuards): void {
 	const isRead = hasSuccessor(next);
 	next.statements = next.statements.filter(
@@ -372,19 +382,19 @@
 	}
 	for (const owner of next.owners) {
 		const isInForce = owner.epoch === next.stored.epoch;
-		// It may write the roster at any time, and nobody will use what it stated.
+		// It may write the roster at any time, and nobody will use the expiries that it reported.
 		if (isInForce && !isRead) Object.assign(owner, { withheld: 0, voided: 0, unheard: false });
 		if (!isInForce || !isRead) owner.statements = 0;
 		owner.leaseOver = owner.leaseOver.map((end) => (end < owner.confirmedAt ? longOver : end));
 	}
 }
 
-/** Whether another owner may take over, which alone reads what is stored. */
+/** Whether another owner may still take over. Only a takeover reads what is stored. */
 function hasSuccessor(state: DispatchState): boolean {
 	return state.owners.some((owner) => owner.phase === 'new');
 }
 
-/** Workers to tell apart: as long as nothing ever happened at any, one stands for all. */
+/** The workers to tell apart: as long as nothing has happened at any, one stands for all. */
 function workersApart(state: DispatchState): Worker[] {
 	const isUsed =
 		state.starts.length > 0 ||
@@ -412,7 +422,7 @@
 	return items.every((item) => item === items[0]);
 }
 
-/** By hand: a general clone takes most of the exploration's time. */
+/** Copies field by field: a general clone would take most of the exploration's time. */
 function copy(state: DispatchState): DispatchState {
 	return {
 		...state,
@@ -437,7 +447,7 @@
 	step: AddStep,
 ): void {
 	if (owner.phase === 'new') {
-		// Owners take over in turn; the earlier one may go on, not knowing.
+		// Owners take over in turn; the earlier one may go on without knowing it.
 		const isNext = state.owners.findIndex((one) => one.phase === 'new') === index;
 		if (isNext)
 			step(`owner ${index} takes over`, (next) => {
@@ -469,7 +479,7 @@
 	});
 }
 
-/** An owner and a worker between which steps are sought. */
+/** An owner and a worker whose possible steps are collected. */
 interface Acting {
 	state: DispatchState;
 	owner: Owner;
@@ -479,7 +489,7 @@
 	opts: DispatchOptions;
 }
 
-/** Whether it may grant a lease there. */
+/** Whether the owner may grant a lease at the worker. */
 function mayGrant({ state, owner, where, opts }: Acting): boolean {
 	if (owner.phase === 'barred') return false;
 	if (opts.guards.withhold && (owner.withheld & (1 << where)) !== 0) return false;
@@ -501,7 +511,7 @@
 		});
 }
 
-/** What an owner believes by time alone. A confirmed call shows that no successor renewed a lease meanwhile. */
+/** What an owner concludes from time alone. A confirmed call shows that no successor renewed a lease meanwhile. */
 function proofSteps({ state, owner, index, where, opts }: Acting, step: AddStep): void {
 	const { guards } = opts;
 	const waitedUntil = owner.leaseOver[where] ?? inheritedUntil(owner);
@@ -519,12 +529,15 @@
 		});
 }
 
-/** By when the leases of earlier owners are over, whatever is known of them. */
+/** The tick after which the leases of earlier owners have expired, whatever is known of them. */
 function inheritedUntil(owner: Owner): number {
 	return owner.tookAt + horizonTicks + leaseTicks;
 }
 
-/** Opening takes effect as it is composed: it adds nothing that a later start depends on before it is in force. */
+/**
+ * Opening an entry takes effect when the write is composed: the write adds nothing that a later start depends on before the
+ * write is in force.
+ */
 function rosterSteps({ state, owner, index, where, opts: { guards } }: Acting, step: AddStep): void {
 	if (state.stored.epoch !== owner.epoch || owner.closing.worker !== -1 || owner.unheard) return;
 	if (owner.roster[where] !== 'open')
@@ -568,7 +581,7 @@
 	return isPlaced || isEnded ? 'lists' : 'empty';
 }
 
-/** A roster write that changes no entry, and moves the record's version on; the owner hears of it later. */
+/** A roster write that changes no entry and increments the record's version. The owner learns later that it took effect. */
 function writeSteps(
 	state: DispatchState,
 	owner: Owner,
@@ -589,8 +602,9 @@
 }
 
 /**
- * It may state an end of any worker, as each may be silent for it. The version is the record's own, as if it had just
- * read it, also before it hears of its write. Once it is replaced nobody can use what it states.
+ * An owner may report an expiry for any worker, as any may be unresponsive to it. The version is the stored record's, as if
+ * the owner had just read it, even before it learns that its own write took effect. Once the owner is replaced, nobody can
+ * use its report.
  */
 function statementSteps({ state, owner, index, where, opts }: Acting, step: AddStep): void {
 	const { guards, bounds } = opts;
@@ -620,7 +634,7 @@
 	return guards.statedGrants ? end : Math.max(longOver, end - leaseTicks);
 }
 
-/** Whether an owner that takes over after this epoch may use a statement. */
+/** Whether an owner that takes over after this epoch may use a reported expiry. */
 function isUsable(
 	{ stored }: DispatchState,
 	{ epoch, version }: Statement,
@@ -649,7 +663,7 @@
 		});
 }
 
-/** Whether the task may still run for an earlier owner, at a worker that isn't settled. */
+/** Whether the task may still run for an earlier owner, at a worker that isn't reconciled. */
 function isHeldBack(owner: Owner, { guards, storesPlace }: DispatchOptions): boolean {
 	const mayBeAt = (entry: Entry | undefined): boolean => entry === 'open' || entry === 'lists';
 	if (storesPlace) return guards.placeWait && mayBeAt(owner.unsettled[owner.inheritedPlace]);
@@ -687,7 +701,7 @@
 		});
 }
 
-/** The record moves on, so what was stated before is void. */
+/** The record's version increases, so expiries reported before are void. */
 function noteWrite(next: DispatchState, index: number): void {
 	const owner = at(next.owners, index);
 	next.stored.version += 1;
@@ -707,7 +721,9 @@
 	else owner.grantedUntil = Math.max(owner.grantedUntil, until);
 }
 
-/** A report: shows what runs and what ended there, fences earlier owners, and renews the lease. */
+/**
+ * Polls a worker. Its report shows what runs and what exited there; the request fences earlier owners and renews the lease.
+ */
 function ask(
 	next: DispatchState,
 	index: number,
@@ -730,17 +746,17 @@
 	}
 	if (worker.running) {
 		owner.placed = where;
-		// An earlier owner may have renewed its lease up to its own horizon.
+		// An earlier owner may have renewed the run's lease up to its own horizon.
 		if (owner.leaseOver.length === 0) noteLease(owner, where, inheritedUntil(owner));
 	} else if (owner.placed === where && worker.listsEnd !== 'no') owner.placed = -1;
-	// Without statements, leases of idle workers are left out.
+	// Without reported expiries, leases of idle workers are not modelled.
 	if (mayRenew && (worker.running || owner.leaseOver.length > 0)) {
 		worker.leaseUntil = Math.max(worker.leaseUntil, next.tick + leaseTicks);
 		noteLease(owner, where, next.tick + leaseTicks);
 	}
 }
 
-/** One write names all listed workers; each that is new to the roster is open. */
+/** One write adds all listed workers; each that is new to the roster is open. */
 function openEntries(next: DispatchState, index: number, where: number, guards: DispatchGuards): void {
 	const owner = at(next.owners, index);
 	owner.roster = owner.roster.map((entry, worker) => (worker === where || entry === 'none' ? 'open' : entry));
@@ -788,6 +804,6 @@
 
 function at<T>(items: T[], index: number): T {
 	const item = items[index];
-	if (item === undefined) throw new Error(`no item ${index}`);
+	if (item === undefined) throw new Error(`no item at index ${index}`);
 	return item;
 }
--- a/spec/evacuations.ts
+++ b/spec/evacuations.ts
@@ -1,21 +1,21 @@
 /**
- * Model of a zone that an operator evacuates, under owners that die at any moment: lists that are read late or not at all,
- * starts that are on their way or get lost and are sent again. The promise: once an evacuation has been stored for longer
- * than its bound, and until it is taken back, nothing starts in the zone.
+ * Model of a zone that an operator evacuates, under owners that die at any moment. Lists are read late or not at all; starts
+ * are in flight, or get lost and are sent again. The guarantee: once an evacuation has been stored for longer than its
+ * bound, and until it is revoked, nothing starts in the zone.
  */
 import type * as explore from './explore.js';
 
-/** The guards, all on in the protocol. */
+/** The guards of the protocol, which has them all; each mutant leaves one out. `spec/expected.json` contains these names. */
 export interface EvacuationGuards {
 	/** Nothing is sent to a zone that the newest list evacuates. */
 	obey: boolean;
-	/** Starts go by a list that was known to hold lately. */
+	/** A start is sent only on the basis of a list that was recently known to hold. */
 	freshList: boolean;
 	/** An owner reads the list before its first start. */
 	firstRead: boolean;
-	/** A list is as old as the question for it. */
+	/** The age of a list counts from the request for it. */
 	askedAt: boolean;
-	/** A start that got no answer is sent again only where a first one would be. */
+	/** An unanswered start is sent again only where a first one would be sent. */
 	recheck: boolean;
 }
 
@@ -28,20 +28,20 @@
 	recheck: true,
 };
 
-/** In ticks: the bound, how old a list may be at a start, and how long an order is on its way. */
+/** In ticks: the bound, how old a list may be at a start, and how long a start may be in flight. */
 const boundTicks = 3;
 const freshTicks = 1;
 const orderTicks = 1;
 
-/** Ages beyond this are alike. */
+/** Greater ages make no difference. */
 const mostTicks = boundTicks + 1;
 
-/** Evacuations, changes of the owner and tries of one start, at most. */
+/** Evacuations, takeovers and tries of one start, at most. */
 const mostEvacuations = 2;
 const mostTakeovers = 1;
 const mostTries = 2;
 
-/** A list: whether it evacuates the zone, and how long ago it held. */
+/** A list: whether it evacuates the zone, and how many ticks ago that held. */
 interface List {
 	evacuated: boolean;
 	age: number;
@@ -52,15 +52,15 @@
 	/** Ticks since the evacuation in force was stored; null: there is none. */
 	evacuated: number | null;
 	evacuations: number;
-	/** What the owner goes by; null: it has read nothing. */
+	/** The list that the owner uses; null: it has read none. */
 	known: List | null;
-	/** An answer on its way to the owner; null: none. */
+	/** An answer in flight to the owner; null: none. */
 	answer: List | null;
-	/** A start: on its way since so many ticks, or lost; null: there is none. */
+	/** A start: the ticks that it has been in flight, or `lost`; null: there is none. */
 	order: number | 'lost' | null;
 	tries: number;
 	takeovers: number;
-	/** A start was carried out too late. */
+	/** A start was carried out after the bound. */
 	broken: boolean;
 }
 
@@ -75,7 +75,7 @@
 	broken: false,
 };
 
-/** The model with these guards. */
+/** Returns the model with the given guards. */
 export function evacuationModel(name: string, guards: EvacuationGuards): explore.Model<EvacuationState> {
 	const maySend = ({ known }: EvacuationState): boolean => {
 		if (known === null) return !guards.firstRead;
@@ -118,7 +118,7 @@
 		const { evacuated, order } = state;
 		const isUnderWay = typeof order === 'number';
 		const mayEvacuate = evacuated === null && state.evacuations < mostEvacuations;
-		// An order that takes longer is given up, or counts as carried out late.
+		// A start that takes longer is abandoned, or counts as carried out late.
 		step('time passes', !isUnderWay || order < orderTicks, tick);
 		step('the operator evacuates the zone', mayEvacuate, (next) => {
 			next.evacuated = 0;
--- a/spec/explore.ts
+++ b/spec/explore.ts
@@ -1,24 +1,26 @@
-/** Explores a model whole with XState's graph traversal, breadth first, and finds the shortest trace to a bad state. */
+/**
+ * Explores a model completely, breadth first, with XState's graph traversal, and finds the shortest trace to a violation.
+ */
 import * as xstate from 'xstate';
 import * as graph from 'xstate/graph';
 
 /** A model: small, pure, and finite within its bounds. */
 export interface Model<S> {
 	name: string;
-	/** What it was checked with; printed. */
+	/** The bounds of the exploration, as printed. */
 	bounds: string;
 	initial: S;
-	/** Steps possible in a state, each under a name that is unique there. */
+	/** The steps possible in a state; a name is unique within the state. */
 	steps: (state: S) => { name: string; next: S }[];
-	/** What is wrong with a state, if anything is. */
+	/** Describes the invariant that a state violates; undefined: none. */
 	wrong: (state: S) => string | undefined;
-	/** Whether the state is an end that every state in time should be able to reach. */
+	/** Whether the state is a goal. A goal should be reachable from every state. */
 	goal?: (state: S) => boolean;
-	/** States from which the goal need not be reachable any more, because the bounds cut them off. */
+	/** Whether the bounds cut the state off, so that no goal need be reachable from it. */
 	outOfBounds?: (state: S) => boolean;
 }
 
-/** What exploring came to. */
+/** Result of an exploration. */
 export type Verdict =
 	| { kind: 'holds'; states: number; steps: number; stuck: number }
 	| { kind: 'wrong'; states: number; what: string; trace: string[] };
@@ -43,15 +45,15 @@
 }
 
 /**
- * Explores every state, or up to the first wrong one. Steps to states already seen are not handed to the traversal
- * (its queue would grow with the steps instead of the states); they are kept for the search of the ends.
+ * Explores every state, or up to the first violation. Steps to states already seen are not passed to the traversal, whose
+ * queue would grow with the steps instead of the states. They are recorded for the check that goals are reachable.
  */
 export function explore<S>(model: Model<S>): Verdict {
 	const first = JSON.stringify(model.initial);
-	/** States seen, by their text, each under a number. */
+	/** The number of each state seen, by its JSON text. */
 	const states = new Map<string, number>([[first, 0]]);
 	const parents = new Map<string, Parent>();
-	/** From which states each state is reached, by number. */
+	/** By a state's number, the numbers of the states that lead to it. */
 	const before: number[][] = [[]];
 	let steps = 0;
 	const logic = xstate.fromTransition((_state: { key: string }, event: StepEvent) => ({ key: event.next }), {
@@ -96,7 +98,7 @@
 	}
 }
 
-/** States within bounds from which no goal can be reached: work that could never end. */
+/** Counts the states within bounds from which no goal can be reached: work that could never finish. */
 function countStuck<S>(model: Model<S>, states: Map<string, number>, before: number[][]): number {
 	const { goal } = model;
 	if (goal === undefined) return 0;
--- a/spec/lease.ts
+++ b/spec/lease.ts
@@ -1,9 +1,9 @@
 /**
- * Model of the shard log and the workers' leases: owners that pause, crash and lose answers, workers that restart,
- * messages that come late or twice. A dead owner is one that takes no more steps. Time is a count of ticks that all
- * clocks share, kept as ages and remainders, so that the number of ticks has no bound; what differing rates cost is
- * the margin and `clockRate` of the settings (docs/PROOFS.md). The wait before a silent worker's tasks are taken as
- * stopped is the program's own function.
+ * Model of the shard log and the workers' leases: owners pause, crash and lose answers, workers restart, and messages arrive
+ * late or twice. A dead owner is one that takes no more steps. Time is a count of ticks that all clocks share, kept as ages
+ * and as ticks left, so the number of ticks has no bound. The cost of differing clock rates is the margin and `clockRate` of
+ * the settings (docs/PROOFS.md). The wait before an unresponsive worker's tasks are presumed stopped is computed by the
+ * program's own function.
  */
 import * as silence from '../src/core/scheduler/silence.js';
 import * as types from '../src/core/scheduler/types.js';
@@ -14,41 +14,42 @@
 	name: string;
 	workers: number;
 	tasks: number;
-	/** Attempts of each task. */
+	/** Attempts of each task, at most. */
 	attempts: number;
-	/** Takeovers. */
 	epochs: number;
 	restarts: number;
-	/** Whose messages may come late or twice, beside the direct exchanges: nobody's, the first owner's, or any. */
+	/**
+	 * Whose messages may arrive late or twice, besides the direct exchanges: no owner's, the first owner's, or any owner's.
+	 */
 	late: 'none' | 'first' | 'any';
-	/** Whether tasks ever end; without ends no goal is asked for. */
+	/** Whether tasks ever complete; if not, the model has no goal. */
 	ends: boolean;
-	/** Whether appends may go unanswered, with and without effect. */
+	/** Whether appends may go unanswered, whether they were stored or not. */
 	lost: boolean;
 	guards: Guards;
 }
 
-/** The guards, all on in the protocol. */
+/** The guards of the protocol, which has them all; each mutant leaves one out. `spec/expected.json` contains these names. */
 export interface Guards {
 	/** Workers refuse an older epoch. */
 	epoch: boolean;
-	/** Workers refuse a message under the same epoch that is older than one they took. */
+	/** Workers refuse a message that is older than one that they accepted under the same epoch. */
 	order: boolean;
 	/** Workers refuse messages for another incarnation. */
 	incarnation: boolean;
-	/** Workers refuse a start past its time. */
+	/** Workers refuse a start after its time has run out. */
 	notAfter: boolean;
 	/** Owners renew and start only within the horizon of their last committed entry. */
 	horizon: boolean;
-	/** Owners wait until every lease has ended. */
+	/** Owners wait until every lease has expired, also those of earlier owners. */
 	wait: boolean;
-	/** Owners settle an unanswered append by reading the slot back. */
+	/** Owners resolve an unanswered append by reading the slot back. */
 	readBack: boolean;
 	/** Appends go through only if the owner knows the whole log before them. */
 	compareAndSwap: boolean;
-	/** Owners keep a place reserved until its task is proved stopped. */
+	/** Owners keep a placement reserved until its task is proven stopped. */
 	reserve: boolean;
-	/** A task's end is committed before the worker is told to forget the attempt. */
+	/** A task's exit is committed before it is acknowledged to the worker. */
 	commitFirst: boolean;
 }
 
@@ -101,25 +102,22 @@
 interface View {
 	fenced: boolean;
 	boot: number;
-	/** Ticks since it last answered. */
 	age: number;
-	/** Ticks until every lease given has ended; negative: they have. */
+	/** Ticks until every lease granted has expired; negative: all have. */
 	left: number;
 	reports: (Omit<Attempt, 'left'> | null)[];
 }
 
 interface Owner {
 	epoch: number;
-	/** Whether it knows the whole log. */
 	current: boolean;
-	/** Tasks as it knows them. */
+	/** The tasks as the owner knows them. */
 	tasks: Task[];
-	/** Ticks since its takeover. */
 	takenAge: number;
-	/** Ticks since the send of its newest committed entry. */
+	/** Ticks since it sent its newest committed entry. */
 	sentAge: number;
 	views: View[];
-	/** An append without an answer; `stored` is what only the platform knows. */
+	/** An append without an answer. Only the platform knows `stored`, whether it took effect. */
 	pending: { change: Change; age: number; stored: boolean } | null;
 }
 
@@ -137,23 +135,23 @@
 interface Message {
 	epoch: number;
 	boot: number;
-	/** Ticks until its time is over. */
+	/** Ticks until the message expires; negative: expired. */
 	left: number;
 	starts: Ref[];
 	renews: Ref[];
 	forgets: Ref[];
-	/** A message sent later was taken already. */
+	/** The worker has already accepted a message that was sent later. */
 	overtaken: boolean;
 }
 
 /** A state of the model. */
 export interface LeaseState {
 	epoch: number;
-	/** The tasks by the whole log. */
+	/** The tasks as the whole log defines them. */
 	tasks: Task[];
 	owners: (Owner | null)[];
 	workers: Worker[];
-	/** A message under way to each worker. */
+	/** A message in flight to each worker; null: none. */
 	net: (Message | null)[];
 	/** Attempts ever started, by task. */
 	started: number[][];
@@ -198,7 +196,7 @@
 		wrong: '',
 	};
 
-	/** What the owner may decide next. */
+	/** The changes that the owner may append next. */
 	const decisions = (state: LeaseState, owner: Owner): Change[] => {
 		const changes: Change[] = [{ c: 'beat' }];
 		for (const [task, known] of owner.tasks.entries()) {
@@ -212,7 +210,7 @@
 		if (known.attempt >= opts.attempts) return [];
 		const changes: Change[] = [];
 		for (const [worker, view] of owner.views.entries()) {
-			// Workers are alike: the first placement of all goes to the first one.
+			// Workers are interchangeable: the first placement of all goes to the first one.
 			if (worker > 0 && state.tasks.every((one) => one.attempt === 0)) continue;
 			const full = owner.tasks.some((one) => one.state === 'placed' && one.worker === worker);
 			if (view.fenced && !(full && guards.reserve))
@@ -235,7 +233,7 @@
 		return (guards.wait ? 0 > provedAt : view.left < 0) ? [{ c: 'free', task }] : [];
 	};
 
-	/** What the owner would tell the worker now. */
+	/** The message that the owner would send to the worker. */
 	const compose = (owner: Owner, worker: number): Message => {
 		const view = owner.views[worker];
 		const message: Message = {
@@ -265,7 +263,7 @@
 		view.left = Math.max(view.left, message.left);
 	};
 
-	/** The worker's side; false if it refused. */
+	/** The worker handles a message; false: it refused. */
 	const receive = (state: LeaseState, index: number, message: Message): boolean => {
 		const worker = state.workers[index];
 		if (worker === undefined) return false;
@@ -303,7 +301,7 @@
 		judge(state);
 	};
 
-	/** Nothing in two places, no worker over its one place. */
+	/** No task runs on two workers, and no worker runs two tasks. */
 	const judge = (state: LeaseState): void => {
 		for (let task = 0; task < opts.tasks; task += 1) {
 			const places = state.workers.filter((worker) => worker.attempts[task]?.state === 'running');
@@ -344,7 +342,10 @@
 		return out;
 	};
 
-	/** Superseded and past its horizon: whatever it sends starts and renews nothing, and no append goes through. */
+	/**
+	 * Whether an owner is superseded and past its horizon: nothing that it sends starts or renews a run, and no append of it
+	 * takes effect.
+	 */
 	const spent = (owner: Owner): boolean =>
 		!owner.current &&
 		guards.horizon &&
@@ -362,7 +363,7 @@
 		const allFenced = owner.views.every((view) => view.fenced);
 		if (allFenced) owner.takenAge = horizon + lease + 1;
 		if (owner.current || !guards.compareAndSwap) return;
-		// It decides nothing that would be stored, so what it would base decisions on is dropped.
+		// No decision of it would be stored, so what it would base decisions on is dropped.
 		owner.takenAge = horizon + lease + 1;
 		for (const view of owner.views) view.left = -1;
 		if (owner.pending && !owner.pending.stored) owner.pending = null;
@@ -392,7 +393,8 @@
 
 	const ownerSteps = (state: LeaseState, index: number, add: Add): void => {
 		const owner = state.owners[index];
-		// Owners are alike: the first to take the shard is the first one. A new start after a death is a takeover too.
+		// Owners are interchangeable: the first to take the shard is the first one. A restart after a death is a takeover
+		// too.
 		if (!owner?.current && state.epoch < opts.epochs && (index === 0 || state.epoch > 0)) {
 			add(`owner ${index} takes the shard`, (next) => {
 				take(next, index);
@@ -450,7 +452,7 @@
 			owner.pending = { change, age: 0, stored };
 			return;
 		}
-		// Without the guard the owner takes silence for success.
+		// Without the guard the owner presumes that an unanswered append succeeded.
 		applyTo(owner.tasks, change);
 		owner.sentAge = 0;
 	};
@@ -531,7 +533,7 @@
 				if (ended) Object.assign(ended, { state: 'ended', left: 0 });
 			});
 		}
-		// A restart matters where something is placed or was started.
+		// A restart matters only where something is placed or was started.
 		const used =
 			state.tasks.some((task) => task.worker === worker) || (box?.attempts ?? []).some((one) => one !== null);
 		if (used && state.restarts < opts.restarts) {
@@ -555,14 +557,14 @@
 		steps,
 		wrong: (state) => (state.wrong === '' ? undefined : state.wrong),
 		goal: opts.ends ? (state) => state.tasks.every((task) => task.state === 'done') : undefined,
-		// The last attempt may have been lost, and the last owner may have been superseded: the bounds end there.
+		// The last attempt may have been lost, and the last owner may have been superseded, so the bounds cut the state off.
 		outOfBounds: (state) =>
 			state.epoch >= opts.epochs ||
 			state.tasks.some((task) => task.state !== 'done' && task.attempt >= opts.attempts),
 	};
 }
 
-/** A worker's listing, of which the wait uses nothing. */
+/** A worker's listing; the wait reads nothing of it. */
 const unlisted: types.ListedWorker = {
 	id: '',
 	address: '',
--- a/spec/lives/alike.ts
+++ b/spec/lives/alike.ts
@@ -1,4 +1,6 @@
-/** Makes states alike that can't differ in what follows: fewer states, none lost. */
+/**
+ * Maps states that can't differ in what follows to one canonical state: this leaves fewer states to explore and loses none.
+ */
 import * as moves from './moves.js';
 import * as types from './types.js';
 
@@ -16,7 +18,7 @@
 	};
 }
 
-/** By hand: a general clone takes most of the exploration's time. */
+/** Copies field by field: a general clone would take most of the exploration's time. */
 export function copy(state: types.LivesState): types.LivesState {
 	return {
 		...state,
@@ -30,13 +32,13 @@
 	};
 }
 
-/** The state without what nothing rests on any more. */
+/** Removes from the state what no later step depends on. */
 export function reduce(
 	next: types.LivesState,
 	bounds: types.LivesBounds,
 	faults: types.LivesFaults,
 ): types.LivesState {
-	// Only whether it has finished counts then.
+	// Once the task has finished, nothing else matters.
 	if (next.done) Object.assign(next, { owners: [], lives: [], messages: [], epoch: 0, roster: 0 });
 	next.owners.forEach((owner) => {
 		reduceOwner(next, owner, bounds);
@@ -56,7 +58,7 @@
 
 function reduceOwner(next: types.LivesState, owner: types.Owner, { starts }: types.LivesBounds): void {
 	const isReplaced = owner.phase === 'on' && owner.epoch < next.epoch;
-	// It can only ask, and what it believes moves nothing any more.
+	// It can only poll, and what it believes affects nothing any more.
 	if (isReplaced && !moves.isWithinHorizon(owner)) owner.phase = 'stopped';
 	if (isReplaced && moves.startsOf(owner) >= starts) reduceReplaced(owner);
 	if (owner.phase === 'stopped') Object.assign(owner, newOwner(), { phase: 'stopped' });
@@ -65,15 +67,15 @@
 	owner.doubts = owner.doubts.map((run, where) => (next.lives[where]?.phase === 'over' ? 0 : run));
 	owner.sessions.forEach((session, where) => {
 		if (session === null) return;
-		// A later start brings a lease that ends no earlier than any granted before.
+		// A later start grants a lease that expires no earlier than any granted before.
 		if (session.state !== 'asked' && owner.placed !== where) session.left = types.believed;
-		// It can't store the life any more, so it never starts anything there.
+		// It can't store the incarnation on the roster any more, so it never starts anything there.
 		if (isReplaced && isForgettable(next, owner, session, where)) owner.sessions[where] = null;
 	});
 	if (!hasSuccessor(next) && !isReplaced) reduceLast(owner);
 }
 
-/** It starts nothing any more: all that it can still do is to renew the lease of its own run. */
+/** A replaced owner with no starts left can only renew the lease of its own run. */
 function reduceReplaced(owner: types.Owner): void {
 	if (owner.placed === -1) owner.phase = 'stopped';
 	owner.doubts.fill(0);
@@ -93,7 +95,7 @@
 	return !session.rostered && owner.placed !== where && next.messages.every(({ life }) => life !== where);
 }
 
-/** Nobody will replace it, so it can confirm its epoch and write the roster at any time, and nobody reads that. */
+/** No owner will replace it, so it can confirm its epoch and write the roster at any time, and nobody reads the roster. */
 function reduceLast(owner: types.Owner): void {
 	owner.age = 0;
 	for (const session of owner.sessions) {
@@ -103,14 +105,14 @@
 	}
 }
 
-/** Whether another owner may take over, which alone reads the roster. */
+/** Whether another owner may still take over. Only a takeover reads the roster. */
 function hasSuccessor(state: types.LivesState): boolean {
 	return state.owners.some((owner) => owner.phase === 'new');
 }
 
 /**
- * A life is taken off the roster as soon as its session ends: with more lives there, a successor would only wait for
- * more.
+ * Takes an incarnation off the roster as soon as its session ends. Left there, it could only make a successor wait for more
+ * incarnations.
  */
 function reduceRoster(next: types.LivesState): void {
 	if (!hasSuccessor(next)) next.roster = 0;
@@ -122,7 +124,10 @@
 	);
 }
 
-/** A lease that is over changes nothing; nor does an order that is refused, if nobody hears of that. */
+/**
+ * Whether a message can still have an effect. An expired lease has none, nor has a refused command if no owner learns of the
+ * refusal.
+ */
 function isOfUse(next: types.LivesState, message: types.Message, faults: types.LivesFaults): boolean {
 	const life = next.lives[message.life];
 	const isHeard = next.owners.some((one) => one.phase === 'on' && one.epoch === message.epoch);
@@ -132,7 +137,7 @@
 	return isHeard || !isLost;
 }
 
-/** What was seen and granted counts only as long as an order can come that it is compared with. */
+/** Resets the epoch, the highest run and the lease once no command can arrive that is compared with them. */
 function reduceLife(next: types.LivesState, life: types.Life, where: number): void {
 	const starts = next.messages.filter((message) => message.kind === 'start' && message.life === where);
 	const isFenced = next.owners.some((owner) => owner.phase === 'on' && owner.epoch < life.epoch);
--- a/spec/lives/index.ts
+++ b/spec/lives/index.ts
@@ -1,13 +1,13 @@
 /**
- * Model of workers' lives: one task, an address that is used again by another life, a second address, and owners that
- * follow one another. Each order names the life that it is meant for, and another life at its address says so. What
- * must hold: the task never runs twice at once, and it can always still be finished.
+ * Model of worker incarnations: one task, an address that a second incarnation reuses, a second address, and owners that
+ * follow one another. Each command names the incarnation that it is addressed to, and another incarnation at that address
+ * reports the mismatch. Invariants: the task never runs twice at once, and it can always still be finished.
  *
- * The list of workers has no state here: an owner may read of any life that has begun that it is listed, or that it is
- * not, at any time and in any order. That covers entries of dead lives that linger, entries that lapse while the life
- * runs on and come back, changes that are seen late, and whole lists in any order. Time is kept as remainders, so the
- * number of ticks has no bound. An owner that dies takes no more steps. What becomes of a noted end is in `spec/dispatch.ts`; here a task that finishes is the
- * end of the exploration.
+ * The list of workers has no state here. At any time and in any order, an owner may read of any incarnation that has begun
+ * that it is listed, or that it is not. That covers entries of dead incarnations that linger, entries that expire while the
+ * incarnation runs on and that come back, changes that are seen late, and whole lists in any order. Time is kept as ticks
+ * left, so the number of ticks has no bound. An owner that dies takes no more steps. `spec/dispatch.ts` covers what becomes
+ * of a recorded exit; here the exploration ends when the task finishes.
  */
 import * as alike from './alike.js';
 import * as moves from './moves.js';
@@ -16,7 +16,7 @@
 
 export * from './types.js';
 
-/** What an exploration is made of. */
+/** Configuration of an exploration. */
 export interface LivesOptions {
 	name: string;
 	bounds: types.LivesBounds;
@@ -25,19 +25,17 @@
 
 type AddStep = (name: string, change: (next: types.LivesState) => void) => void;
 
-/** An owner and a life between which steps are sought. */
+/** An owner and an incarnation whose possible steps are collected. */
 interface Acting {
 	state: types.LivesState;
 	owner: types.Owner;
-	/** The owner's. */
 	index: number;
-	/** The life's. */
 	where: number;
 	life: string;
 	opts: LivesOptions;
 }
 
-/** The model with some fault or none, within some bounds. */
+/** Returns the model with the given faults and bounds. */
 export function livesModel(opts: LivesOptions): explore.Model<types.LivesState> {
 	const { owners, starts, reborn, messages, lateHolds, plannedStops } = opts.bounds;
 	const lives = reborn ? '2 lives at an address and 1 at another' : '2 lives that last';
@@ -73,7 +71,7 @@
 	};
 }
 
-/** No owner has a start left. */
+/** Whether the last owner has taken over and has no start left. */
 function isUsedUp(state: types.LivesState, { starts }: types.LivesBounds): boolean {
 	const newest = state.owners.at(-1);
 	return newest !== undefined && newest.phase !== 'new' && moves.startsOf(newest) >= starts;
@@ -150,7 +148,7 @@
 	step: AddStep,
 ): void {
 	if (state.owners.findIndex((one) => one.phase === 'new') !== index) return;
-	// One that stopped as planned has given its name back, so nothing is waited for.
+	// An owner that stops as planned gives up the owner record, so its successor does not wait.
 	const isFree = state.owners.every((one) => one.phase !== 'on');
 	if (bounds.plannedStops && !isFree) return;
 	step(`owner ${index} takes over`, (next) => {
--- a/spec/lives/moves.ts
+++ b/spec/lives/moves.ts
@@ -1,51 +1,51 @@
-/** What each step of the model of workers' lives changes. */
+/** State transitions of the model of worker incarnations. */
 import * as types from './types.js';
 
-/** Ticks of a lease, and of the time that an owner may grant one after its last confirmed call to the store. */
+/** Ticks of a lease, and ticks after its last confirmed call to the store within which an owner may grant one. */
 const leaseTicks = 1;
 const horizonTicks = 1;
 
 const runsPerEpoch = 10;
 
-/** Addresses by life: two follow each other at the first one. */
+/** Address of each incarnation: the first two follow each other at one address. */
 export const addresses = [0, 0, 1];
 
-/** Names of the lives. */
+/** Names of the incarnations, as the names of steps contain them. */
 export const names = ['a1', 'a2', 'b1'];
 
-/** The item, which is there. */
+/** Returns an item that must exist; throws if it doesn't. */
 export function at<T>(items: T[], index: number): T {
 	const item = items[index];
-	if (item === undefined) throw new Error(`no item ${index}`);
+	if (item === undefined) throw new Error(`no item at index ${index}`);
 	return item;
 }
 
-/** Whether a set of lives has one. */
+/** Whether a set of incarnations contains one. */
 function has(lives: number, where: number): boolean {
 	return (lives & (1 << where)) !== 0;
 }
 
-/** The life that answers at another's address; -1: nobody does. */
+/** The incarnation that answers at another's address; -1: none. */
 export function answering(state: types.LivesState, where: number): number {
 	return state.lives.findIndex((life, one) => life.phase === 'alive' && addresses[one] === addresses[where]);
 }
 
-/** Whether an owner may grant a lease, as far as the store goes. */
+/** Whether the owner's last confirmed call to the store is recent enough to grant a lease. */
 export function isWithinHorizon(owner: types.Owner): boolean {
 	return owner.age <= horizonTicks;
 }
 
-/** How many starts an owner has sent. */
+/** Number of starts that an owner has sent. */
 export function startsOf(owner: types.Owner): number {
 	return owner.run % runsPerEpoch;
 }
 
-/** A life crashes; all that runs there ends at once. */
+/** Crashes an incarnation, which ends its run at once. */
 export function crash(next: types.LivesState, where: number): void {
 	Object.assign(at(next.lives, where), { phase: 'over', epoch: 0, running: 0, highest: 0, left: types.over });
 }
 
-/** A tick, on every clock. */
+/** Advances every clock by one tick. */
 export function passTime(next: types.LivesState): void {
 	for (const life of next.lives) {
 		life.left = shorter(life.left);
@@ -68,7 +68,7 @@
 	life.running = 0;
 }
 
-/** An owner counts the epoch up and reads the roster; all that it knows is who stands there. */
+/** An owner increments the epoch and reads the roster, which is all that it knows then. */
 export function takeOver(next: types.LivesState, index: number, isSettled: boolean): void {
 	next.epoch += 1;
 	const owner = at(next.owners, index);
@@ -82,13 +82,13 @@
 	);
 }
 
-/** A call to the store shows its epoch to be in force. */
+/** A call to the store confirms that the owner's epoch is in force. */
 export function confirm(owner: types.Owner): void {
 	owner.age = 0;
 	for (const session of owner.sessions) if (session?.left === types.over) session.left = types.believed;
 }
 
-/** An owner reads an entry of the list. */
+/** An owner reads an entry of the worker list. */
 export function list(owner: types.Owner, where: number, faults: types.LivesFaults): void {
 	owner.sessions[where] = { state: 'empty', rostered: false, left: types.believed };
 	if (!faults.listProves) return;
@@ -96,25 +96,25 @@
 		if (other !== where && address === addresses[where]) endSession(owner, other);
 }
 
-/** A session ends, with everything there taken for over. */
+/** Ends a session; a run placed there is presumed to have ended. */
 export function endSession(owner: types.Owner, where: number): void {
 	owner.sessions[where] = null;
 	if (owner.placed === where) owner.placed = -1;
 }
 
-/** The life is proved over, and with it every order that was under way to it. */
+/** Ends the session of an incarnation that is proven dead; commands in flight to it can't take effect any more. */
 export function endLife(owner: types.Owner, where: number): void {
 	endSession(owner, where);
 	owner.doubts[where] = 0;
 }
 
-/** A session's life has left the list and holds nothing, as the owner sees it. */
+/** Ends the session of an incarnation that has left the list and, as far as the owner knows, has no run. */
 export function leave(owner: types.Owner, where: number, faults: types.LivesFaults): void {
 	endSession(owner, where);
 	if (faults.doubtForgotten) owner.doubts[where] = 0;
 }
 
-/** Every lease there is over, so whatever was there is. */
+/** Every lease there has expired, so a run placed there is presumed lost. */
 export function loseAll(owner: types.Owner, where: number): void {
 	const session = owner.sessions[where];
 	if (session) session.state = 'empty';
@@ -123,12 +123,12 @@
 	owner.placed = -1;
 }
 
-/** Stores the lives that the owner knows. */
+/** Stores every incarnation that the owner knows on the roster. */
 export function writeRoster(owner: types.Owner): void {
 	for (const session of owner.sessions) if (session !== null) session.rostered = true;
 }
 
-/** The life answers a question, which brings a lease if one may be granted. */
+/** The incarnation answers a report request, which grants a lease if the owner may grant one. */
 export function report(
 	next: types.LivesState,
 	index: number,
@@ -160,20 +160,20 @@
 	session.left = Math.max(session.left, leaseTicks);
 }
 
-/** Whether a life takes an order of this epoch. */
+/** Whether an incarnation accepts a command of this epoch. */
 function heeds(life: types.Life, epoch: number, faults: types.LivesFaults): boolean {
 	if (epoch < life.epoch && !faults.fenceless) return false;
 	life.epoch = Math.max(life.epoch, epoch);
 	return true;
 }
 
-/** The newest run at a life whose start may still be under way, as an owner sees it; 0: there is none. */
+/** The newest run at an incarnation whose start may still be in flight, as far as the owner knows; 0: none. */
 export function uncertainRun(owner: types.Owner, where: number): number {
 	if (owner.placed === where && !owner.confirmed) return owner.run;
 	return at(owner.doubts, where);
 }
 
-/** A life acknowledges the stop of a run whose start may still come, which it refuses from then on. */
+/** An incarnation acknowledges the stop of a run whose start may still arrive, and refuses that start from then on. */
 export function stop(next: types.LivesState, index: number, where: number, faults: types.LivesFaults): void {
 	const owner = at(next.owners, index);
 	const life = at(next.lives, where);
@@ -188,7 +188,7 @@
 	if (owner.placed === where) owner.placed = -1;
 }
 
-/** A start leaves, with a lease. */
+/** Sends a start that grants a lease. */
 export function sendStart(next: types.LivesState, owner: types.Owner, where: number): void {
 	const session = owner.sessions[where];
 	if (!session) return;
@@ -199,7 +199,7 @@
 	next.messages.push({ kind: 'start', life: where, epoch: owner.epoch, run: owner.run, left: leaseTicks });
 }
 
-/** A question leaves that brings a lease, and is answered to nobody. */
+/** Sends a report request that grants a lease and whose answer reaches no owner. */
 export function sendHold(next: types.LivesState, owner: types.Owner, where: number): void {
 	const session = owner.sessions[where];
 	if (!session) return;
@@ -207,7 +207,7 @@
 	next.messages.push({ kind: 'hold', life: where, epoch: owner.epoch, run: 0, left: leaseTicks });
 }
 
-/** An order arrives at the address of the life that it is meant for; its answer may be lost. */
+/** Delivers a command to the address of the incarnation that it is addressed to; the answer may be lost. */
 export function arrive(
 	next: types.LivesState,
 	message: types.Message,
@@ -230,7 +230,7 @@
 ): void {
 	const life = at(next.lives, there);
 	const isHeeded = heeds(life, message.epoch, faults);
-	// The lease of a start is taken also if the start is refused.
+	// The lease of a start applies even if the start is refused.
 	if (isHeeded) life.left = Math.max(life.left, message.left);
 	if (message.kind === 'hold') return;
 	const isStarted = isHeeded && life.left >= 0 && life.running === 0 && message.run > life.highest;
--- a/spec/lives/types.ts
+++ b/spec/lives/types.ts
@@ -1,32 +1,35 @@
-/** What the model of workers' lives is made of. */
+/** State, bounds and faults of the model of worker incarnations. */
 
-/** Single faults of the protocol; it has none of them, each mutant has one. */
+/** Faults that a mutant may have, one each; the protocol has none. `spec/expected.json` contains these names. */
 export interface LivesFaults {
-	/** An entry for another life at the address ends a session. */
+	/** A list entry for another incarnation at the same address ends the session. */
 	listProves: boolean;
-	/** Starts go to a life that is not on the stored roster yet, so a successor takes it for empty. */
+	/**
+	 * Starts are sent to an incarnation that is not on the stored roster yet, so a successor presumes that nothing runs
+	 * there.
+	 */
 	unknownIsEmpty: boolean;
-	/** The session of a life that left the list ends, though something may be there. */
+	/** The session of an incarnation that left the list ends even if a run may still be there. */
 	goneWhileAlive: boolean;
-	/** A start under way whose run was taken for lost is forgotten once its life has left the list. */
+	/** When an incarnation leaves the list, the owner drops its unconfirmed run, whose start may still be in flight. */
 	doubtForgotten: boolean;
-	/** A life gets leases while such a start may still come. */
+	/** An incarnation is granted leases while the start of an unconfirmed run may still arrive. */
 	doubtLeased: boolean;
-	/** A lease's end is believed without a call to the store sent after it. */
+	/** A lease is presumed expired without a call to the store that was sent after its expiry. */
 	unconfirmed: boolean;
-	/** A report that does not list a run frees it, also if the run's start is still under way. */
+	/** A report that does not list a run frees the task, even if the run's start is still in flight. */
 	absenceProves: boolean;
-	/** A life that stops a run which is not there yet lets its start begin later. */
+	/** An incarnation that stops a run which has not arrived yet still accepts the run's start later. */
 	stopUnnoted: boolean;
-	/** A life carries out orders that are meant for another. */
+	/** An incarnation carries out commands that are addressed to another. */
 	anyLifeObeys: boolean;
-	/** A life obeys orders of an epoch below the highest it has seen. */
+	/** An incarnation obeys commands of an epoch below the highest that it has seen. */
 	fenceless: boolean;
-	/** An owner that follows a planned stop takes everything there for known, and asks nobody. */
+	/** An owner that follows a planned stop presumes the whole roster reconciled and polls nobody. */
 	stopSettles: boolean;
 }
 
-/** The protocol as it should be. */
+/** The protocol without faults. */
 export const noLivesFaults: LivesFaults = {
 	listProves: false,
 	unknownIsEmpty: false,
@@ -44,84 +47,84 @@
 /** Bounds of an exploration. */
 export interface LivesBounds {
 	owners: number;
-	/** Starts by each owner. */
+	/** Starts that each owner may send. */
 	starts: number;
-	/** The first life may crash, and another begin at its address. */
+	/** The first incarnation may crash, and another may begin at its address. */
 	reborn: boolean;
-	/** Messages under way at a time. */
+	/** Messages in flight at one time. */
 	messages: number;
-	/** Questions with a lease come late too, not only starts. */
+	/** Report requests that grant a lease may arrive late too, not only starts. */
 	lateHolds: boolean;
-	/** Owners are replaced only by their planned stop: their messages are still under way, they do nothing more. */
+	/** Owners are replaced only after a planned stop: they do nothing more, but their messages are still in flight. */
 	plannedStops: boolean;
 }
 
-/** One life of a worker. */
+/** One incarnation of a worker. */
 export interface Life {
 	phase: 'before' | 'alive' | 'over';
 	/** The highest epoch it has seen. */
 	epoch: number;
-	/** The run there; 0: none. */
+	/** The run in progress; 0: none. */
 	running: number;
-	/** The highest run that ended or was stopped there. */
+	/** The highest run that exited or was stopped there. */
 	highest: number;
-	/** Ticks left of its lease; negative: over. */
+	/** Ticks left of its lease; negative: expired. */
 	left: number;
 }
 
-/** What an owner knows of a life. */
+/** What an owner knows of an incarnation. */
 export interface Session {
 	/**
-	 * `asked`: an earlier owner used it, and it has not answered this one. `empty`: nobody did, or every lease there is
-	 * over. `heard`: it has answered.
+	 * `asked`: an earlier owner used the incarnation, and it has not answered this owner. `empty`: no owner used it, or
+	 * every lease there has expired. `heard`: it has answered this owner.
 	 */
 	state: 'asked' | 'empty' | 'heard';
-	/** The life stands on the stored roster. */
+	/** The incarnation is on the stored roster. */
 	rostered: boolean;
-	/** Ticks until every lease there is over; `over` or `believed` after that. */
+	/** Ticks until every lease there has expired; `leasesExpired` or `leaseExpiryConfirmed` after that. */
 	left: number;
 }
 
-/** Every lease there is over. */
+/** Every lease there has expired. */
 export const over = -1;
 
-/** The epoch was confirmed after that. */
+/** A call to the store has confirmed the epoch after every lease there expired. */
 export const believed = -2;
 
 /** An owner of the task. */
 export interface Owner {
-	/** `stopped`: replaced, and it has heard of that or can grant nothing any more. */
+	/** `stopped`: replaced, and it has learned that or can grant no more leases. */
 	phase: 'new' | 'on' | 'stopped';
 	epoch: number;
 	/** Ticks since its last confirmed call to the store. */
 	age: number;
-	/** By life; null: it knows none. */
+	/** By incarnation; null: unknown to the owner. */
 	sessions: (Session | null)[];
-	/** The life at which it believes the task to be; -1: none. */
+	/** The incarnation that it believes to have the task; -1: none. */
 	placed: number;
 	/** The number of its newest run. */
 	run: number;
-	/** The run placed is known to have begun. */
+	/** The run at `placed` is known to have begun. */
 	confirmed: boolean;
-	/** By life, the newest run that was taken for lost while its start might still be under way; 0: none. */
+	/** By incarnation, the newest unconfirmed run: presumed lost while its start might still be in flight; 0: none. */
 	doubts: number[];
 }
 
-/** An order under way. */
+/** A command in flight. */
 export interface Message {
 	kind: 'start' | 'hold';
 	life: number;
 	epoch: number;
-	/** 0 with a hold. */
+	/** 0 for a `hold`, a report request that grants a lease. */
 	run: number;
-	/** Ticks left of the lease that it brings; negative: over. */
+	/** Ticks left of the lease that it grants; negative: expired. */
 	left: number;
 }
 
 /** A state of the model. */
 export interface LivesState {
 	epoch: number;
-	/** Lives on the stored roster: bits. */
+	/** Incarnations on the stored roster, as bits. */
 	roster: number;
 	owners: Owner[];
 	lives: Life[];
--- a/spec/restarts.ts
+++ b/spec/restarts.ts
@@ -1,27 +1,29 @@
 /**
- * Model of one task and a worker that starts again under its name, beside one that stays up. Orders to the first may be
- * carried out late, by whichever life has the name then. The promises: the task never runs twice at once, and is not
- * started after an end of it was forgotten as the owner asked.
+ * Model of one task, a worker that restarts under its name, and another worker that stays up. Commands to the first may be
+ * carried out late, by whichever incarnation has the name then. The guarantees: the task never runs twice at once, and is
+ * not started after an exit of it was acknowledged by the owner.
  */
 import type * as explore from './explore.js';
 
-/** Single faults of the protocol; it has none of them, each mutant has one. */
+/** Faults that a mutant may have, one each; the protocol has none. `spec/expected.json` contains these names. */
 export interface RestartFaults {
-	/** A report of another life of the name is taken for one of the life that was asked. */
+	/** A report of another incarnation of the name is accepted as one of the incarnation that was polled. */
 	nameOnly: boolean;
-	/** All lives of a name get orders under one token. */
+	/** All incarnations of a name get commands under one token. */
 	oneToken: boolean;
-	/** What was placed on a life is free once another one answers, before that one has reported under its own token. */
+	/**
+	 * What was placed on an incarnation is freed once another one answers, before that one has reported under its own token.
+	 */
 	freeFirst: boolean;
-	/** A question after a failed call names the ends that were read. */
+	/** A report request after a failed call acknowledges the exits that were read. */
 	endsNamed: boolean;
-	/** A life whose orders are refused gets starts under a higher token before it has answered under that. */
+	/** An incarnation that refuses commands gets starts under a higher token before it has answered under that token. */
 	renewedUnheard: boolean;
-	/** An entry of the list for another life ends a session. */
+	/** A list entry for another incarnation ends a session. */
 	listProves: boolean;
 }
 
-/** The protocol as it should be. */
+/** The protocol without faults. */
 export const noRestartFaults: RestartFaults = {
 	nameOnly: false,
 	oneToken: false,
@@ -36,37 +38,37 @@
 /** The worker that stays up. */
 const other = 0;
 
-/** Ends of other tasks that were read from the first life before. */
+/** Exits of other tasks that were read from the first incarnation before. */
 const endsBefore = 1;
 
 /** Starts of the task, and tokens, at most. */
 const mostStarts = 3;
 const mostTokens = 6;
 
-/** The life that has the name now. */
+/** The incarnation that currently has the name. */
 interface Worker {
 	life: number;
 	alive: boolean;
 	/** The highest token it has seen. */
 	token: number;
-	/** The run there; 0: none. */
+	/** The run in progress; 0: none. */
 	running: number;
-	/** The highest run that ended there. */
+	/** The highest run that exited or was stopped there. */
 	highest: number;
-	/** Number of the newest end, and the run whose end is listed; 0: none. */
+	/** Number of the newest exit, and the run whose exit is listed; 0: none. */
 	ends: number;
 	listed: number;
 }
 
-/** What the owner knows of one life. */
+/** What the owner knows of one incarnation. */
 interface Session {
 	state: 'none' | 'open' | 'superseded' | 'gone';
 	token: number;
-	/** A report of it was taken. */
+	/** A report of it was accepted. */
 	heard: boolean;
-	/** No call failed since its newest report, and that is fresh. */
+	/** Its newest report is fresh, and no call has failed since. */
 	fresh: boolean;
-	/** Ends up to here are stored. */
+	/** Exits up to this number are stored. */
 	read: number;
 }
 
@@ -76,17 +78,16 @@
 	/** The run on the other worker; 0: none. */
 	beside: number;
 	sessions: Session[];
-	/** Newest token. */
 	tokens: number;
-	/** Newest run. */
+	/** Number of the newest run. */
 	runs: number;
-	/** Where the owner believes the task to be: a life, or `other`; null: nowhere. */
+	/** Where the owner believes the task to be: an incarnation, or `otherWorker`; null: nowhere. */
 	placed: { at: number; run: number; confirmed: boolean } | null;
-	/** Its end is stored. */
+	/** The task's exit is stored. */
 	done: boolean;
-	/** An end of it was forgotten. */
+	/** An exit of the task was acknowledged. */
 	noted: boolean;
-	/** Starts under way to the name. */
+	/** Starts in flight to the name. */
 	starts: { token: number; run: number }[];
 	wrong: string;
 }
@@ -109,7 +110,7 @@
 
 function sessionOf(state: RestartState, life: number): Session {
 	const session = state.sessions[life - 1];
-	if (session === undefined) throw new Error(`no life ${String(life)}`);
+	if (session === undefined) throw new Error(`no session of incarnation ${String(life)}`);
 	return session;
 }
 
@@ -118,7 +119,7 @@
 	Object.assign(sessionOf(next, life), { state: 'open', token, heard: false, fresh: false, read: 0 });
 }
 
-/** A run begins. */
+/** Begins a run and checks the invariants. */
 function begin(next: RestartState, where: 'worker' | 'beside', run: number): void {
 	const isElsewhere = where === 'worker' ? next.beside !== 0 : next.worker.running !== 0;
 	if (isElsewhere) next.wrong = 'two runs at once';
@@ -127,7 +128,10 @@
 	else next.beside = run;
 }
 
-/** A life ends with all that was believed to be there, but for what a later one has of it. */
+/**
+ * Ends an incarnation's session. A run placed there is presumed ended, unless the successor still runs it: then it is placed
+ * there.
+ */
 function bury(next: RestartState, life: number, heir: number): void {
 	const session = sessionOf(next, life);
 	if (session.state === 'none' || session.state === 'gone') return;
@@ -138,7 +142,7 @@
 	else next.placed = null;
 }
 
-/** A question to a life is carried out by the one that has the name; false: that has seen a higher token. */
+/** The incarnation that has the name carries out a report request; false: it has seen a higher token. */
 function carryOut(next: RestartState, session: Session, faults: RestartFaults): boolean {
 	const { worker } = next;
 	if (session.token < worker.token) return false;
@@ -151,7 +155,7 @@
 	return true;
 }
 
-/** A question to a life is carried out and answered. */
+/** Polls an incarnation, and handles the answer. */
 function ask(next: RestartState, life: number, faults: RestartFaults): void {
 	const session = sessionOf(next, life);
 	const { worker } = next;
@@ -189,7 +193,7 @@
 	else if (placed?.at === life && worker.running === placed.run) placed.confirmed = true;
 }
 
-/** A start is carried out by whoever has the name; `answered`: the owner hears what came of it. */
+/** The incarnation that has the name carries out a start; `answered`: the owner learns the outcome. */
 function arrive(next: RestartState, index: number, answered: boolean): void {
 	const [start] = next.starts.splice(index, 1);
 	if (start === undefined) return;
@@ -202,7 +206,7 @@
 	else next.placed = null;
 }
 
-/** A stop of the run that was placed is answered: its start is refused from then on, so a report tells whether it is there. */
+/** A stop of the placed run is answered: its start is refused from then on, so a report shows whether the run is there. */
 function stop(next: RestartState, session: Session): void {
 	const { worker, placed } = next;
 	if (placed === null || session.token < worker.token) return;
@@ -210,7 +214,7 @@
 	if (worker.running === placed.run) worker.running = 0;
 	worker.highest = Math.max(worker.highest, placed.run);
 	placed.confirmed = true;
-	// Assumed: a start that was stopped does not come after a restart.
+	// Assumption: a start that was stopped does not arrive after a restart.
 	next.starts = next.starts.filter(({ run }) => run !== placed.run);
 }
 
@@ -237,7 +241,7 @@
 	const { worker, placed } = state;
 	step('the worker crashes', worker.alive && worker.life === 1, (next) => {
 		Object.assign(next.worker, { alive: false, running: 0, listed: 0 });
-		// Another life takes longer to come and to end a run than an answer stays fresh.
+		// A new incarnation takes longer to appear and to finish a run than an answer stays fresh.
 		sessionOf(next, 1).fresh = false;
 	});
 	step('the worker starts again', !worker.alive, (next) => {
@@ -293,7 +297,7 @@
 	return found;
 }
 
-/** The model with these faults. */
+/** Returns the model with the given faults. */
 export function restartModel(name: string, faults: RestartFaults): explore.Model<RestartState> {
 	return {
 		name,
--- a/spec/run.ts
+++ b/spec/run.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run model-check`: explores every model whole, on as many threads as there are cores, prints counts and the
- * mutants' shortest traces, and compares the counts with `spec/expected.json` (`--update` writes it anew).
+ * `npm run model-check`: explores every model completely, on as many threads as there are cores, up to a maximum. Prints
+ * counts and the mutants' shortest traces, and compares both with `spec/expected.json` (`--update` rewrites that file).
  */
 import * as fs from 'node:fs';
 import * as os from 'node:os';
@@ -11,10 +11,9 @@
 import * as explore from './explore.js';
 import * as workingOff from '../dev/work-off.js';
 
-/** Memory that one exploration may take, in MiB. */
+/** Heap limit of one exploration, in MiB. */
 const heapMb = 3_000;
 
-/** Threads at most. */
 const maxThreads = Number(process.env.WOODCROSS_MODEL_THREADS ?? 6);
 
 const expectedFile = assets.assetPath('spec/expected.json');
@@ -65,7 +64,7 @@
 	const expected = update ? [] : (JSON.parse(fs.readFileSync(expectedFile, 'utf8')) as Counted[]);
 	const results: Counted[] = [];
 	const queue = catalogue.checks.map((check, index) => ({ check, index }));
-	// The longest first: the last one to begin would otherwise run alone for minutes.
+	// Longest first: a long exploration that begins last would run alone for minutes.
 	queue.sort((a, b) => (expected[b.index]?.states ?? 0) - (expected[a.index]?.states ?? 0));
 	let failed = 0;
 	const atOnce = Math.min(maxThreads, os.availableParallelism());
