--- a/spec/crashes.ts
+++ b/spec/crashes.ts
@@ -49,7 +49,7 @@
 	rostered: boolean;
 	/** The owner has taken over, and the dead worker on the roster has not reported to it. */
 	unheard: boolean;
-	/** Number of the newest run; then what really happened: workers crashed, and starts after the third crash. */
+	/** `run`: number of the newest run. `crashes`, `late`: workers that really crashed, and starts after the third of them. */
 	run: number;
 	crashes: number;
 	late: number;
--- a/spec/dispatch.ts
+++ b/spec/dispatch.ts
@@ -162,9 +162,9 @@
 	statements: number;
 	/** Workers for which it reported an expiry, so that it grants no lease there, as bits. */
 	withheld: number;
-	/** Those of them whose report is void because of a write of which the owner doesn't know yet that it took effect. */
+	/** Those of them whose report a roster write has made void, while the owner has not learned yet that it took effect. */
 	voided: number;
-	/** A roster write of its own took effect, and it doesn't know yet. */
+	/** A roster write of its own took effect, and it has not learned that yet. */
 	unheard: boolean;
 }
 
