--- a/spec/checks.ts
+++ b/spec/checks.ts
@@ -1,4 +1,7 @@
-/** Every check that CI runs: the protocols within bounds, and each guard's mutant, which must be found wrong. */
+/**
+ * Every model check that CI runs: each protocol within bounds, and a mutant for each guard or fault, in which a violation
+ * must be found.
+ */
 import * as claim from './claim.js';
 import * as config from './config.js';
 import * as crashes from './crashes.js';
@@ -9,10 +12,10 @@
 import * as restarts from './restarts.js';
 import type * as explore from './explore.js';
 
-/** One check. */
+/** A model and the verdict that is expected. */
 export interface Check {
 	expect: 'holds' | 'wrong';
-	/** Explores the model; states differ in type from model to model. */
+	/** Explores the model. The explorer is generic, as each model has its own type of state. */
 	run: (explorer: <S>(model: explore.Model<S>) => explore.Verdict) => explore.Verdict;
 	name: string;
 	bounds: string;
@@ -35,7 +38,7 @@
 	lost: false,
 };
 
-/** The lease model's bounds: each failure with two workers where the states allow, combined with one worker. */
+/** Bounds of the lease model: single failures with two workers where the number of states allows, combined ones with one. */
 const leaseBounds = {
 	'late messages': { ...baseLeaseBounds, late: 'first', tasksComplete: false },
 	'lost answers': { ...baseLeaseBounds, lost: true },
@@ -45,7 +48,7 @@
 	'two tasks, lost answers': { ...baseLeaseBounds, workers: 1, tasks: 2, attempts: 1, lost: true },
 } satisfies Record<string, LeaseBounds>;
 
-/** For each guard, bounds within which leaving it out goes wrong. */
+/** For each guard, bounds within which its removal leads to a violation. */
 const leaseMutants: Record<keyof lease.Guards, keyof typeof leaseBounds> = {
 	epoch: 'restart and late messages',
 	order: 'restart and late messages',
@@ -111,19 +114,10 @@
 	],
 	storesPlace = false,
 ): DispatchVariant {
-	return {
-		bounds: {
-			owners,
-			ticks,
-			runs,
-			closingsPerOwner,
-			expiryReportsPerOwner,
-		},
-		storesPlace,
-	};
+	return { bounds: { owners, ticks, runs, closingsPerOwner, expiryReportsPerOwner }, storesPlace };
 }
 
-/** The dispatch model's variants: owners, ticks, starts, closed entries and statements of each owner. */
+/** Variants of the dispatch model: owners, ticks, and the starts, closed entries and reported expiries of each owner. */
 const dispatchVariants = {
 	dispatch: dispatchVariant([2, 3, 2, 0]),
 	'dispatch: three owners': dispatchVariant([3, 3, 1, 0]),
@@ -136,7 +130,7 @@
 	'dispatch: statements, three owners': dispatchVariant([3, 0, 1, 0, 1]),
 } satisfies Record<string, DispatchVariant>;
 
-/** Variants in which leaving out a guard goes wrong, where it doesn't in the first one. */
+/** The variant in which the removal of a guard leads to a violation; guards not listed use the first variant. */
 const dispatchMutants: Partial<Record<keyof dispatch.DispatchGuards, keyof typeof dispatchVariants>> = {
 	confirmWaited: 'dispatch: three owners',
 	rosterEpoch: 'dispatch: closed entries, three owners',
@@ -185,7 +179,10 @@
 	plannedStops: false,
 };
 
-/** The bounds of the model of lives: a life that is followed by another, and planned stops, with fewer starts. */
+/**
+ * Bounds of the model of worker incarnations, which the names of checks call lives. With two owners, a reused address is
+ * explored with one start each.
+ */
 const incarnationVariants = {
 	'lives: an address used again': { ...baseIncarnationBounds, starts: 1, reusesAddress: true },
 	'lives: two starts': baseIncarnationBounds,
@@ -212,7 +209,7 @@
 	},
 } satisfies Record<string, incarnations.IncarnationBounds>;
 
-/** For each fault, variants in which it goes wrong. */
+/** For each fault, the variants in which it leads to a violation. */
 const incarnationMutants: Record<keyof incarnations.IncarnationFaults, (keyof typeof incarnationVariants)[]> =
 	{
 		listProves: ['lives: an address used again', 'lives: one owner, an address used again'],
@@ -247,7 +244,7 @@
 	return [...holds, ...mutants];
 }
 
-/** Owners that die, in the model of crashes. */
+/** Owners that die in the crash model, at most. */
 const ownerDeaths = 4;
 
 function crashChecks(): Check[] {
--- a/spec/incarnations/canonical-state.ts
+++ b/spec/incarnations/canonical-state.ts
@@ -1,4 +1,6 @@
-/** Makes states alike that can't differ in what follows: fewer states, none lost. */
+/**
+ * Maps states that can't differ in what follows to one canonical state: this leaves fewer states to explore and loses none.
+ */
 import * as transitions from './transitions.js';
 import * as types from './types.js';
 
@@ -16,7 +18,7 @@
 	};
 }
 
-/** By hand: a general clone takes most of the exploration's time. */
+/** Copies field by field: a general clone would take most of the exploration's time. */
 export function copyState(state: types.IncarnationState): types.IncarnationState {
 	return {
 		...state,
@@ -30,13 +32,13 @@
 	};
 }
 
-/** The state without what nothing rests on any more. */
+/** Removes from the state what no later step depends on. */
 export function canonicalize(
 	next: types.IncarnationState,
 	bounds: types.IncarnationBounds,
 	faults: types.IncarnationFaults,
 ): types.IncarnationState {
-	// Only whether it has finished counts then.
+	// Once the task has finished, nothing else matters.
 	if (next.done) Object.assign(next, { owners: [], incarnations: [], messages: [], epoch: 0, roster: 0 });
 	next.owners.forEach((owner) => {
 		canonicalizeOwner(next, owner, bounds);
@@ -60,7 +62,7 @@
 	{ starts }: types.IncarnationBounds,
 ): void {
 	const isReplaced = owner.phase === 'on' && owner.epoch < next.epoch;
-	// It can only ask, and what it believes moves nothing any more.
+	// It can only poll, and what it believes affects nothing any more.
 	if (isReplaced && !transitions.isWithinHorizon(owner)) owner.phase = 'stopped';
 	if (isReplaced && transitions.startCount(owner) >= starts) canonicalizeReplacedOwner(owner);
 	if (owner.phase === 'stopped') Object.assign(owner, newOwner(), { phase: 'stopped' });
@@ -71,17 +73,17 @@
 	);
 	owner.sessions.forEach((session, incarnationIndex) => {
 		if (session === null) return;
-		// A later start brings a lease that ends no earlier than any granted before.
+		// A later start grants a lease that expires no earlier than any granted before.
 		if (session.state !== 'asked' && owner.placed !== incarnationIndex)
 			session.ticksUntilLeaseExpiry = types.leaseExpiryConfirmed;
-		// It can't store the life any more, so it never starts anything there.
+		// It can't store the incarnation on the roster any more, so it never starts anything there.
 		if (isReplaced && isSessionIrrelevant(next, owner, session, incarnationIndex))
 			owner.sessions[incarnationIndex] = null;
 	});
 	if (!hasSuccessor(next) && !isReplaced) canonicalizeLastOwner(owner);
 }
 
-/** It starts nothing any more: all that it can still do is to renew the lease of its own run. */
+/** A replaced owner with no starts left can only renew the lease of its own run. */
 function canonicalizeReplacedOwner(owner: types.Owner): void {
 	if (owner.placed === -1) owner.phase = 'stopped';
 	owner.unconfirmedRuns.fill(0);
@@ -105,7 +107,7 @@
 	);
 }
 
-/** Nobody will replace it, so it can confirm its epoch and write the roster at any time, and nobody reads that. */
+/** No owner will replace it, so it can confirm its epoch and write the roster at any time, and nobody reads the roster. */
 function canonicalizeLastOwner(owner: types.Owner): void {
 	owner.ticksSinceConfirmation = 0;
 	for (const session of owner.sessions) {
@@ -116,14 +118,14 @@
 	}
 }
 
-/** Whether another owner may take over, which alone reads the roster. */
+/** Whether another owner may still take over. Only a takeover reads the roster. */
 function hasSuccessor(state: types.IncarnationState): boolean {
 	return state.owners.some((owner) => owner.phase === 'new');
 }
 
 /**
- * A life is taken off the roster as soon as its session ends: with more lives there, a successor would only wait for
- * more.
+ * Takes an incarnation off the roster as soon as its session ends. Left there, it could only make a successor wait for more
+ * incarnations.
  */
 function canonicalizeRoster(next: types.IncarnationState): void {
 	if (!hasSuccessor(next)) next.roster = 0;
@@ -136,7 +138,10 @@
 	);
 }
 
-/** A lease that is over changes nothing; nor does an order that is refused, if nobody hears of that. */
+/**
+ * Whether a message can still have an effect. An expired lease has none, nor has a refused command if no owner learns of the
+ * refusal.
+ */
 function isRelevant(
 	next: types.IncarnationState,
 	message: types.Message,
@@ -150,7 +155,7 @@
 	return isSenderActive || !isIneffective;
 }
 
-/** What was seen and granted counts only as long as an order can come that it is compared with. */
+/** Resets the epoch, the highest run and the lease once no command can arrive that is compared with them. */
 function canonicalizeIncarnation(
 	next: types.IncarnationState,
 	incarnation: types.Incarnation,
--- a/spec/incarnations/transitions.ts
+++ b/spec/incarnations/transitions.ts
@@ -1,48 +1,48 @@
-/** What each step of the model of workers' lives changes. */
+/** State transitions of the model of worker incarnations. */
 import * as types from './types.js';
 
-/** Ticks of a lease, and of the time that an owner may grant one after its last confirmed call to the store. */
+/** Ticks of a lease, and ticks after its last confirmed call to the store within which an owner may grant one. */
 const leaseTicks = 1;
 const horizonTicks = 1;
 
 const runsPerEpoch = 10;
 
-/** Addresses by life: two follow each other at the first one. */
+/** Address of each incarnation: the first two follow each other at one address. */
 export const addresses = [0, 0, 1];
 
-/** Names of the lives. */
+/** Names of the incarnations, as the names of steps contain them. */
 export const incarnationNames = ['a1', 'a2', 'b1'];
 
-/** The item, which is there. */
+/** Returns an item that must exist; throws if it doesn't. */
 export function at<T>(items: T[], index: number): T {
 	const item = items[index];
-	if (item === undefined) throw new Error(`no item ${index}`);
+	if (item === undefined) throw new Error(`no item at index ${index}`);
 	return item;
 }
 
-/** Whether a set of lives has one. */
+/** Whether a set of incarnations contains one. */
 function hasBit(bits: number, incarnationIndex: number): boolean {
 	return (bits & (1 << incarnationIndex)) !== 0;
 }
 
-/** The life that answers at another's address; -1: nobody does. */
+/** The incarnation that answers at another's address; -1: none. */
 export function answeringIncarnation(state: types.IncarnationState, incarnationIndex: number): number {
 	return state.incarnations.findIndex(
 		(incarnation, one) => incarnation.phase === 'alive' && addresses[one] === addresses[incarnationIndex],
 	);
 }
 
-/** Whether an owner may grant a lease, as far as the store goes. */
+/** Whether the owner's last confirmed call to the store is recent enough to grant a lease. */
 export function isWithinHorizon(owner: types.Owner): boolean {
 	return owner.ticksSinceConfirmation <= horizonTicks;
 }
 
-/** How many starts an owner has sent. */
+/** Number of starts that an owner has sent. */
 export function startCount(owner: types.Owner): number {
 	return owner.run % runsPerEpoch;
 }
 
-/** A life crashes; all that runs there ends at once. */
+/** Crashes an incarnation, which ends its run at once. */
 export function crash(next: types.IncarnationState, incarnationIndex: number): void {
 	Object.assign(at(next.incarnations, incarnationIndex), {
 		phase: 'over',
@@ -53,7 +53,7 @@
 	});
 }
 
-/** A tick, on every clock. */
+/** Advances every clock by one tick. */
 export function passTime(next: types.IncarnationState): void {
 	for (const incarnation of next.incarnations) {
 		incarnation.leaseTicksLeft = decrementTicks(incarnation.leaseTicksLeft);
@@ -77,7 +77,7 @@
 	incarnation.running = 0;
 }
 
-/** An owner counts the epoch up and reads the roster; all that it knows is who stands there. */
+/** An owner increments the epoch and reads the roster, which is all that it knows then. */
 export function takeOver(next: types.IncarnationState, ownerIndex: number, isReconciled: boolean): void {
 	next.epoch += 1;
 	const owner = at(next.owners, ownerIndex);
@@ -95,7 +95,7 @@
 	);
 }
 
-/** A call to the store shows its epoch to be in force. */
+/** A call to the store confirms that the owner's epoch is in force. */
 export function confirmEpoch(owner: types.Owner): void {
 	owner.ticksSinceConfirmation = 0;
 	for (const session of owner.sessions)
@@ -103,7 +103,7 @@
 			session.ticksUntilLeaseExpiry = types.leaseExpiryConfirmed;
 }
 
-/** An owner reads an entry of the list. */
+/** An owner reads an entry of the worker list. */
 export function applyListEntry(
 	owner: types.Owner,
 	incarnationIndex: number,
@@ -119,19 +119,19 @@
 		if (other !== incarnationIndex && address === addresses[incarnationIndex]) endSession(owner, other);
 }
 
-/** A session ends, with everything there taken for over. */
+/** Ends a session; a run placed there is presumed to have ended. */
 export function endSession(owner: types.Owner, incarnationIndex: number): void {
 	owner.sessions[incarnationIndex] = null;
 	if (owner.placed === incarnationIndex) owner.placed = -1;
 }
 
-/** The life is proved over, and with it every order that was under way to it. */
+/** Ends the session of an incarnation that is proven dead; commands in flight to it can't take effect any more. */
 export function endIncarnation(owner: types.Owner, incarnationIndex: number): void {
 	endSession(owner, incarnationIndex);
 	owner.unconfirmedRuns[incarnationIndex] = 0;
 }
 
-/** A session's life has left the list and holds nothing, as the owner sees it. */
+/** Ends the session of an incarnation that has left the list and, as far as the owner knows, has no run. */
 export function applyDeparture(
 	owner: types.Owner,
 	incarnationIndex: number,
@@ -141,7 +141,7 @@
 	if (faults.doubtForgotten) owner.unconfirmedRuns[incarnationIndex] = 0;
 }
 
-/** Every lease there is over, so whatever was there is. */
+/** Every lease there has expired, so a run placed there is presumed lost. */
 export function presumeAllLost(owner: types.Owner, incarnationIndex: number): void {
 	const session = owner.sessions[incarnationIndex];
 	if (session) session.state = 'empty';
@@ -150,12 +150,12 @@
 	owner.placed = -1;
 }
 
-/** Stores the lives that the owner knows. */
+/** Stores every incarnation that the owner knows on the roster. */
 export function writeRoster(owner: types.Owner): void {
 	for (const session of owner.sessions) if (session !== null) session.isOnStoredRoster = true;
 }
 
-/** The life answers a question, which brings a lease if one may be granted. */
+/** The incarnation answers a report request, which grants a lease if the owner may grant one. */
 export function poll(
 	next: types.IncarnationState,
 	ownerIndex: number,
@@ -191,7 +191,7 @@
 	session.ticksUntilLeaseExpiry = Math.max(session.ticksUntilLeaseExpiry, leaseTicks);
 }
 
-/** Whether a life takes an order of this epoch. */
+/** Whether an incarnation accepts a command of this epoch. */
 function acceptsEpoch(
 	incarnation: types.Incarnation,
 	epoch: number,
@@ -202,13 +202,13 @@
 	return true;
 }
 
-/** The newest run at a life whose start may still be under way, as an owner sees it; 0: there is none. */
+/** The newest run at an incarnation whose start may still be in flight, as far as the owner knows; 0: none. */
 export function unconfirmedRunAt(owner: types.Owner, incarnationIndex: number): number {
 	if (owner.placed === incarnationIndex && !owner.confirmed) return owner.run;
 	return at(owner.unconfirmedRuns, incarnationIndex);
 }
 
-/** A life acknowledges the stop of a run whose start may still come, which it refuses from then on. */
+/** An incarnation acknowledges the stop of a run whose start may still arrive, and refuses that start from then on. */
 export function stopRun(
 	next: types.IncarnationState,
 	ownerIndex: number,
@@ -228,7 +228,7 @@
 	if (owner.placed === incarnationIndex) owner.placed = -1;
 }
 
-/** A start leaves, with a lease. */
+/** Sends a start that grants a lease. */
 export function sendStart(next: types.IncarnationState, owner: types.Owner, incarnationIndex: number): void {
 	const session = owner.sessions[incarnationIndex];
 	if (!session) return;
@@ -245,7 +245,7 @@
 	});
 }
 
-/** A question leaves that brings a lease, and is answered to nobody. */
+/** Sends a report request that grants a lease and whose answer reaches no owner. */
 export function sendReportRequest(
 	next: types.IncarnationState,
 	owner: types.Owner,
@@ -263,7 +263,7 @@
 	});
 }
 
-/** An order arrives at the address of the life that it is meant for; its answer may be lost. */
+/** Delivers a command to the address of the incarnation that it is addressed to; the answer may be lost. */
 export function deliver(
 	next: types.IncarnationState,
 	message: types.Message,
@@ -288,7 +288,7 @@
 ): void {
 	const incarnation = at(next.incarnations, answeringIndex);
 	const isAccepted = acceptsEpoch(incarnation, message.epoch, faults);
-	// The lease of a start is taken also if the start is refused.
+	// The lease of a start applies even if the start is refused.
 	if (isAccepted) incarnation.leaseTicksLeft = Math.max(incarnation.leaseTicksLeft, message.leaseTicksLeft);
 	if (message.kind === 'hold') return;
 	const isStarted =
