--- a/spec/config.ts
+++ b/spec/config.ts
@@ -1,7 +1,7 @@
 /**
  * Model of the configuration record: operators race with changes by compare-and-swap, answers are lost, processes learn
- * versions from the platform and from each other, late pushes arrive, and a process restarts in an outage. Once a version
- * has been in force everywhere, which the guarantee allows seconds for, no process may serve an older one. Before that, a
+ * versions from the platform and from each other, late pushes arrive, and a process restarts in an outage. The guarantee
+ * allows seconds until a version is in force everywhere. From then on, no process may serve an older one. Before that, a
  * process that restarts in an outage may learn an older version from a peer that has not learned the newest one yet.
  */
 import type * as explore from './explore.js';
--- a/spec/restarts.ts
+++ b/spec/restarts.ts
@@ -38,7 +38,7 @@
 /** The worker that stays up. */
 const otherWorker = 0;
 
-/** Exits of other tasks that were read from the first incarnation before. */
+/** Number of exits of other tasks that the owner has read from the first incarnation before the model begins. */
 const initialExits = 1;
 
 /** Starts of the task, and tokens, at most. */
--- a/src/core/dispatch/crash-attribution.ts
+++ b/src/core/dispatch/crash-attribution.ts
@@ -51,7 +51,7 @@
 		this.contactLosses.push({ worker, at, suspects: suspectsOn(session, at) });
 	}
 
-	/** Runs to which the crash of a worker is attributed, as of the newest time it stopped answering. */
+	/** Runs to which a worker's crash is attributed. Only the last time that the worker stopped answering counts. */
 	blamed(worker: string): Set<types.Placement> {
 		const contactLoss = this.contactLosses.findLast((one) => one.worker === worker);
 		if (contactLoss === undefined) return new Set();
--- a/src/core/dispatch/probation.ts
+++ b/src/core/dispatch/probation.ts
@@ -39,7 +39,7 @@
 const longRunningLossFactor = 4;
 const gangLossFactor = 4;
 
-/** What probations read and change. */
+/** What `Probations` needs: the clock, the workers, and where it reports changes. */
 export interface ProbationOptions {
 	clock: clocks.Clock;
 	events: events.EventLog;
--- a/src/core/owner/candidates.ts
+++ b/src/core/owner/candidates.ts
@@ -36,7 +36,7 @@
 		this.seen.set(candidate.box, { ...candidate, pingingSince: isContinuous ? before.pingingSince : at, at });
 	}
 
-	/** The highest processor among `own` and the boxes that have pinged lately, in cores. */
+	/** Processor of the strongest box, in cores: the maximum of `own` and of the boxes that have pinged lately. */
 	strongest(own: number): number {
 		return Math.max(own, ...this.recent().map((one) => one.processor));
 	}
--- a/src/core/scheduler/batch.ts
+++ b/src/core/scheduler/batch.ts
@@ -5,7 +5,7 @@
 import type * as uncommitted from './uncommitted.js';
 import type * as requestQueue from './request-queue.js';
 
-/** What decisions affect before they are stored. */
+/** What a batch needs to apply its decisions before they are stored. */
 export interface BatchDeps {
 	clock: clocks.Clock;
 	state: shards.ShardState;
